--- a/benches/baselines.py
+++ b/benches/baselines.py
@@ -23,7 +23,7 @@
 
     def choose(
         self,
-        wanted: placement.Wanted,
+        wanted: placement.PlacementRequest,
         servers: Sequence[declarations.BackendServer],
         now: float,
     ) -> placement.Choice:
@@ -40,7 +40,7 @@
         )
 
     def pick(
-        self, wanted: placement.Wanted, names: list[str], now: float
+        self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
         raise NotImplementedError
@@ -57,7 +57,7 @@
     """Any server."""
 
     def pick(
-        self, wanted: placement.Wanted, names: list[str], now: float
+        self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
         return self.random.choice(names)
@@ -67,7 +67,7 @@
     """The server with the shortest expected wait, then fewest requests."""
 
     def pick(
-        self, wanted: placement.Wanted, names: list[str], now: float
+        self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
 
@@ -92,7 +92,9 @@
 
     tokens = _LONG_TOKENS
 
-    def ring(self, wanted: placement.Wanted, names: list[str]) -> list[str]:
+    def ring(
+        self, wanted: placement.PlacementRequest, names: list[str]
+    ) -> list[str]:
         """Returns the names in the order of the ring from the key on."""
         points = sorted(
             (_point(f"{name} {number}".encode()), name)
@@ -106,7 +108,7 @@
         return list(dict.fromkeys(name for _, name in order))
 
     def pick(
-        self, wanted: placement.Wanted, names: list[str], now: float
+        self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
         return self.ring(wanted, names)[0]
@@ -126,7 +128,7 @@
     """
 
     def pick(
-        self, wanted: placement.Wanted, names: list[str], now: float
+        self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
         loads = {name: self.outstanding(name) for name in names}
@@ -154,7 +156,7 @@
     agents: dict = {}
 
     def pick(
-        self, wanted: placement.Wanted, names: list[str], now: float
+        self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
 
@@ -174,7 +176,7 @@
     """The server that holds most of the prompt, then the least loaded."""
 
     def pick(
-        self, wanted: placement.Wanted, names: list[str], now: float
+        self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
 
--- a/benches/callers.py
+++ b/benches/callers.py
@@ -132,7 +132,7 @@
     address = json.loads(server.line())["address"]
     host, _, port = address.partition(":")
     idle = server.usage()
-    load = clients.Load(address=(host, int(port)))
+    load = clients.StreamLoad(address=(host, int(port)))
     body = clients.body_of(model="m", prompt="hi", tokens=1 << 20)
     head = clients.head_of(path="/v1/completions", key="k", length=len(body))
     for _ in range(streams):
--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -20,7 +20,7 @@
 
 from pimentoledge.callers import replies
 from pimentoledge.decisions import actions
-from pimentoledge.decisions import agents_served
+from pimentoledge.decisions import agent_subscriptions
 from pimentoledge.decisions import configuration
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import entries
@@ -384,7 +384,7 @@
     """Processor time and bytes of an agent's poll, by declared servers."""
     times, sizes = [], []
     for servers in (100, 1000, 12000):
-        served = agents_served.Agents(
+        served = agent_subscriptions.AgentSubscriptions(
             address="tcp://10.9.0.1:7000", view=view(servers)
         )
         served.declare([f"tcp://10.9.0.{each}:7000" for each in range(24)])
--- a/benches/claims.py
+++ b/benches/claims.py
@@ -68,19 +68,23 @@
         """Returns the time that the next call takes."""
         return _STORE_SECONDS * self.random.lognormvariate(0.0, 0.4)
 
-    def perform(self, call: stores.Call, now: float) -> stores.Answer:
+    def perform(self, call: stores.Call, now: float) -> stores.StoreAnswer:
         """Performs a call, or refuses it."""
         if any(start <= now < end for start, end in self.outages):
-            return stores.Answer(call=call.call, outcome=stores.Outcome.DOWN)
+            return stores.StoreAnswer(
+                call=call.call, outcome=stores.Outcome.DOWN
+            )
         if not self._allowed(type(call), now):
             self.refused += 1
-            return stores.Answer(call=call.call, outcome=stores.Outcome.DOWN)
+            return stores.StoreAnswer(
+                call=call.call, outcome=stores.Outcome.DOWN
+            )
         found = self.objects.get(call.path)
         if isinstance(call, stores.Read):
             self.reads += 1
             return self._found(call, found)
         if call.expected != (found.version if found else 0):
-            return stores.Answer(
+            return stores.StoreAnswer(
                 call=call.call,
                 outcome=stores.Outcome.CONFLICT,
                 objects=[found] if found else [],
@@ -94,17 +98,17 @@
             value=call.value,
             write_id=call.write_id,
         )
-        return stores.Answer(
+        return stores.StoreAnswer(
             call=call.call,
             outcome=stores.Outcome.WRITTEN,
             version=self.revision,
         )
 
-    def _found(self, call, found) -> stores.Answer:
+    def _found(self, call, found) -> stores.StoreAnswer:
         if found is None:
             outcome = stores.Outcome.ABSENT
-            return stores.Answer(call=call.call, outcome=outcome)
-        return stores.Answer(
+            return stores.StoreAnswer(call=call.call, outcome=outcome)
+        return stores.StoreAnswer(
             call=call.call, outcome=stores.Outcome.FOUND, objects=[found]
         )
 
@@ -157,7 +161,7 @@
         rate: float,
         seconds: float,
         agents: int,
-        limits: claim_shards.Limits,
+        limits: claim_shards.ClaimBounds,
         seed: int = 1,
         outages: list[tuple[float, float]] | None = None,
         warm: float = 0.0,
@@ -256,11 +260,11 @@
         answer = self.store.perform(call, self.now)
         self._later(half, self._answer, name, answer)
 
-    def _answer(self, name: str, answer: stores.Answer):
+    def _answer(self, name: str, answer: stores.StoreAnswer):
         self._take(name, self.agents[name].answer(answer, self.now))
 
     def _finish(self, name: str, request: str):
-        answer = claim_records.Answer(
+        answer = claim_records.StoredAnswer(
             status=201,
             headers=[("content-type", "application/json")],
             body=b"y" * _ANSWER_BYTES,
@@ -306,7 +310,7 @@
             rate=rate,
             seconds=12.0,
             agents=3,
-            limits=claim_shards.Limits(),
+            limits=claim_shards.ClaimBounds(),
             warm=2.0,
         )
         run.run()
@@ -316,7 +320,7 @@
 def spacing() -> None:
     """The two intervals that trade latency and bytes for writes."""
     for gap, delay in itertools.product((0.0, 0.02, 0.05, 0.1), (0.02, 0.25)):
-        limits = claim_shards.Limits(write_gap=gap, outcome_delay=delay)
+        limits = claim_shards.ClaimBounds(write_gap=gap, outcome_delay=delay)
         for rate in (10, 100, 400):
             run = Run(rate=rate, seconds=8.0, agents=3, limits=limits, warm=2.0)
             run.run()
@@ -330,28 +334,28 @@
     """Bytes of the records, and what one object holds."""
     key = claim_records.key_digest("org", "key")
     fixed = {"key": key, "content": key, "until": 123456.0}
-    answer = claim_records.Answer(
+    answer = claim_records.StoredAnswer(
         status=201,
         headers=[("content-type", "application/json")],
         body=b"y" * _ANSWER_BYTES,
     )
     rows = {
-        "claimed": claim_records.Record(
+        "claimed": claim_records.ClaimRecord(
             state=claim_records.State.CLAIMED,
             life="f" * 16,
             token=123456,
             **fixed,
         ),
-        f"finished, answer of {_ANSWER_BYTES} bytes": claim_records.Record(
+        f"finished, answer of {_ANSWER_BYTES} bytes": claim_records.ClaimRecord(
             state=claim_records.State.FINISHED, answer=answer, **fixed
         ),
-        "remembered": claim_records.Record(
+        "remembered": claim_records.ClaimRecord(
             state=claim_records.State.REMEMBERED, **fixed
         ),
     }
     for name, record in rows.items():
         print(f"{name}: {len(record.encoded)} bytes")
-    limits = claim_shards.Limits()
+    limits = claim_shards.ClaimBounds()
     finished, remembered = [len(each.encoded) for each in rows.values()][1:]
     for kept, known in ((3600, 86400), (600, 86400), (3600, 14400)):
         # With r claims a second: r * kept answers and r * known keys.
@@ -373,7 +377,7 @@
     shard = claim_records.Shard()
     for number in range(count):
         key = claim_records.key_digest("org", str(number))
-        shard.records[key] = claim_records.Record(
+        shard.records[key] = claim_records.ClaimRecord(
             key=key,
             content=key,
             state=claim_records.State.REMEMBERED,
@@ -405,7 +409,7 @@
                 rate=50,
                 seconds=20.0 + length,
                 agents=3,
-                limits=claim_shards.Limits(patience=patience),
+                limits=claim_shards.ClaimBounds(patience=patience),
                 outages=[(10.0, 10.0 + length)],
             )
             measured = run.run()
@@ -424,7 +428,10 @@
     """Processor time and memory of one agent's claims."""
     for rate, seconds in ((5, 60.0), (50, 12.0), (200, 6.0)):
         run = Run(
-            rate=rate, seconds=seconds, agents=1, limits=claim_shards.Limits()
+            rate=rate,
+            seconds=seconds,
+            agents=1,
+            limits=claim_shards.ClaimBounds(),
         )
         started = time.process_time()
         run.run()
@@ -442,7 +449,9 @@
 
 def _herd(count: int) -> str:
     """Many claims in one moment at one agent."""
-    run = Run(rate=1.0, seconds=0.0, agents=1, limits=claim_shards.Limits())
+    run = Run(
+        rate=1.0, seconds=0.0, agents=1, limits=claim_shards.ClaimBounds()
+    )
     started = time.process_time()
     for _ in range(count):
         run.claim()
@@ -460,7 +469,7 @@
     shard = claim_records.Shard()
     for number in range(count):
         key = claim_records.key_digest("org", str(number))
-        shard.records[key] = claim_records.Record(
+        shard.records[key] = claim_records.ClaimRecord(
             key=key,
             content=key[::-1],
             state=claim_records.State.REMEMBERED,
--- a/benches/clients.py
+++ b/benches/clients.py
@@ -63,7 +63,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
 
-class Load:
+class StreamLoad:
     """Streams driven by one thread.
 
     Attributes:
--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -23,7 +23,7 @@
 _SALT = b"s" * 32
 
 
-def _wanted(number: int, tokens: int) -> placement.Wanted:
+def _wanted(number: int, tokens: int) -> placement.PlacementRequest:
     shared = random.Random(number % _PREFIXES).randbytes(
         tokens * workloads.TOKEN_BYTES - _TAIL_BYTES
     )
@@ -31,7 +31,7 @@
     blocks = prefixes.chain(
         salt=_SALT, text=shared + tail, block_bytes=workloads.BLOCK_BYTES
     )
-    return placement.Wanted(
+    return placement.PlacementRequest(
         request=str(number),
         organisation="o",
         model="m",
@@ -103,7 +103,7 @@
 def hint_bytes(count: int) -> float:
     """Returns the bytes that one hint takes, with 128 blocks to a prompt."""
     table = hints.Hints(limit=count, seconds=60.0, holders=8)
-    life = hints.Life(server="s")
+    life = hints.EngineLife(server="s")
     rng = random.Random(1)
     tracemalloc.start()
     for _ in range(count // 128):
--- a/benches/engines.py
+++ b/benches/engines.py
@@ -82,7 +82,9 @@
         computed: prompt tokens computed for each job that started.
     """
 
-    def __init__(self, *, name: str, pool: workloads.Pool, holders: Holders):
+    def __init__(
+        self, *, name: str, pool: workloads.RunnerPool, holders: Holders
+    ):
         self.name = name
         self.pool = pool
         self.holders = holders
--- a/benches/fleet_engines.py
+++ b/benches/fleet_engines.py
@@ -14,7 +14,7 @@
 
 import attrs
 
-from pimentoledge.routing import asks
+from pimentoledge.routing import request_types
 
 # A transfer that would wait longer than this is not started.
 MOST_TRANSFER_WAIT_SECONDS = 2.0
@@ -151,7 +151,7 @@
         )
         self.tokens = 0
 
-    def prefix(self, namespace: str, parts: list[asks.Part]) -> int:
+    def prefix(self, namespace: str, parts: list[request_types.Part]) -> int:
         """Returns how many of the first parts are kept, and uses them."""
         found = 0
         for part in parts:
@@ -162,7 +162,7 @@
             self.parts.move_to_end((namespace, part.name))
         return found
 
-    def put(self, namespace: str, part: asks.Part) -> None:
+    def put(self, namespace: str, part: request_types.Part) -> None:
         """Keeps a part."""
         key = (namespace, part.name)
         if key not in self.parts:
@@ -200,7 +200,7 @@
         self.memory_tokens = memory_tokens
         self.kept = Kept()
 
-    def put(self, namespace: str, parts: list[asks.Part]) -> None:
+    def put(self, namespace: str, parts: list[request_types.Part]) -> None:
         """Keeps parts that have come."""
         for part in parts:
             self.kept.put(namespace, part)
@@ -212,7 +212,7 @@
     """A request at an engine.
 
     Attributes:
-        ask: the request.
+        client_request: the request.
         sent: what was sent with it.
         events: events that it makes.
         began: called at the first event.
@@ -227,13 +227,13 @@
         event_at: when its newest event left.
     """
 
-    ask: asks.Ask
-    sent: asks.Dispatch
+    client_request: request_types.ClientRequest
+    sent: request_types.Dispatch
     events: int
     began: Callable[[], None]
     paused: Callable[[float], None]
     ended: Callable[[bool], None]
-    parts: list[asks.Part] = attrs.field(factory=list)
+    parts: list[request_types.Part] = attrs.field(factory=list)
     ready: bool = False
     left: int | None = None
     done: int = 0
@@ -244,7 +244,7 @@
     @property
     def tokens(self) -> int:
         """Memory that its prompt and its answer take."""
-        return self.ask.prompt_tokens + self.steps
+        return self.client_request.prompt_tokens + self.steps
 
 
 class Engine:
@@ -294,10 +294,10 @@
         self._turns = itertools.count(1)
         sources[address] = self
 
-    def load(self) -> asks.Load:
+    def load(self) -> request_types.ServerLoad:
         """Returns what it says of its load: what is being read waits."""
         reading = sum(1 for each in self.running if each.left)
-        return asks.Load(
+        return request_types.ServerLoad(
             running=len(self.running) - reading,
             waiting=len(self.waiting) + reading,
             slots=self.shape.slots,
@@ -308,7 +308,7 @@
         full = len(self.waiting) >= self.shape.waiting
         if full or self.loading:
             return False
-        run.parts = list(run.ask.parts)
+        run.parts = list(run.client_request.parts)
         self.waiting.append(run)
         self._fetch(run)
         return True
@@ -386,7 +386,8 @@
             if len(self.running) >= self.shape.slots:
                 return
             if self.running and (
-                memory + run.ask.prompt_tokens > self.shape.memory_tokens
+                memory + run.client_request.prompt_tokens
+                > self.shape.memory_tokens
             ):
                 return
             self.waiting.remove(run)
@@ -397,7 +398,7 @@
         namespace = run.sent.namespace or ""
         have = self.kept.prefix(namespace, run.parts)
         run.done = sum(each.tokens for each in run.parts[:have])
-        run.left = max(1, run.ask.prompt_tokens - run.done)
+        run.left = max(1, run.client_request.prompt_tokens - run.done)
         self.totals.kept += run.done
         self.totals.read += run.left
         for part in run.parts[have:-1]:
--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -15,20 +15,20 @@
 import attrs
 
 from benches import fleet_engines
-from pimentoledge.routing import accounts
-from pimentoledge.routing import asks
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import attempt_loads
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
 from pimentoledge.routing import daemons
 from pimentoledge.routing import exchanges
+from pimentoledge.routing import heartbeat_rings
+from pimentoledge.routing import load_reports
 from pimentoledge.routing import placements
 from pimentoledge.routing import registrations
-from pimentoledge.routing import rings
+from pimentoledge.routing import request_types
+from pimentoledge.routing import retry_rules
 from pimentoledge.routing import rollouts
 from pimentoledge.routing import rosters
 from pimentoledge.routing import selections
-from pimentoledge.routing import verdicts
-from pimentoledge.routing import work_reports
 
 MODEL = "m"
 SERVICE = "runners"
@@ -183,7 +183,7 @@
 
     def reaches_all(self) -> bool:
         """Returns whether every router hears the others itself."""
-        return len(self.others) <= rings.ALL_TO_ALL
+        return len(self.others) <= heartbeat_rings.ALL_TO_ALL
 
     @property
     def known(self) -> dict[str, rosters.Peer]:
@@ -197,13 +197,13 @@
 
     Attributes:
         name: its mailbox.
-        believed: what it believes.
+        view: what it believes.
         reports: what it tells the others of its data centre.
     """
 
     name: str
-    believed: beliefs.Beliefs
-    reports: work_reports.WorkReports
+    view: cluster_views.ClusterView
+    reports: load_reports.LoadReports
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -211,7 +211,7 @@
     """One request of a client, with its tries.
 
     Attributes:
-        ask: the request.
+        client_request: the request.
         work: its kind.
         organisation: whose key it bears.
         events: events of its answer.
@@ -222,7 +222,7 @@
         gap: longest pause.
     """
 
-    ask: asks.Ask
+    client_request: request_types.ClientRequest
     work: Work
     organisation: configurations.Organisation
     events: int
@@ -232,7 +232,7 @@
     first: float | None = None
     gap: float = 0.0
     tried: set[str] = attrs.field(factory=set)
-    account: accounts.Account | None = None
+    account: attempt_loads.AttemptLoad | None = None
     run: fleet_engines.Run | None = None
     engine: fleet_engines.Engine | None = None
 
@@ -321,7 +321,7 @@
             routes=[],
             organisations=None,
             services=services,
-            limits=configurations.Limits(),
+            limits=configurations.ClientLimits(),
         )
 
     def _make_engines(self) -> None:
@@ -353,18 +353,20 @@
         for number in range(self.plan.routers):
             name = f"tcp://r{number}"
             place = f"d{number % self.plan.data_centres}"
-            believed = beliefs.Beliefs(name=name, data_centre=place, born=0.0)
-            believed.configuration = self._configuration
-            believed.members = self.plan.routers
-            believed.want(MODEL, 1, 0.0)
+            view = cluster_views.ClusterView(
+                name=name, data_centre=place, born=0.0
+            )
+            view.configuration = self._configuration
+            view.members = self.plan.routers
+            view.want(MODEL, 1, 0.0)
             for engine in self.engines:
-                believed.servers.put(self._registration(engine, 1))
+                view.servers.put(self._registration(engine, 1))
             self.routers.append(
                 Router(
                     name=name,
-                    believed=believed,
-                    reports=work_reports.WorkReports(
-                        believed=believed,
+                    view=view,
+                    reports=load_reports.LoadReports(
+                        view=view,
                         roster=_Everyone(name),
                         send_all=self._sender(name),
                     ),
@@ -374,7 +376,7 @@
         for router in self.routers:
             router.reports.roster.others = {
                 name: rosters.Peer(
-                    data_centre=each.believed.data_centre, heard=0.0
+                    data_centre=each.view.data_centre, last_heard_at=0.0
                 )
                 for name, each in by_name.items()
                 if name != router.name
@@ -436,7 +438,7 @@
             self._lengths[name] = _lognormal(drawn, mean, spread)
         return self._lengths[name]
 
-    def _ask(self, work: Work) -> asks.Ask:
+    def _ask(self, work: Work) -> request_types.ClientRequest:
         drawn = self._drawn
         topic = int(work.topics * drawn.random() ** 1.3)
         common = min(topic * 2654435761 % 16 // 4, work.commons - 1)
@@ -448,18 +450,18 @@
         second = f"{work.name}-t{topic}"
         number = next(self._numbers)
         parts = (
-            asks.Part(
+            request_types.Part(
                 name=first, tokens=self._length(first, work.common_tokens, 0.4)
             ),
-            asks.Part(
+            request_types.Part(
                 name=second, tokens=self._length(second, work.topic_tokens, 0.7)
             ),
-            asks.Part(
+            request_types.Part(
                 name=f"own-{number}",
                 tokens=_lognormal(drawn, work.own_tokens, 1.0),
             ),
         )
-        return asks.Ask(
+        return request_types.ClientRequest(
             request=str(number),
             method=b"POST",
             host="h",
@@ -478,12 +480,12 @@
         )
 
     def _arrive(self, work: Work) -> None:
-        ask = self._ask(work)
+        client_request = self._ask(work)
         rank = int(len(self._organisations) ** self._drawn.random()) - 1
         events = _lognormal(self._drawn, work.events, work.event_spread)
-        ask.answer_tokens = events * self.plan.shape.event_steps
+        client_request.answer_tokens = events * self.plan.shape.event_steps
         client = Client(
-            ask=ask,
+            client_request=client_request,
             work=work,
             organisation=self._organisations[rank],
             events=events,
@@ -497,10 +499,10 @@
         client.over = False
         client.tried = set()
         router = self._drawn.choice(self.routers)
-        ask = client.ask
-        ask.arrived = self.agenda.now
-        router.believed.mean_unshared(MODEL).note(
-            ask.parts[-1].tokens + ask.answer_tokens
+        client_request = client.client_request
+        client_request.arrived = self.agenda.now
+        router.view.mean_unshared(MODEL).note(
+            client_request.parts[-1].tokens + client_request.answer_tokens
         )
         tries = client.tries
         self.agenda.after(
@@ -516,15 +518,15 @@
         now = self.agenda.now
         route = _route_of(client.work)
         choice = selections.select(
-            believed=router.believed,
-            ask=client.ask,
+            view=router.view,
+            client_request=client.client_request,
             route=route,
             organisation=client.organisation,
             without=client.tried,
             now=now,
         )
         chosen = isinstance(choice, placements.Choice)
-        if chosen and len(client.tried) < verdicts.MOST_SENDS:
+        if chosen and len(client.tried) < retry_rules.MOST_SENDS:
             self._send(router, client, route, choice)
         elif now - since < exchanges.WAIT_SHARE * route.objective_seconds:
             self.agenda.after(
@@ -544,8 +546,8 @@
         backend = choice.backend
         now = self.agenda.now
         sent = selections.dispatch(
-            believed=router.believed,
-            ask=client.ask,
+            view=router.view,
+            client_request=client.client_request,
             route=route,
             organisation=client.organisation,
             backend=backend,
@@ -553,19 +555,19 @@
             seconds_left=10.0,
             now=now,
         )
-        account = accounts.Account(
-            ask=client.ask, backend=backend, dispatch=sent
+        account = attempt_loads.AttemptLoad(
+            client_request=client.client_request, backend=backend, dispatch=sent
         )
-        account.start(
-            selections.speeds_of(router.believed, MODEL, SERVICE), now
+        account.start(selections.speeds_of(router.view, MODEL, SERVICE), now)
+        selections.note_sent(
+            router.view, client.client_request, backend, sent, now
         )
-        selections.note_sent(router.believed, client.ask, backend, sent, now)
-        router.reports.prompt_changed(client.ask.prompt_tokens, now)
+        router.reports.prompt_changed(client.client_request.prompt_tokens, now)
         client.account = account
         engine = self.engines[backend.registration.server]
         client.engine = engine
         client.run = fleet_engines.Run(
-            ask=client.ask,
+            client_request=client.client_request,
             sent=sent,
             events=client.events,
             began=lambda: self._began(router, client, engine.load()),
@@ -580,27 +582,31 @@
     def _reach(self, router, client, run, engine) -> None:
         if client.over or client.run is not run or not engine.up:
             return
-        version = router.believed.servers.by_server[engine.name]
+        version = router.view.servers.by_server[engine.name]
         right = version.registration.weights[MODEL] == engine.version
         if not right or not engine.submit(run):
             client.account.close()
             client.account = None
             backend = run_backend(router, engine)
-            backend.was_full(self.agenda.now)
-            backend.told_load(engine.load(), self.agenda.now)
+            backend.back_off_full(self.agenda.now)
+            backend.update_load(engine.load(), self.agenda.now)
             client.tried.add(backend.registration.incarnation)
             self._route(router, client, self.agenda.now)
 
-    def _began(self, router, client, load: asks.Load) -> None:
+    def _began(self, router, client, load: request_types.ServerLoad) -> None:
         now = self.agenda.now
         client.first = now
         account = client.account
-        account.backend.told_load(load, now)
-        account.began(router.believed.first_event(MODEL), now)
+        account.backend.update_load(load, now)
+        account.began(router.view.first_event(MODEL), now)
         selections.note_read(
-            router.believed, client.ask, account.backend, account.dispatch, now
+            router.view,
+            client.client_request,
+            account.backend,
+            account.dispatch,
+            now,
         )
-        router.reports.prompt_changed(client.ask.prompt_tokens, now)
+        router.reports.prompt_changed(client.client_request.prompt_tokens, now)
 
     def _paused(self, client: Client, seconds: float) -> None:
         client.gap = max(client.gap, seconds)
@@ -648,7 +654,7 @@
         self.version += 1
         now = self.agenda.now
         for router in self.routers:
-            router.believed.want(MODEL, self.version, now)
+            router.view.want(MODEL, self.version, now)
         waves = list(self.engines.values())
         size = max(1, int(len(waves) * rollouts.AT_ONCE_SHARE))
         load = self.plan.shape.load_seconds
@@ -669,7 +675,7 @@
             engine.version = version
             for router in self.routers:
                 found = self._registration(engine.name, version)
-                router.believed.servers.put(found)
+                router.view.servers.put(found)
 
         engine.load_weights(done)
 
@@ -685,7 +691,7 @@
 
 def run_backend(router: Router, engine: fleet_engines.Engine):
     """Returns a router's beliefs of an engine."""
-    return router.believed.servers.by_server[engine.name]
+    return router.view.servers.by_server[engine.name]
 
 
 def _lognormal(drawn: random.Random, mean: float, spread: float) -> int:
@@ -700,11 +706,11 @@
         name=work.name,
         host="h",
         path_prefix="/",
-        kind=configurations.Kind.STREAM,
+        kind=configurations.Repeatability.STREAM,
         timeout_seconds=10.0,
         objective_seconds=work.objective_seconds,
         urgency=work.urgency,
-        shares=(configurations.Share(service=SERVICE, weight=1),),
+        shares=(configurations.ServiceShare(service=SERVICE, weight=1),),
         most_servers=2 if work.repeatable else 1,
         open=True,
         by_prefix=True,
--- a/benches/fleets.py
+++ b/benches/fleets.py
@@ -325,9 +325,9 @@
         self.unplaced += 1
 
 
-def holders_of(fleet: Fleet) -> list[permits.Holder]:
+def holders_of(fleet: Fleet) -> list[permits.PermitEntry]:
     """Returns the entries of the object of permits."""
     found = fleet.store.objects.get(permits.PATH)
     if found is None:
         return []
-    return msgspec.json.decode(found.value, type=permits.Book).holders
+    return msgspec.json.decode(found.value, type=permits.PermitTable).holders
--- a/benches/limits.py
+++ b/benches/limits.py
@@ -128,7 +128,7 @@
 
 def lending(address, **fields):
     """Returns the product's own limits, with a policy."""
-    node = limits.Limits(
+    node = limits.ContractLimits(
         name=address, address=address, policy=limits.Policy(**fields)
     )
     node.entries(ENTRIES, 0.0)
@@ -145,7 +145,7 @@
 
 
 @attrs.define(kw_only=True)
-class Load:
+class OfferedLoad:
     """What is offered, and what is wrong.
 
     Attributes:
@@ -360,14 +360,14 @@
     for size, limit, full in sizes:
         for factor in (0.5, 2.0):
             for place, chosen in places:
-                yield Load(
+                yield OfferedLoad(
                     name=f"{size}, {factor:g}x, {place}",
                     contract=limit,
                     offered=full * factor,
                     place=chosen,
                 )
         for fault, cut in (("owner cut", owner_cut), ("half cut", half_cut)):
-            yield Load(
+            yield OfferedLoad(
                 name=f"{size}, 2x, even, {fault}",
                 contract=limit,
                 offered=full * 2,
--- a/benches/path.py
+++ b/benches/path.py
@@ -160,7 +160,7 @@
         """Waits until a completion goes through."""
         end = time.monotonic() + _READY_SECONDS
         while time.monotonic() < end:
-            load = clients.Load(address=self.address)
+            load = clients.StreamLoad(address=self.address)
             try:
                 stream = load.begin(_routed("ready", 1))
                 load.run(time.perf_counter() + 1.0)
@@ -200,7 +200,7 @@
 
 def _steady(address, request, prompts, rate: float, seconds: float):
     """Sends requests at a steady rate; returns their streams."""
-    load = clients.Load(address=address)
+    load = clients.StreamLoad(address=address)
     begun = time.perf_counter()
     for number in range(int(rate * seconds)):
         due = begun + number / rate
@@ -273,7 +273,7 @@
 
 def _held(deployment: Deployment, count: int, seconds: float) -> dict:
     idle = deployment.usage()
-    load = clients.Load(address=deployment.address)
+    load = clients.StreamLoad(address=deployment.address)
     prompts = _prompts(f"held {count}")
     for _ in range(count):
         load.begin(_routed(next(prompts), 1 << 16))
@@ -315,7 +315,7 @@
 
 
 def _closed(deployment: Deployment, callers: int, seconds: float) -> dict:
-    load = clients.Load(address=deployment.address)
+    load = clients.StreamLoad(address=deployment.address)
     prompts = _prompts(f"closed {callers}")
     before, begun = deployment.usage(), time.perf_counter()
     while time.perf_counter() < begun + seconds:
--- a/benches/placement_runs.py
+++ b/benches/placement_runs.py
@@ -211,7 +211,7 @@
             for number in range(workloads.ENTRIES)
         ]
 
-    def add_pool(self, pool: workloads.Pool):
+    def add_pool(self, pool: workloads.RunnerPool):
         """Makes the runners of one pool."""
         holders = engines.Holders()
         servers = []
@@ -275,7 +275,7 @@
         entry = self.entries[arrival.entry]
         measured = self.measured[arrival.request]
         left = arrival.at + arrival.deadline - self.now
-        wanted = placement.Wanted(
+        wanted = placement.PlacementRequest(
             request=arrival.request,
             organisation=arrival.organisation,
             model=arrival.model,
--- a/benches/quota_ways.py
+++ b/benches/quota_ways.py
@@ -39,7 +39,7 @@
     def acquire(self, organisation, limit, cost, now, decided):
         """Decides by the own ledger."""
         decision = self.ledger.acquire(organisation, limit, cost, now)
-        decided(limiters.Answer(decision=decision, owner=self.own))
+        decided(limiters.AcquireResult(decision=decision, owner=self.own))
         return 0
 
     def cancel(self, number):
@@ -54,7 +54,7 @@
         for slot in self.ledger.slots:
             held = slot.leases.get(self.own)
             if share and (held is None or held.share != share):
-                lease = ledgers.Lease(share=share, until=rights.NEVER)
+                lease = ledgers.RightsLease(share=share, until=rights.NEVER)
                 slot.put(self.own, lease, allowance=held is None, now=now)
 
     def tick(self, now):
@@ -148,7 +148,7 @@
         bounds = self.ledger.bounds
         self.owned = ledgers.Ledger(bounds=bounds)
         for slot in self.owned.slots:
-            lease = ledgers.Lease(share=1.0, until=rights.NEVER)
+            lease = ledgers.RightsLease(share=1.0, until=rights.NEVER)
             slot._counted_at = -100.0
             slot.put(self.own, lease, allowance=False, now=-100.0)
         self.limiter = limiters.Limiter(
@@ -187,7 +187,9 @@
         decision = ledger.acquire(
             question.organisation, question.limit, question.cost, now
         )
-        question.decided(limiters.Answer(decision=decision, owner=self.own))
+        question.decided(
+            limiters.AcquireResult(decision=decision, owner=self.own)
+        )
 
     def tick(self, now):
         """Looks at late answers."""
--- a/benches/quotas.py
+++ b/benches/quotas.py
@@ -21,7 +21,9 @@
 from pimentoledge.routing.quotas import ledgers
 
 WINDOW_SECONDS = 8.0
-BOUNDS = ledgers.Bounds(window_seconds=WINDOW_SECONDS, over=0.1, slack=72000.0)
+BOUNDS = ledgers.QuotaBounds(
+    window_seconds=WINDOW_SECONDS, over=0.1, slack=72000.0
+)
 TICK_SECONDS = 0.1
 IN_CENTRE_SECONDS = 0.0005
 APART_SECONDS = 0.0018
--- a/benches/workloads.py
+++ b/benches/workloads.py
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Pool:
+class RunnerPool:
     """A pool of equal runners of one model.
 
     Attributes:
@@ -64,7 +64,7 @@
     slots: int
 
 
-_LARGE = Pool(
+_LARGE = RunnerPool(
     model="large",
     runners=9,
     cache_tokens=96_000,
@@ -72,7 +72,7 @@
     step_seconds=0.02,
     slots=16,
 )
-_SMALL = Pool(
+_SMALL = RunnerPool(
     model="small",
     runners=3,
     cache_tokens=24_000,
--- a/pimentoledge/callers/answers.py
+++ b/pimentoledge/callers/answers.py
@@ -34,7 +34,7 @@
     return b"data: " + _encode(content) + b"\n\n"
 
 
-class Answer:
+class CallerAnswer:
     """Builds the answer to one completion.
 
     Attributes:
--- a/pimentoledge/callers/gateways.py
+++ b/pimentoledge/callers/gateways.py
@@ -188,7 +188,7 @@
         # answers of services only, would refuse each resend as running.
         request.idempotency_key = ""
         request.completion = asked.completion
-        answer = answers.Answer(request=request.request, asked=asked)
+        answer = answers.CallerAnswer(request=request.request, asked=asked)
         waiting = self.owner.submit(request)
         relay = self._stream if asked.stream else self._whole
         return self._relay(request.request, relay, waiting, answer)
@@ -224,7 +224,9 @@
                 case actions.ReplyError():
                     self._fail(reply.error)
 
-    def _whole(self, waiting: replies.Replies, answer: answers.Answer) -> None:
+    def _whole(
+        self, waiting: replies.Replies, answer: answers.CallerAnswer
+    ) -> None:
         texts = []
         for reply in self._all(waiting):
             match reply:
@@ -238,7 +240,9 @@
                 case actions.ReplyError():
                     self._fail(reply.error)
 
-    def _stream(self, waiting: replies.Replies, answer: answers.Answer) -> None:
+    def _stream(
+        self, waiting: replies.Replies, answer: answers.CallerAnswer
+    ) -> None:
         # Until the first reply it is open whether there will be a stream.
         for reply in self._first(waiting):
             match reply:
@@ -252,13 +256,15 @@
                     return self._break(reply.error)
         return self._rest(waiting, answer)
 
-    def _event_out(self, answer: answers.Answer, piece: bytes) -> None:
+    def _event_out(self, answer: answers.CallerAnswer, piece: bytes) -> None:
         if not self.req.sent_headers:
             self._begin(200, list(_STREAM))
             piece = answer.first() + piece
         self.req.write(piece)
 
-    def _rest(self, waiting: replies.Replies, answer: answers.Answer) -> None:
+    def _rest(
+        self, waiting: replies.Replies, answer: answers.CallerAnswer
+    ) -> None:
         """Has the writer send the rest of a stream, and waits for its end."""
         sock = self.req.conn.socket
         stream = writers.Stream(
--- a/pimentoledge/callers/writers.py
+++ b/pimentoledge/callers/writers.py
@@ -55,7 +55,7 @@
     """
 
     waiting: replies.Replies
-    answer: answers.Answer
+    answer: answers.CallerAnswer
     sock: socket.socket
     chunked: bool
     rest: bytes = b""
--- a/pimentoledge/commands/administration.py
+++ b/pimentoledge/commands/administration.py
@@ -66,7 +66,9 @@
         """Does the command's work; returns the exit status."""
         raise NotImplementedError
 
-    def show(self, answer: result.Result[clients.Answer, results.Error]) -> int:
+    def show(
+        self, answer: result.Result[clients.ApiAnswer, results.Error]
+    ) -> int:
         """Prints an answer; returns the exit status."""
         match answer:
             case result.Failure(error):
--- a/pimentoledge/decisions/administration.py
+++ b/pimentoledge/decisions/administration.py
@@ -86,9 +86,9 @@
         match event:
             case events.OperatorRequest():
                 return self._request(event, now)
-            case stores.Answer() if event.call in self.readings:
+            case stores.StoreAnswer() if event.call in self.readings:
                 return [self._read(self.readings.pop(event.call), event)]
-            case stores.Answer():
+            case stores.StoreAnswer():
                 return self.updates.handle(event, now)
         return []
 
@@ -172,7 +172,7 @@
         return [actions.CallStore(call=stores.Read(call=call, path=path))]
 
     def _read(
-        self, reading: Reading, answer: stores.Answer
+        self, reading: Reading, answer: stores.StoreAnswer
     ) -> actions.ReplyOperator:
         match answer.outcome:
             case stores.Outcome.FOUND | stores.Outcome.ABSENT:
--- a/pimentoledge/decisions/agents_served.py
+++ b/pimentoledge/decisions/agent_subscriptions.py
@@ -45,7 +45,7 @@
 
 
 @attrs.define(kw_only=True)
-class Seen:
+class AgentPoll:
     """An agent that polled this entry.
 
     Attributes:
@@ -59,19 +59,19 @@
     behind: bool
 
 
-class Agents:
+class AgentSubscriptions:
     """The agents as one entry serves them.
 
     Attributes:
         address: this entry's mailbox.
         configuration: what is in force here.
-        seen: Seen by the agent's mailbox.
+        seen: AgentPoll by the agent's mailbox.
     """
 
     def __init__(self, *, address: str, view: configuration.Configuration):
         self.address = address
         self.configuration = view
-        self.seen: dict[str, Seen] = {}
+        self.seen: dict[str, AgentPoll] = {}
         self._declared: list[str] = []
         self._entries: rings.Ring | None = None
         self._servers: rings.Ring | None = None
@@ -102,7 +102,9 @@
     def polled(self, poll: messages.Poll, sender: str, now: float) -> Actions:
         """Answers an agent."""
         newer = self._newer(poll)
-        self._see(sender, Seen(server=poll.server, at=now, behind=bool(newer)))
+        self._see(
+            sender, AgentPoll(server=poll.server, at=now, behind=bool(newer))
+        )
         todo: Actions = []
         if newer:
             changes = messages.Changes(objects=newer)
@@ -133,7 +135,7 @@
         state = declarations.ServerState.IN
         return sum(each.state is state for each in like)
 
-    def told(self, objects: list[stores.Object]) -> Actions:
+    def notify_agents(self, objects: list[stores.Object]) -> Actions:
         """Tells the agents that this entry is to tell of changes."""
         todo: Actions = []
         for each in objects:
@@ -144,7 +146,7 @@
                     todo.append(send)
         return todo
 
-    def keepers_told(self, objects: list[stores.Object]) -> Actions:
+    def notify_keepers(self, objects: list[stores.Object]) -> Actions:
         """Tells the agents that keep the objects' buckets."""
         ring = self._server_ring()
         todo: Actions = []
@@ -214,7 +216,7 @@
                 ]
         return newer
 
-    def _see(self, mailbox: str, seen: Seen) -> None:
+    def _see(self, mailbox: str, seen: AgentPoll) -> None:
         self.seen.pop(mailbox, None)
         self.seen[mailbox] = seen
         if len(self.seen) > MOST_SEEN:
--- a/pimentoledge/decisions/agents.py
+++ b/pimentoledge/decisions/agents.py
@@ -123,11 +123,11 @@
                 return self.service_done(event, now)
             case events.EngineStatus():
                 return self.learned(event, now)
-            case stores.Answer() if self.claims.owns(event.call):
+            case stores.StoreAnswer() if self.claims.owns(event.call):
                 return self.claimed(self.claims.answer(event, now), now)
             case events.OrderDone():
                 return self.ordered(self.orders.handle(event, now), now)
-            case stores.Answer() if self.orders.owns(event):
+            case stores.StoreAnswer() if self.orders.owns(event):
                 return self.ordered(self.orders.handle(event, now), now)
             case events.Unreachable():
                 todo = self.subscriber.handle(event, now)
@@ -234,7 +234,7 @@
         return sum(
             max(0, each.dispatch.prompt_tokens - each.dispatch.expected_depth)
             for each in self.runs.values()
-            if each.stage is runs.Stage.RUNNING and not each.tokens
+            if each.stage is runs.RunStage.RUNNING and not each.tokens
         )
 
     def from_node(self, event: events.FromNode, now: float) -> Actions:
@@ -268,7 +268,7 @@
         self.runs[run.key()] = run
         if not dispatch.key:
             return self.offer(run, now)
-        run.stage = runs.Stage.CLAIMING
+        run.stage = runs.RunStage.CLAIMING
         outputs = self.claims.claim(
             dispatch,
             serves=self.serves(dispatch),
@@ -309,7 +309,7 @@
                 todo += self.pause(pause)
                 todo.append(self.begin(run))
             case admission.Queue():
-                run.stage = runs.Stage.QUEUED
+                run.stage = runs.RunStage.QUEUED
                 todo.append(self.admitted(run))
             case admission.Refuse():
                 todo += self.turn_away(run, verdict, now)
@@ -319,7 +319,7 @@
         """Stops batch work at the engine, for interactive work."""
         todo: Actions = []
         for key in keys:
-            self.runs[key].stage = runs.Stage.PAUSING
+            self.runs[key].stage = runs.RunStage.PAUSING
             request, attempt = key
             todo.append(actions.CancelRun(request=request, attempt=attempt))
             todo.append(run_logs.pause(self.runs[key], "pause"))
@@ -331,7 +331,7 @@
         The engine is asked who it is: if it died just now, the broken stream
         was no pause, and what ran goes back to the entry.
         """
-        run.stage = runs.Stage.PAUSED
+        run.stage = runs.RunStage.PAUSED
         run.earlier_tokens += run.tokens
         run.tokens = 0
         request, attempt = run.key()
@@ -372,7 +372,7 @@
         from the store: found there, a call that nobody ran would be answered
         with "outcome unknown".
         """
-        run.stage = runs.Stage.RELEASING
+        run.stage = runs.RunStage.RELEASING
         run.verdict = verdict
         outputs = self.claims.failed(
             run.dispatch.request, results.Ran.NOT_RUN, now
@@ -402,7 +402,7 @@
 
     def begin(self, run: runs.Run) -> actions.Action:
         """Hands a request to the engine or service."""
-        run.stage = runs.Stage.RUNNING
+        run.stage = runs.RunStage.RUNNING
         run.ran = ""
         return run.action(weights=self.status.weights)
 
@@ -488,7 +488,7 @@
         run = self.runs.get((event.request, event.attempt))
         if run is not None:
             run.touched = True
-        if run is not None and run.stage == runs.Stage.PAUSING:
+        if run is not None and run.stage == runs.RunStage.PAUSING:
             # The first order to stop may have overtaken the completion on
             # its way to the engine; then it found nothing to stop.
             stop = actions.CancelRun(
@@ -582,7 +582,7 @@
         self.admission.ended(event.request, event.attempt, now, finished=True)
         todo: Actions = []
         if run.dispatch.key:
-            answer = claim_records.Answer(
+            answer = claim_records.StoredAnswer(
                 status=event.status, headers=event.headers, body=event.body
             )
             outputs = self.claims.finished(
@@ -610,9 +610,9 @@
         # What an engine refuses now it may have run before a pause.
         run.touched |= event.ran != results.Ran.NOT_RUN
         run.ran = results.Ran.RAN if run.touched else event.ran
-        if run.stage == runs.Stage.PAUSING:
+        if run.stage == runs.RunStage.PAUSING:
             return self.paused(run, now)
-        run.stage = runs.Stage.BROKEN
+        run.stage = runs.RunStage.BROKEN
         if run.ran == results.Ran.NOT_RUN:
             self.admission.untouched(event.request, event.attempt)
         return [actions.CheckEngine()]
@@ -627,7 +627,7 @@
         if before and status.incarnation != before:
             return todo + self.died(before, now) + self.advance(now)
         for run in list(self.runs.values()):
-            if run.stage == runs.Stage.BROKEN:
+            if run.stage == runs.RunStage.BROKEN:
                 todo += self.take_up(run, now)
         return todo + self.advance(now)
 
@@ -669,7 +669,7 @@
             code = results.Code.STREAM_BROKEN
             return self.give_up(run, code, results.Ran(run.ran), now)
         run.resumes += 1
-        run.stage = runs.Stage.RUNNING
+        run.stage = runs.RunStage.RUNNING
         request, attempt = run.key()
         return [
             actions.ResumeRun(
@@ -685,16 +685,16 @@
         for run in list(self.runs.values()):
             match run.stage:
                 case (
-                    runs.Stage.RUNNING
-                    | runs.Stage.BROKEN
-                    | runs.Stage.PAUSING
-                    | runs.Stage.PAUSED
+                    runs.RunStage.RUNNING
+                    | runs.RunStage.BROKEN
+                    | runs.RunStage.PAUSING
+                    | runs.RunStage.PAUSED
                 ):
                     ran = results.Ran(run.ran or _has_run(run))
                     crash = Crash(incarnation=incarnation, suspects=suspects)
                     code = results.Code.ENGINE_DIED
                     todo += self.give_up(run, code, ran, now, crash)
-                case runs.Stage.QUEUED:
+                case runs.RunStage.QUEUED:
                     refused = admission.Refuse(
                         code=results.Code.SERVER_DOWN,
                         dispatch=run.dispatch,
--- a/pimentoledge/decisions/exchange.py
+++ b/pimentoledge/decisions/bucket_repairs.py
@@ -93,7 +93,7 @@
     ends: float
 
 
-class Exchange:
+class BucketRepairs:
     """The repairs of one entry.
 
     Attributes:
--- a/pimentoledge/decisions/claim_records.py
+++ b/pimentoledge/decisions/claim_records.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Answer:
+class StoredAnswer:
     """The answer of a finished call.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Record:
+class ClaimRecord:
     """What the store keeps of one key.
 
     Attributes:
@@ -73,7 +73,7 @@
     until: float
     life: str = ""
     token: int = 0
-    answer: Answer | None = None
+    answer: StoredAnswer | None = None
     encoded: bytes = attrs.field(eq=False, repr=False)
 
     @encoded.default
@@ -104,7 +104,7 @@
     """
 
     age: float = 0.0
-    records: dict[bytes, Record] = attrs.field(factory=dict)
+    records: dict[bytes, ClaimRecord] = attrs.field(factory=dict)
 
     def size(self) -> int:
         """Returns the bytes of its records when encoded."""
@@ -129,18 +129,18 @@
     return Shard(age=age, records={each.key: each for each in records})
 
 
-def _record(row: list) -> Record:
+def _record(row: list) -> ClaimRecord:
     key, content, state, until, *rest = row
     match State(state):
         case State.CLAIMED:
             fields = {"life": rest[0], "token": rest[1]}
         case State.FINISHED:
             headers = [(name, value) for name, value in rest[1]]
-            answer = Answer(status=rest[0], headers=headers, body=rest[2])
+            answer = StoredAnswer(status=rest[0], headers=headers, body=rest[2])
             fields = {"answer": answer}
         case _:
             fields = {}
-    return Record(
+    return ClaimRecord(
         key=key, content=content, state=State(state), until=until, **fields
     )
 
--- a/pimentoledge/decisions/claim_shards.py
+++ b/pimentoledge/decisions/claim_shards.py
@@ -27,7 +27,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Limits:
+class ClaimBounds:
     """Bounds and intervals of the claims; times in seconds.
 
     Attributes:
@@ -114,7 +114,7 @@
     give_up: float
     outcome_seconds: float
     proposed: bool = False
-    answer: claim_records.Answer | None = None
+    answer: claim_records.StoredAnswer | None = None
     due: float = 0.0
     tell: bool = False
 
@@ -132,7 +132,7 @@
         )
 
     def finished(
-        self, answer: claim_records.Answer | None
+        self, answer: claim_records.StoredAnswer | None
     ) -> claim_verdicts.Verdict:
         """Returns the answer of the first run, or that it isn't kept."""
         return claim_verdicts.finished(self.request, self.attempt, answer)
@@ -177,7 +177,7 @@
         *,
         path: str,
         life: str,
-        limits: Limits,
+        limits: ClaimBounds,
         counter: collections.abc.Iterator[int],
         seed: int,
     ):
@@ -245,7 +245,10 @@
         return outputs + self.step(now)
 
     def finished(
-        self, request: str, answer: claim_records.Answer | None, now: float
+        self,
+        request: str,
+        answer: claim_records.StoredAnswer | None,
+        now: float,
     ) -> list[Output]:
         """Takes the answer of a granted request; None for one not to keep."""
         claim = self._claim_of(request)
@@ -278,7 +281,7 @@
                 del self.mine[claim.key]
         return self.step(now)
 
-    def answer(self, answer: stores.Answer, now: float) -> list[Output]:
+    def answer(self, answer: stores.StoreAnswer, now: float) -> list[Output]:
         """Takes the store's answer to the call that is out."""
         call = self.call
         if call is None or answer.call != call.call:
@@ -339,7 +342,7 @@
                 return claim
         return None
 
-    def _keepable(self, answer: claim_records.Answer) -> bool:
+    def _keepable(self, answer: claim_records.StoredAnswer) -> bool:
         names = sum(len(name) + len(value) for name, value in answer.headers)
         return len(answer.body) + names <= self.limits.answer_bytes
 
@@ -395,7 +398,7 @@
         return [claim.deny(results.Code.CLAIM_STORE_DOWN)]
 
     def _is_own(
-        self, claim: Claim, record: claim_records.Record | None
+        self, claim: Claim, record: claim_records.ClaimRecord | None
     ) -> bool:
         """Returns whether a record is of this claim or one it took over."""
         if record is None or record.state != claim_records.State.CLAIMED:
@@ -404,7 +407,7 @@
             return False
         return record.token == claim.token or record.token in claim.unstarted
 
-    def _foreign(self, claim: Claim) -> claim_records.Record | None:
+    def _foreign(self, claim: Claim) -> claim_records.ClaimRecord | None:
         """Returns the base's record of the key if it isn't the claim's."""
         if self.base is None:
             return None
@@ -445,7 +448,7 @@
         ]
 
     def _settle_foreign(
-        self, claim: Claim, record: claim_records.Record
+        self, claim: Claim, record: claim_records.ClaimRecord
     ) -> list[Output]:
         """Answers from the record of an earlier request, if it is enough."""
         running = record.state == claim_records.State.CLAIMED
@@ -499,7 +502,7 @@
             if claim.phase == Phase.WANTED or claim.tell:
                 claim.give_up = now
 
-    def _adopt(self, answer: stores.Answer, now: float) -> bool:
+    def _adopt(self, answer: stores.StoreAnswer, now: float) -> bool:
         """Takes the newest state of the object; False if it is unusable."""
         proposal, self.proposal = self.proposal, None
         found = next(
@@ -620,10 +623,10 @@
     def _desired(
         self,
         claim: Claim,
-        before: claim_records.Record | None,
+        before: claim_records.ClaimRecord | None,
         age: float,
         size: int,
-    ) -> claim_records.Record | None:
+    ) -> claim_records.ClaimRecord | None:
         """Returns what the object should hold for a claim's key."""
         own = self._is_own(claim, before)
         if before is not None and not own:
@@ -636,7 +639,7 @@
             case _ if own and before.token == claim.token:
                 return before
             case _:
-                return claim_records.Record(
+                return claim_records.ClaimRecord(
                     key=claim.key,
                     content=claim.content,
                     state=claim_records.State.CLAIMED,
@@ -648,12 +651,12 @@
     def _outcome(
         self,
         claim: Claim,
-        before: claim_records.Record | None,
+        before: claim_records.ClaimRecord | None,
         age: float,
         size: int,
-    ) -> claim_records.Record:
+    ) -> claim_records.ClaimRecord:
         if claim.answer is not None:
-            record = claim_records.Record(
+            record = claim_records.ClaimRecord(
                 key=claim.key,
                 content=claim.content,
                 state=claim_records.State.FINISHED,
@@ -667,15 +670,15 @@
 
     def _remembered(
         self, key: bytes, content: bytes, age: float
-    ) -> claim_records.Record:
-        return claim_records.Record(
+    ) -> claim_records.ClaimRecord:
+        return claim_records.ClaimRecord(
             key=key,
             content=content,
             state=claim_records.State.REMEMBERED,
             until=age + self.limits.key_seconds,
         )
 
-    def _unexpired(self, age: float) -> dict[bytes, claim_records.Record]:
+    def _unexpired(self, age: float) -> dict[bytes, claim_records.ClaimRecord]:
         """Returns the base's records without what has run its time."""
         kept = {}
         for key, record in self.base.records.items():
@@ -686,7 +689,7 @@
         return kept
 
 
-def _length(record: claim_records.Record | None) -> int:
+def _length(record: claim_records.ClaimRecord | None) -> int:
     return 0 if record is None else len(record.encoded)
 
 
--- a/pimentoledge/decisions/claim_verdicts.py
+++ b/pimentoledge/decisions/claim_verdicts.py
@@ -72,7 +72,7 @@
 
 
 def finished(
-    request: str, attempt: int, answer: claim_records.Answer | None
+    request: str, attempt: int, answer: claim_records.StoredAnswer | None
 ) -> Replay | Denied:
     """Returns the answer of the first run, or that it isn't kept."""
     if answer is None:
--- a/pimentoledge/decisions/claims.py
+++ b/pimentoledge/decisions/claims.py
@@ -41,11 +41,11 @@
         agent: str,
         life: str,
         seed: int,
-        limits: claim_shards.Limits | None = None,
+        limits: claim_shards.ClaimBounds | None = None,
     ):
         self.agent = agent
         self.life = life
-        self.limits = limits or claim_shards.Limits()
+        self.limits = limits or claim_shards.ClaimBounds()
         self.random = random.Random(seed)
         self.counter = itertools.count(1)
         self.shards: dict[str, claim_shards.ShardClaims] = {}
@@ -82,7 +82,7 @@
             ]
         return self._note(shard, shard.claim(dispatch, outcome_seconds, now))
 
-    def answer(self, answer: stores.Answer, now: float) -> list[Output]:
+    def answer(self, answer: stores.StoreAnswer, now: float) -> list[Output]:
         """Takes the store's answer to a call of these claims."""
         shard = self.shards.get(claim_shards.path_of_call(answer.call))
         if shard is None:
@@ -97,7 +97,7 @@
         self,
         request: str,
         *,
-        answer: claim_records.Answer | None,
+        answer: claim_records.StoredAnswer | None,
         now: float,
     ) -> list[Output]:
         """Takes the whole answer of a granted call; None if it is too long."""
--- a/pimentoledge/decisions/conditional.py
+++ b/pimentoledge/decisions/conditional_updates.py
@@ -15,7 +15,7 @@
 from pimentoledge.decisions import stores
 
 
-class Stage(enum.StrEnum):
+class UpdateStage(enum.StrEnum):
     """What an update waits for."""
 
     IDLE = "idle"
@@ -25,7 +25,7 @@
     PAUSING = "pausing"
 
 
-class Ended(enum.StrEnum):
+class UpdateOutcome(enum.StrEnum):
     """How an update ended."""
 
     WRITTEN = "written"
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Timing:
+class UpdateTiming:
     """Waits of an update, in seconds.
 
     Attributes:
@@ -66,7 +66,7 @@
     answer: float = 30.0
 
 
-class Update:
+class ConditionalUpdate:
     """Changes one object; one change at a time.
 
     The change is a function of the object as it is (None when absent). It
@@ -93,13 +93,13 @@
         name: str,
         life: str,
         generator: random.Random,
-        timing: Timing | None = None,
+        timing: UpdateTiming | None = None,
     ):
         self.path = path
         self.name = name
         self.life = life
-        self.timing = timing or Timing()
-        self.stage = Stage.IDLE
+        self.timing = timing or UpdateTiming()
+        self.stage = UpdateStage.IDLE
         self.started = 0.0
         self.writes = 0
         self.conflicts = 0
@@ -115,9 +115,9 @@
 
     def busy(self) -> bool:
         """Returns whether a change is under way."""
-        return self.stage is not Stage.IDLE
+        return self.stage is not UpdateStage.IDLE
 
-    def owns(self, answer: stores.Answer) -> bool:
+    def owns(self, answer: stores.StoreAnswer) -> bool:
         """Returns whether an answer is to one of its calls."""
         return answer.call.startswith(self.name + "/")
 
@@ -140,13 +140,13 @@
         """Does what is due by now."""
         if not self.busy() or now < self._due:
             return []
-        if self.stage is Stage.WRITING:
+        if self.stage is UpdateStage.WRITING:
             self._in_doubt = True
         return self._read(now)
 
     def handle(
-        self, answer: stores.Answer, now: float
-    ) -> tuple[list[actions.Action], Ended | None]:
+        self, answer: stores.StoreAnswer, now: float
+    ) -> tuple[list[actions.Action], UpdateOutcome | None]:
         """Takes the store's answer.
 
         Returns:
@@ -154,9 +154,9 @@
         """
         if answer.call != self._call or not self.busy():
             return [], None
-        if self.stage is Stage.READING:
+        if self.stage is UpdateStage.READING:
             return self._have_read(answer, now)
-        if self.stage is Stage.WRITING:
+        if self.stage is UpdateStage.WRITING:
             return self._have_written(answer, now)
         return [], None
 
@@ -167,14 +167,14 @@
         return self._call
 
     def _read(self, now: float) -> list[actions.Action]:
-        self.stage = Stage.READING
+        self.stage = UpdateStage.READING
         self.started = now
         call = stores.Read(call=self._next_call(now), path=self.path)
         return [actions.CallStore(call=call)]
 
     def _have_read(
-        self, answer: stores.Answer, now: float
-    ) -> tuple[list[actions.Action], Ended | None]:
+        self, answer: stores.StoreAnswer, now: float
+    ) -> tuple[list[actions.Action], UpdateOutcome | None]:
         match answer.outcome:
             case stores.Outcome.FOUND:
                 found = answer.objects[0]
@@ -188,24 +188,24 @@
             # the outage lasts.
             self._pause(self._backoff(), now)
             return [], None
-        return [], self._end(Ended.DOWN)
+        return [], self._end(UpdateOutcome.DOWN)
 
     def _apply(
         self, found: stores.Object | None, now: float
-    ) -> tuple[list[actions.Action], Ended | None]:
+    ) -> tuple[list[actions.Action], UpdateOutcome | None]:
         ours = found is not None and found.write_id == self._write_id
         if self._in_doubt and ours:
-            return [], self._end(Ended.WRITTEN)
+            return [], self._end(UpdateOutcome.WRITTEN)
         self._in_doubt = False
         change = self._change(found)
         if not change.write:
-            return [], self._end(Ended.UNCHANGED)
+            return [], self._end(UpdateOutcome.UNCHANGED)
         return [self._write(change, found, now)], None
 
     def _write(
         self, change: Change, found: stores.Object | None, now: float
     ) -> actions.CallStore:
-        self.stage = Stage.WRITING
+        self.stage = UpdateStage.WRITING
         self.writes += 1
         call = self._next_call(now)
         self._write_id = f"{self.life}/{call}"
@@ -220,11 +220,11 @@
         )
 
     def _have_written(
-        self, answer: stores.Answer, now: float
-    ) -> tuple[list[actions.Action], Ended | None]:
+        self, answer: stores.StoreAnswer, now: float
+    ) -> tuple[list[actions.Action], UpdateOutcome | None]:
         match answer.outcome:
             case stores.Outcome.WRITTEN:
-                return [], self._end(Ended.WRITTEN)
+                return [], self._end(UpdateOutcome.WRITTEN)
             case stores.Outcome.CONFLICT:
                 self.conflicts += 1
                 self._tries += 1
@@ -237,7 +237,7 @@
                 self.lost += 1
                 self._in_doubt = True
                 return self._read(now), None
-        return [], self._end(Ended.DOWN)
+        return [], self._end(UpdateOutcome.DOWN)
 
     def _backoff(self) -> float:
         doubled = self.timing.first_retry * 2 ** min(self._tries, 16)
@@ -246,10 +246,10 @@
         return wait * self._random.uniform(0.75, 1.25)
 
     def _pause(self, wait: float, now: float) -> None:
-        self.stage = Stage.PAUSING
+        self.stage = UpdateStage.PAUSING
         self._due = now + wait
 
-    def _end(self, ended: Ended) -> Ended:
-        self.stage = Stage.IDLE
+    def _end(self, ended: UpdateOutcome) -> UpdateOutcome:
+        self.stage = UpdateStage.IDLE
         self._change = None
         return ended
--- a/pimentoledge/decisions/configuration.py
+++ b/pimentoledge/decisions/configuration.py
@@ -54,7 +54,7 @@
 
 
 @attrs.frozen(kw_only=True, weakref_slot=False)
-class Record:
+class ObjectRecord:
     """What is kept of one object.
 
     Attributes:
@@ -76,13 +76,13 @@
     return xxhash.xxh3_64_intdigest(f"{path}\n{version}".encode())
 
 
-def _live_fingerprint(path: str, record: Record | None) -> int:
+def _live_fingerprint(path: str, record: ObjectRecord | None) -> int:
     if record is None or record.packed is None:
         return 0
     return fingerprint(path, record.version)
 
 
-def _object(path: str, record: Record) -> stores.Object:
+def _object(path: str, record: ObjectRecord) -> stores.Object:
     packed = record.packed
     return stores.Object(
         path=path,
@@ -179,7 +179,7 @@
         root: digest of them all.
         floor: up to this version an object that is not here was deleted;
             proven by a scan, here or at a node that had the same.
-        shelves: newest Record by path, in each bucket.
+        shelves: newest ObjectRecord by path, in each bucket.
     """
 
     def __init__(self):
@@ -189,7 +189,9 @@
         self.contracts = Contracts(configuration=self)
         self.rejections: dict[str, Rejection] = {}
         self.buckets = [0] * BUCKETS
-        self.shelves: list[dict[str, Record]] = [{} for _ in range(BUCKETS)]
+        self.shelves: list[dict[str, ObjectRecord]] = [
+            {} for _ in range(BUCKETS)
+        ]
         self.root = 0
         self._fallbacks: dict[str, stores.Object] = {}
         self._others: dict[type, dict[str, declarations.Declaration]] = {
@@ -395,7 +397,7 @@
         shelf = self.shelves[number]
         old = shelf.get(path)
         packed = None if stored.value is None else _pack(stored.value)
-        new = Record(version=stored.version, packed=packed)
+        new = ObjectRecord(version=stored.version, packed=packed)
         change = _live_fingerprint(path, old) ^ _live_fingerprint(path, new)
         self.buckets[number] ^= change
         self.root ^= change
--- a/pimentoledge/decisions/distribution.py
+++ b/pimentoledge/decisions/distribution.py
@@ -17,11 +17,11 @@
 import attrs
 
 from pimentoledge.decisions import actions
-from pimentoledge.decisions import agents_served
+from pimentoledge.decisions import agent_subscriptions
+from pimentoledge.decisions import bucket_repairs
 from pimentoledge.decisions import configuration
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import events
-from pimentoledge.decisions import exchange
 from pimentoledge.decisions import joining
 from pimentoledge.decisions import peers
 from pimentoledge.decisions import registration
@@ -57,7 +57,7 @@
 
 
 @attrs.define(kw_only=True)
-class Told:
+class PeerStatus:
     """What another entry told of itself for the status page.
 
     Attributes:
@@ -83,7 +83,7 @@
         agents: the agents that it serves.
         registration: declares this entry itself.
         joining: its part in a start of many.
-        told: Told by mailbox.
+        told: PeerStatus by mailbox.
     """
 
     def __init__(
@@ -99,15 +99,17 @@
         self.name = name
         self.data_centre = data_centre
         self.configuration = view
-        self.peers = peers.Peers(
+        self.peers = peers.PeerDirectory(
             address=address,
             data_centre=data_centre,
             seeds=seeds,
             seed=seed,
         )
         self.watching = watching.Watching(view=view, seed=seed + 1)
-        self.exchange = exchange.Exchange(view=view)
-        self.agents = agents_served.Agents(address=address, view=view)
+        self.exchange = bucket_repairs.BucketRepairs(view=view)
+        self.agents = agent_subscriptions.AgentSubscriptions(
+            address=address, view=view
+        )
         self.registration = registration.Registration(
             name=name,
             data_centre=data_centre,
@@ -115,7 +117,7 @@
             seed=seed + 2,
         )
         self.joining = joining.Joining()
-        self.told: dict[str, Told] = {}
+        self.told: dict[str, PeerStatus] = {}
         self._random = random.Random(seed)
         self._watched = float("-inf")
         self._started: float | None = None
@@ -145,7 +147,7 @@
                 todo = self._message(event, now) + self._behind(event, now)
                 self._finish_join(now)
                 return todo
-            case stores.Answer():
+            case stores.StoreAnswer():
                 return self._answer(event, now)
             case events.Unreachable(address=address):
                 self.peers.unreachable(address, now)
@@ -194,7 +196,7 @@
         this process and then every other entry is lost while the store is
         down, they are the only ones that have what was accepted here.
         """
-        kept = self.agents.keepers_told(objects)
+        kept = self.agents.notify_keepers(objects)
         return self._take(objects, now) + kept
 
     def ask_status(self, now: float) -> Actions:
@@ -217,7 +219,7 @@
             version=view.version,
             known=view.known,
             root=view.root,
-            rejected=sorted(view.rejections)[: agents_served.MOST_NAMED],
+            rejected=sorted(view.rejections)[: agent_subscriptions.MOST_NAMED],
             agents=count,
             behind=behind,
         )
@@ -243,7 +245,7 @@
                 tell = self.status(now)
                 return [actions.Send(address=sender, message=tell)]
             case messages.StatusTell() as tell:
-                self.told[sender] = Told(tell=tell, at=now)
+                self.told[sender] = PeerStatus(tell=tell, at=now)
         return []
 
     def _compared(
@@ -299,7 +301,7 @@
         if up_to_date or now >= self._has_all + NEWER_SECONDS:
             self.exchange.finish()
 
-    def _answer(self, answer: stores.Answer, now: float) -> Actions:
+    def _answer(self, answer: stores.StoreAnswer, now: float) -> Actions:
         large = len(answer.objects) >= LARGE_ANSWER
         joins = not self.configuration.is_whole()
         fresh = self.watching.handle(answer, now)
@@ -357,7 +359,7 @@
         if many or not self.configuration.is_whole():
             return []
         todo = [self._rejected(each) for each in fresh if self._is_bad(each)]
-        todo += self.agents.told(fresh)
+        todo += self.agents.notify_agents(fresh)
         changes = messages.Changes(objects=fresh)
         chosen = self.peers.choose(now, near=NEAR, far=FAR)
         return todo + [
@@ -411,7 +413,7 @@
         return todo + (self._clean(now) if self._sweeper else [])
 
     def _ask_to_join(self, now: float) -> Actions:
-        if self.exchange.snapshots(now) >= exchange.SNAPSHOTS:
+        if self.exchange.snapshots(now) >= bucket_repairs.SNAPSHOTS:
             return []
         asked = self.peers.choose(now, near=1, far=1)[:2]
         asked += self.peers.first_seeds(now)
--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -80,7 +80,9 @@
         self.configuration = view
         self.placer = placement.Placer(seed=seed, data_centre=data_centre)
         self.membership = membership.Membership(seed=seed)
-        self.limits = limits.Limits(name=name, address=address, seed=seed)
+        self.limits = limits.ContractLimits(
+            name=name, address=address, seed=seed
+        )
         self.distributor = distribution.Distributor(
             name=name,
             address=address,
@@ -212,7 +214,7 @@
             self.learn(truth, now)
         if ticket is None:
             return []
-        ticket.heard = now
+        ticket.last_heard_at = now
         ticket.probed = False
         match message:
             case messages.Admitted():
@@ -244,7 +246,7 @@
     def learn(self, truth: messages.Truth, now: float) -> None:
         """Takes an agent's word about its server, unless it is outdated."""
         heard = self.membership.answered(truth, now)
-        if heard is not membership.Heard.PAST:
+        if heard is not membership.ReportOrder.PAST:
             self.placer.learned(truth, now)
 
     def accept(self, event: events.CallerRequest, now: float) -> Actions:
@@ -341,7 +343,7 @@
         ticket.phase = tickets.Phase.SENT
         ticket.server = server.name
         ticket.agent = server.agent
-        ticket.heard = now
+        ticket.last_heard_at = now
         ticket.probed = False
         dispatch = requests.dispatch(
             ticket, attempt, choice, self.configuration.version, now
@@ -417,7 +419,7 @@
                 continue
             if not delivered:
                 continue
-            ticket.heard = now
+            ticket.last_heard_at = now
             ticket.probed = False
             for each in delivered:
                 todo.append(
@@ -593,8 +595,8 @@
             limit = ANSWER_SECONDS
         if not _is_out(ticket):
             return []
-        if now - ticket.heard < limit:
-            self.watch(ticket, ticket.heard + limit)
+        if now - ticket.last_heard_at < limit:
+            self.watch(ticket, ticket.last_heard_at + limit)
             return []
         if ticket.probed:
             return self.lost(ticket, results.Ran.UNKNOWN, now)
@@ -640,7 +642,7 @@
                 todo += self.lost(ticket, results.Ran.UNKNOWN, now)
         for ticket in self.tickets.values():
             if ticket.agent == sender and ticket.probed:
-                ticket.heard = now
+                ticket.last_heard_at = now
                 ticket.probed = False
                 self.watch(ticket, now + SILENCE_SECONDS)
         return todo
--- a/pimentoledge/decisions/fencing.py
+++ b/pimentoledge/decisions/fencing.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from pimentoledge.decisions import actions
-from pimentoledge.decisions import conditional
+from pimentoledge.decisions import conditional_updates
 from pimentoledge.decisions import stores
 
 PREFIX = "orders/"
 
 
 @attrs.define(kw_only=True)
-class Record:
+class FenceRecord:
     """Who may give orders to a server.
 
     Attributes:
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Timing:
+class FenceTiming:
     """Times in seconds.
 
     Attributes:
@@ -75,10 +75,10 @@
         server: str,
         life: str,
         generator: random.Random,
-        timing: Timing | None = None,
+        timing: FenceTiming | None = None,
     ):
         self.life = life
-        self.timing = timing or Timing()
+        self.timing = timing or FenceTiming()
         self.number = 0
         self.floor = 0
         self.confirmed_at = 0.0
@@ -86,7 +86,7 @@
         self.candidate = 0
         self.doubted = False
         self.retry_at = -math.inf
-        self.update = conditional.Update(
+        self.update = conditional_updates.ConditionalUpdate(
             path=PREFIX + server,
             name="fencing",
             life=life,
@@ -129,13 +129,18 @@
         """Does what is due by now."""
         return self.update.wake(now)
 
-    def handle(self, answer: stores.Answer, now: float) -> list[actions.Action]:
+    def handle(
+        self, answer: stores.StoreAnswer, now: float
+    ) -> list[actions.Action]:
         """Takes the store's answer."""
         called, ended = self.update.handle(answer, now)
         match ended:
-            case conditional.Ended.DOWN:
+            case conditional_updates.UpdateOutcome.DOWN:
                 self.retry_at = now + self.timing.retry
-            case conditional.Ended.WRITTEN | conditional.Ended.UNCHANGED:
+            case (
+                conditional_updates.UpdateOutcome.WRITTEN
+                | conditional_updates.UpdateOutcome.UNCHANGED
+            ):
                 self._settle(now)
         return called
 
@@ -151,40 +156,44 @@
         self.superseded += 1
         self.retry_at = now + min(waits, self.timing.longest_retake)
 
-    def _take(self, found: stores.Object | None) -> conditional.Change:
+    def _take(self, found: stores.Object | None) -> conditional_updates.Change:
         record = _decode(found)
         if record.life == self.life and record.number >= self.floor:
             self.candidate = record.number
-            return conditional.Change(write=False)
+            return conditional_updates.Change(write=False)
         self.candidate = max(record.number, self.floor) + 1
         return self._write(self.candidate)
 
-    def _confirm(self, found: stores.Object | None) -> conditional.Change:
+    def _confirm(
+        self, found: stores.Object | None
+    ) -> conditional_updates.Change:
         record = _decode(found)
         ours = record.life == self.life and record.number == self.number
         self.candidate = self.number if ours else 0
-        return conditional.Change(write=False)
+        return conditional_updates.Change(write=False)
 
-    def _raise(self, found: stores.Object | None) -> conditional.Change:
+    def _raise(self, found: stores.Object | None) -> conditional_updates.Change:
         record = _decode(found)
         # An engine that has seen a greater number was given it by a later
         # life, or the object was lost and begun anew. Only in the second
         # case does it still name this life.
         if record.life != self.life:
             self.candidate = 0
-            return conditional.Change(write=False)
+            return conditional_updates.Change(write=False)
         if record.number > self.floor:
             self.candidate = record.number
-            return conditional.Change(write=False)
+            return conditional_updates.Change(write=False)
         self.candidate = self.floor + 1
         return self._write(self.candidate)
 
-    def _write(self, number: int) -> conditional.Change:
-        record = Record(life=self.life, number=number)
-        return conditional.Change(write=True, value=msgspec.json.encode(record))
+    def _write(self, number: int) -> conditional_updates.Change:
+        record = FenceRecord(life=self.life, number=number)
+        return conditional_updates.Change(
+            write=True, value=msgspec.json.encode(record)
+        )
 
 
-def _decode(found: stores.Object | None) -> Record:
+def _decode(found: stores.Object | None) -> FenceRecord:
     if found is None:
-        return Record(life="", number=0)
-    return msgspec.json.decode(found.value, type=Record)
+        return FenceRecord(life="", number=0)
+    return msgspec.json.decode(found.value, type=FenceRecord)
--- a/pimentoledge/decisions/hints.py
+++ b/pimentoledge/decisions/hints.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Life:
+class EngineLife:
     """One engine incarnation with one weights version.
 
     Hints point to it. When the engine restarts or its weights change, the
@@ -25,10 +25,10 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Holding:
+class PromptHint:
     """One request's prompt on one server; shared by all its blocks."""
 
-    life: Life
+    life: EngineLife
     at: float
 
 
@@ -46,13 +46,13 @@
         self.limit = limit
         self.seconds = seconds
         self.holders = holders
-        self.table: collections.OrderedDict[bytes, tuple[Holding, ...]] = (
+        self.table: collections.OrderedDict[bytes, tuple[PromptHint, ...]] = (
             collections.OrderedDict()
         )
 
-    def add(self, blocks: list[bytes], life: Life, now: float):
+    def add(self, blocks: list[bytes], life: EngineLife, now: float):
         """Notes that a server holds a prompt's blocks."""
-        holding = Holding(life=life, at=now)
+        holding = PromptHint(life=life, at=now)
         for block in blocks:
             kept = self.table.get(block, ())
             others = [each for each in kept if self.keeps(each, life, now)]
@@ -61,7 +61,7 @@
         while len(self.table) > self.limit:
             self.table.popitem(last=False)
 
-    def keeps(self, holding: Holding, life: Life, now: float) -> bool:
+    def keeps(self, holding: PromptHint, life: EngineLife, now: float) -> bool:
         """Returns whether a holding still says something beside a new one."""
         if holding.life is life or holding.life.over:
             return False
--- a/pimentoledge/decisions/kept_completions.py
+++ b/pimentoledge/decisions/kept_completions.py
@@ -29,7 +29,7 @@
 
 def answer(
     run: runs.Run, finished: messages.Finished
-) -> claim_records.Answer | None:
+) -> claim_records.StoredAnswer | None:
     """Returns a completion's answer to be kept; None if it is too long."""
     if run.text is None:
         return None
@@ -40,7 +40,7 @@
         completion_tokens=finished.completion_tokens,
     )
     body = msgspec.msgpack.encode(completed)
-    return claim_records.Answer(status=_STATUS, headers=[], body=body)
+    return claim_records.StoredAnswer(status=_STATUS, headers=[], body=body)
 
 
 def replay(
--- a/pimentoledge/decisions/lending.py
+++ b/pimentoledge/decisions/lending.py
@@ -27,7 +27,7 @@
 
 
 @attrs.define(kw_only=True)
-class Lease:
+class SlotLease:
     """Slots lent to one entry.
 
     Attributes:
@@ -95,7 +95,7 @@
     concurrency: int
     level: float
     filled_at: float
-    leases: dict[str, Lease] = attrs.field(factory=dict)
+    leases: dict[str, SlotLease] = attrs.field(factory=dict)
     scarce_until: float = 0.0
     pending: dict[str, Pending] = attrs.field(factory=dict)
 
@@ -214,7 +214,7 @@
         if short:
             self.scarce_until = now + SCARCE_SECONDS
         answer.scarce = answer.slots >= free or now < self.scarce_until
-        self.leases[borrower] = Lease(
+        self.leases[borrower] = SlotLease(
             slots=answer.slots,
             running=ask.running + ask.waiting,
             until=now + SLOT_SECONDS,
--- a/pimentoledge/decisions/limits.py
+++ b/pimentoledge/decisions/limits.py
@@ -102,10 +102,10 @@
     error: results.Error | None
 
 
-Taken = Granted | Refused | Waiting
+LimitOutcome = Granted | Refused | Waiting
 
 
-class Limits:
+class ContractLimits:
     """The limits of all contracts, as one entry sees and keeps them.
 
     Attributes:
@@ -149,7 +149,7 @@
 
     def take(
         self, contract: declarations.Contract, request: str, now: float
-    ) -> Taken:
+    ) -> LimitOutcome:
         """Asks to let one request in.
 
         Args:
--- a/pimentoledge/decisions/loads.py
+++ b/pimentoledge/decisions/loads.py
@@ -36,7 +36,7 @@
     at: float
 
 
-class Load:
+class EstimatedLoad:
     """One backend server as this entry sees it.
 
     Attributes:
--- a/pimentoledge/decisions/membership.py
+++ b/pimentoledge/decisions/membership.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Timing:
+class HoldBackTiming:
     """Times and bounds of hold-back; all times in seconds.
 
     Attributes:
@@ -45,7 +45,7 @@
     servers: int = 16384
 
 
-class Heard(enum.StrEnum):
+class ReportOrder(enum.StrEnum):
     """What a truth means beside what was known of its server."""
 
     CURRENT = "current"
@@ -104,8 +104,8 @@
         next_probe: when to ask a closed server again; None for never.
     """
 
-    def __init__(self, *, seed: int, timing: Timing | None = None):
-        self.timing = timing or Timing()
+    def __init__(self, *, seed: int, timing: HoldBackTiming | None = None):
+        self.timing = timing or HoldBackTiming()
         self.troubles: collections.OrderedDict[str, Trouble] = (
             collections.OrderedDict()
         )
@@ -168,7 +168,7 @@
         """Takes note that no answer came in time, which proves little."""
         self._failed(server, now, soft=True)
 
-    def answered(self, truth: messages.Truth, now: float) -> Heard:
+    def answered(self, truth: messages.Truth, now: float) -> ReportOrder:
         """Takes note of an agent's word.
 
         Args:
@@ -182,14 +182,14 @@
         if not truth.incarnation:
             self._closed_or_not(truth, now)
             self._failed(truth.server, now, soft=False)
-            return Heard.CURRENT
+            return ReportOrder.CURRENT
         heard = self._heard(truth)
-        if heard is Heard.PAST:
+        if heard is ReportOrder.PAST:
             return heard
         self._closed_or_not(truth, now)
         trouble = self.troubles.get(truth.server)
         was_down = trouble is not None and trouble.down
-        if heard is Heard.RESTARTED and not was_down:
+        if heard is ReportOrder.RESTARTED and not was_down:
             self._restarted(truth.server, now)
         elif trouble is not None:
             self._recovered(truth.server, trouble, now)
@@ -389,14 +389,14 @@
         if trouble is not None and now >= trouble.left_at + self.timing.probe:
             trouble.closed = False
 
-    def _heard(self, truth: messages.Truth) -> Heard:
+    def _heard(self, truth: messages.Truth) -> ReportOrder:
         known = self.incarnations.get(truth.server, ())
         if known and known[-1] == truth.incarnation:
-            return Heard.CURRENT
+            return ReportOrder.CURRENT
         if truth.incarnation in known:
-            return Heard.PAST
+            return ReportOrder.PAST
         latest = (*known, truth.incarnation)[-PAST_INCARNATIONS:]
         self.incarnations[truth.server] = latest
         if len(self.incarnations) > self.timing.servers:
             self.incarnations.popitem(last=False)
-        return Heard.RESTARTED if known else Heard.CURRENT
+        return ReportOrder.RESTARTED if known else ReportOrder.CURRENT
--- a/pimentoledge/decisions/orders.py
+++ b/pimentoledge/decisions/orders.py
@@ -25,13 +25,13 @@
 ROLE = "role"
 FENCED = "fenced"
 _PERMIT_KINDS = {
-    LOAD: permits.Kind.WEIGHTS,
-    ADD_ADAPTER: permits.Kind.ADAPTER,
+    LOAD: permits.PermitKind.WEIGHTS,
+    ADD_ADAPTER: permits.PermitKind.ADAPTER,
 }
 
 
 @attrs.frozen(kw_only=True)
-class Timing:
+class OrderTiming:
     """Times in seconds.
 
     Attributes:
@@ -102,16 +102,16 @@
         life: str,
         address: str,
         seed: int,
-        timing: Timing | None = None,
+        timing: OrderTiming | None = None,
     ):
         generator = random.Random(f"{seed}/{server}")
         self.server = server
         self.address = address
-        self.timing = timing or Timing()
+        self.timing = timing or OrderTiming()
         self.tenure = fencing.Tenure(
             server=server, life=life, generator=generator
         )
-        self.permits = permits.Permits(
+        self.permits = permits.LoadPermits(
             server=server, life=life, generator=generator
         )
         self.declared: declarations.BackendServer | None = None
@@ -174,13 +174,13 @@
         leaves = self._leaves_entry() and not self.permits.unreachable
         return self.given is not None or leaves
 
-    def owns(self, answer: stores.Answer) -> bool:
+    def owns(self, answer: stores.StoreAnswer) -> bool:
         """Returns whether the store's answer is to one of its calls."""
         return self.tenure.update.owns(answer) or self.permits.owns(answer)
 
     def handle(
         self,
-        event: events.EngineStatus | events.OrderDone | stores.Answer,
+        event: events.EngineStatus | events.OrderDone | stores.StoreAnswer,
         now: float,
     ) -> list[actions.Action]:
         """Takes an event; answers of the store only where it `owns` them."""
@@ -190,9 +190,9 @@
                 self._shown(event, now)
             case events.OrderDone():
                 self._done(event, now)
-            case stores.Answer() if self.tenure.update.owns(event):
+            case stores.StoreAnswer() if self.tenure.update.owns(event):
                 found = self.tenure.handle(event, now)
-            case stores.Answer():
+            case stores.StoreAnswer():
                 found = self.permits.handle(event, now)
         return found + self._step(now)
 
@@ -318,15 +318,17 @@
         since = self.down_since
         return since is not None and now >= since + self.timing.out
 
-    def _want(self, target: Target | None, now: float) -> permits.Want | None:
+    def _want(
+        self, target: Target | None, now: float
+    ) -> permits.WantedPermit | None:
         if self.given is not None:
             target = self.given.target
         kind = _PERMIT_KINDS.get(target.kind) if target else None
         if self._out(now) and not self.retiring:
-            kind = permits.Kind.OUT
+            kind = permits.PermitKind.OUT
         if kind is None:
             return None
-        return permits.Want(
+        return permits.WantedPermit(
             kind=kind,
             model=self.model.name,
             limit=self.model.concurrent_loads,
--- a/pimentoledge/decisions/peers.py
+++ b/pimentoledge/decisions/peers.py
@@ -47,7 +47,7 @@
     silence: float = 0.0
 
 
-class Peers:
+class PeerDirectory:
     """The other entries: declared, heard of, or named in the settings.
 
     Attributes:
--- a/pimentoledge/decisions/permits.py
+++ b/pimentoledge/decisions/permits.py
@@ -4,7 +4,7 @@
 and a model keeps at least half of its runners while others load. The object
 lists who loads and who is known to be out of service. Processes share no
 clock: a holder moves a counter on, and one whose counter stands still for
-`Timing.expiry` seconds of another's own clock has lost its permit.
+`PermitTiming.expiry` seconds of another's own clock has lost its permit.
 """
 
 import enum
@@ -16,7 +16,7 @@
 from returns import result
 
 from pimentoledge.decisions import actions
-from pimentoledge.decisions import conditional
+from pimentoledge.decisions import conditional_updates
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import stores
 
@@ -24,7 +24,7 @@
 _CHECK = "permit-check/"
 
 
-class Kind(enum.StrEnum):
+class PermitKind(enum.StrEnum):
     """What an entry of the object says."""
 
     # It loads weights: counts as a load, and as out of service.
@@ -36,7 +36,7 @@
 
 
 @attrs.define(kw_only=True)
-class Holder:
+class PermitEntry:
     """One entry of the object.
 
     Attributes:
@@ -50,19 +50,19 @@
     server: str
     number: int
     model: str
-    kind: Kind
+    kind: PermitKind
     counter: int = 0
 
 
 @attrs.define(kw_only=True)
-class Book:
+class PermitTable:
     """The object's value."""
 
-    holders: list[Holder] = attrs.field(factory=list)
+    holders: list[PermitEntry] = attrs.field(factory=list)
 
 
 @attrs.frozen(kw_only=True)
-class Want:
+class WantedPermit:
     """What an agent wants its entry to be.
 
     Attributes:
@@ -74,7 +74,7 @@
             away.
     """
 
-    kind: Kind
+    kind: PermitKind
     model: str
     limit: int
     runners: int
@@ -82,7 +82,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Timing:
+class PermitTiming:
     """Times in seconds.
 
     Attributes:
@@ -129,7 +129,7 @@
     read_at: float
 
 
-class Permits:
+class LoadPermits:
     """One agent's entry in the object.
 
     It is brought to what is wanted and kept there. A slot freed by a death
@@ -161,27 +161,27 @@
         server: str,
         life: str,
         generator: random.Random,
-        timing: Timing | None = None,
+        timing: PermitTiming | None = None,
     ):
         self.server = server
         self.number = 0
-        self.timing = timing or Timing()
-        self.want: Want | None = None
-        self.mine: Holder | None = None
+        self.timing = timing or PermitTiming()
+        self.want: WantedPermit | None = None
+        self.mine: PermitEntry | None = None
         self.confirmed_at = -math.inf
         self.inspected = False
         self.reason = ""
         self.kept_until = -math.inf
         self.superseded = False
         self.unreachable = False
-        self.update = conditional.Update(
+        self.update = conditional_updates.ConditionalUpdate(
             path=PATH, name="permits", life=life, generator=generator
         )
-        self.doubted: Holder | None = None
+        self.doubted: PermitEntry | None = None
         self._checks = 0
         self._undeclared: set[tuple[str, int]] = set()
         self._random = generator
-        self._next: Holder | None = None
+        self._next: PermitEntry | None = None
         self._now = 0.0
         self._poll_at = -math.inf
         self._retry_at = -math.inf
@@ -189,7 +189,7 @@
         # By server and fencing number; bounded by the size of the object.
         self._sightings: dict[tuple[str, int], Sighting] = {}
 
-    def set_want(self, want: Want | None) -> None:
+    def set_want(self, want: WantedPermit | None) -> None:
         """Says what the entry shall be; `wake` then brings it there."""
         if _kind_of(want) is not _kind_of(self.want):
             self._poll_at = -math.inf
@@ -226,7 +226,9 @@
             return []
         return self.update.start(self._change, now)
 
-    def handle(self, answer: stores.Answer, now: float) -> list[actions.Action]:
+    def handle(
+        self, answer: stores.StoreAnswer, now: float
+    ) -> list[actions.Action]:
         """Takes the store's answer."""
         if answer.call.startswith(_CHECK):
             self._checked(answer)
@@ -234,14 +236,17 @@
         self._now = now
         called, ended = self.update.handle(answer, now)
         match ended:
-            case conditional.Ended.DOWN:
+            case conditional_updates.UpdateOutcome.DOWN:
                 self._retry_at = now + self.timing.retry
                 self.unreachable = True
-            case conditional.Ended.WRITTEN | conditional.Ended.UNCHANGED:
+            case (
+                conditional_updates.UpdateOutcome.WRITTEN
+                | conditional_updates.UpdateOutcome.UNCHANGED
+            ):
                 called += self._settle(now)
         return called
 
-    def owns(self, answer: stores.Answer) -> bool:
+    def owns(self, answer: stores.StoreAnswer) -> bool:
         """Returns whether an answer is to one of its calls."""
         return self.update.owns(answer) or answer.call.startswith(_CHECK)
 
@@ -262,7 +267,7 @@
         )
         return [actions.CallStore(call=call)]
 
-    def _checked(self, answer: stores.Answer) -> None:
+    def _checked(self, answer: stores.StoreAnswer) -> None:
         """Finds out whether an entry's server is still declared.
 
         Without this the entry of a server that is gone for good would count
@@ -299,15 +304,17 @@
             return due if self.mine else None
         if not self.granted():
             return max(self._retry_at, self._poll_at)
-        if self.want.kind is Kind.OUT:
+        if self.want.kind is PermitKind.OUT:
             return None
         regular = self.confirmed_at + self.timing.renew
         return max(self._retry_at, min(regular, self._renew_at))
 
-    def _fits(self, holder: Holder) -> bool:
+    def _fits(self, holder: PermitEntry) -> bool:
         return holder.kind is self.want.kind and holder.model == self.want.model
 
-    def _change(self, found: stores.Object | None) -> conditional.Change:
+    def _change(
+        self, found: stores.Object | None
+    ) -> conditional_updates.Change:
         book = _decode(found)
         self._watch(book)
         self.reason = ""
@@ -318,9 +325,9 @@
             self.superseded = True
         self._inherit()
         if self.superseded or self.number == 0:
-            return conditional.Change(write=False)
+            return conditional_updates.Change(write=False)
         if self.want is None and self._now < self.kept_until:
-            return conditional.Change(write=False)
+            return conditional_updates.Change(write=False)
         if self.want is None:
             return self._remove(others)
         return self._enter(others)
@@ -333,29 +340,29 @@
         more, the entry would let another runner load at the same time.
         """
         found = self._next
-        if self.inspected or found is None or found.kind is Kind.OUT:
+        if self.inspected or found is None or found.kind is PermitKind.OUT:
             return
         self.kept_until = self._now + self.timing.expiry
 
-    def _remove(self, others: list[Holder]) -> conditional.Change:
+    def _remove(self, others: list[PermitEntry]) -> conditional_updates.Change:
         if self._next is None:
-            return conditional.Change(write=False)
+            return conditional_updates.Change(write=False)
         self._next = None
         return _encode(others)
 
-    def _enter(self, others: list[Holder]) -> conditional.Change:
+    def _enter(self, others: list[PermitEntry]) -> conditional_updates.Change:
         mine = self._next
         want = self.want
         counter = 0
         if mine is not None and mine.number == self.number:
-            if want.kind is Kind.OUT and self._fits(mine):
-                return conditional.Change(write=False)
+            if want.kind is PermitKind.OUT and self._fits(mine):
+                return conditional_updates.Change(write=False)
             counter = mine.counter
         others = [each for each in map(self._judge, others) if each]
         self.reason = self._denied(others, mine)
         if self.reason:
-            return conditional.Change(write=False)
-        self._next = Holder(
+            return conditional_updates.Change(write=False)
+        self._next = PermitEntry(
             server=self.server,
             number=self.number,
             model=want.model,
@@ -364,41 +371,45 @@
         )
         return _encode([*others, self._next])
 
-    def _denied(self, others: list[Holder], mine: Holder | None) -> str:
+    def _denied(
+        self, others: list[PermitEntry], mine: PermitEntry | None
+    ) -> str:
         want = self.want
         # An entry of an earlier life already counts; taking it over does not
         # make one more.
-        if want.kind is Kind.OUT or (mine is not None and self._fits(mine)):
+        if want.kind is PermitKind.OUT or (
+            mine is not None and self._fits(mine)
+        ):
             return ""
-        loading = [each for each in others if each.kind is not Kind.OUT]
+        loading = [each for each in others if each.kind is not PermitKind.OUT]
         if len(loading) >= want.limit:
             return "limit"
-        already_out = mine is not None and mine.kind is Kind.OUT
-        if want.kind is Kind.ADAPTER or already_out or not want.serving:
+        already_out = mine is not None and mine.kind is PermitKind.OUT
+        if want.kind is PermitKind.ADAPTER or already_out or not want.serving:
             return ""
         out = [
             each
             for each in others
-            if each.model == want.model and each.kind is not Kind.ADAPTER
+            if each.model == want.model and each.kind is not PermitKind.ADAPTER
         ]
         if _may_go(want.runners, out):
             return ""
-        idle = [each for each in out if each.kind is Kind.OUT]
+        idle = [each for each in out if each.kind is PermitKind.OUT]
         self.doubted = self._random.choice(idle) if idle else None
         return "guard"
 
-    def _judge(self, holder: Holder) -> Holder | None:
+    def _judge(self, holder: PermitEntry) -> PermitEntry | None:
         """Returns another's entry as it is to stand; None to remove it."""
         if (holder.server, holder.number) in self._undeclared:
             return None
         sighting = self._sightings.get((holder.server, holder.number))
         if sighting is None or sighting.still < self.timing.expiry:
             return holder
-        if holder.kind is Kind.ADAPTER:
+        if holder.kind is PermitKind.ADAPTER:
             return None
-        return attrs.evolve(holder, kind=Kind.OUT)
+        return attrs.evolve(holder, kind=PermitKind.OUT)
 
-    def _watch(self, book: Book) -> None:
+    def _watch(self, book: PermitTable) -> None:
         """Counts how long the others' counters have stood still.
 
         A holder can't move its counter while the store is down. An observer
@@ -409,7 +420,7 @@
         before = self._sightings
         self._sightings = {}
         for each in book.holders:
-            if each.kind is Kind.OUT or each.server == self.server:
+            if each.kind is PermitKind.OUT or each.server == self.server:
                 continue
             key = (each.server, each.number)
             last = before.get(key)
@@ -435,27 +446,29 @@
     return True
 
 
-def _may_go(runners: int, out: list[Holder]) -> bool:
+def _may_go(runners: int, out: list[PermitEntry]) -> bool:
     """Returns whether one more runner of a model may go out of service."""
     if len(out) < most_out(runners):
         return True
     # Runners that stay out would hold an upgrade up for as long as they do,
     # and it may be their cure. So the others then go one by one, as long as
     # one is left that serves.
-    going = any(each.kind is Kind.WEIGHTS for each in out)
+    going = any(each.kind is PermitKind.WEIGHTS for each in out)
     return not going and runners - len(out) > 1
 
 
-def _kind_of(want: Want | None) -> Kind | None:
+def _kind_of(want: WantedPermit | None) -> PermitKind | None:
     return want.kind if want else None
 
 
-def _decode(found: stores.Object | None) -> Book:
+def _decode(found: stores.Object | None) -> PermitTable:
     if found is None:
-        return Book()
-    return msgspec.json.decode(found.value, type=Book)
+        return PermitTable()
+    return msgspec.json.decode(found.value, type=PermitTable)
 
 
-def _encode(holders: list[Holder]) -> conditional.Change:
-    book = Book(holders=holders)
-    return conditional.Change(write=True, value=msgspec.json.encode(book))
+def _encode(holders: list[PermitEntry]) -> conditional_updates.Change:
+    book = PermitTable(holders=holders)
+    return conditional_updates.Change(
+        write=True, value=msgspec.json.encode(book)
+    )
--- a/pimentoledge/decisions/placement.py
+++ b/pimentoledge/decisions/placement.py
@@ -44,7 +44,7 @@
 
 
 @attrs.define(kw_only=True)
-class Wanted:
+class PlacementRequest:
     """What a request needs.
 
     Attributes:
@@ -123,7 +123,7 @@
     """
 
     blocks: list[bytes]
-    life: hints.Life | None = None
+    life: hints.EngineLife | None = None
     sent_at: float = 0.0
 
 
@@ -158,15 +158,15 @@
         self.hints = hints.Hints(
             limit=hint_limit, seconds=hint_seconds, holders=holders
         )
-        self.loads: dict[str, loads.Load] = {}
-        self.lives: dict[str, hints.Life] = {}
+        self.loads: dict[str, loads.EstimatedLoad] = {}
+        self.lives: dict[str, hints.EngineLife] = {}
         self.pending: dict[str, Pending] = {}
         self.residence = _FIRST_RESIDENCE
         self.homes = homes.Homes()
 
     def choose(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         servers: Sequence[declarations.BackendServer],
         now: float,
     ) -> Choice:
@@ -226,7 +226,7 @@
 
     def usable(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         considered: Sequence[declarations.BackendServer],
         servers: Sequence[declarations.BackendServer],
         now: float,
@@ -243,7 +243,7 @@
         return allowed, "last resort" if allowed else "no usable server"
 
     def allowed(
-        self, wanted: Wanted, server: declarations.BackendServer
+        self, wanted: PlacementRequest, server: declarations.BackendServer
     ) -> bool:
         """Returns whether a server may run a request at all."""
         if server.state != declarations.ServerState.IN:
@@ -267,7 +267,7 @@
 
     def price(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         servers: Sequence[declarations.BackendServer],
         now: float,
     ) -> float:
@@ -287,7 +287,7 @@
 
     def candidate(
         self,
-        wanted: Wanted,
+        wanted: PlacementRequest,
         server: declarations.BackendServer,
         depths: dict[str, int],
         home: homes.Home | None,
@@ -295,7 +295,7 @@
         now: float,
     ) -> Candidate:
         """Returns a server with its cost."""
-        load = self.loads.get(server.name) or loads.Load()
+        load = self.loads.get(server.name) or loads.EstimatedLoad()
         depth = depths.get(server.name, 0)
         credit = float(depth)
         if home is not None:
@@ -313,7 +313,7 @@
             wait_seconds=wait,
         )
 
-    def remember(self, wanted: Wanted):
+    def remember(self, wanted: PlacementRequest):
         """Keeps a request's blocks until it is sent and finished."""
         self.pending[wanted.request] = Pending(blocks=wanted.blocks)
         if len(self.pending) > _MOST_PENDING:
@@ -328,7 +328,7 @@
             tokens: uncached prompt tokens expected.
             now: the time.
         """
-        load = self.loads.setdefault(server, loads.Load())
+        load = self.loads.setdefault(server, loads.EstimatedLoad())
         load.sent(tokens, now)
         pending = self.pending.get(request)
         if pending is None:
@@ -339,14 +339,14 @@
 
     def learned(self, truth: messages.Truth, now: float):
         """Takes what an agent says of its server in place of hints."""
-        load = self.loads.setdefault(truth.server, loads.Load())
+        load = self.loads.setdefault(truth.server, loads.EstimatedLoad())
         load.reported(truth, now)
         life = self.life(truth.server)
         same = life.incarnation == truth.incarnation
         if same and life.weights == truth.weights:
             return
         life.over = True
-        self.lives[truth.server] = hints.Life(
+        self.lives[truth.server] = hints.EngineLife(
             server=truth.server,
             incarnation=truth.incarnation,
             weights=truth.weights,
@@ -380,8 +380,8 @@
 
     def failed(self, server: str, now: float):
         """Counts a failure to reach a server or to be served by it."""
-        self.loads.setdefault(server, loads.Load()).failed(now)
+        self.loads.setdefault(server, loads.EstimatedLoad()).failed(now)
 
-    def life(self, server: str) -> hints.Life:
+    def life(self, server: str) -> hints.EngineLife:
         """Returns the engine life that is believed to be current."""
-        return self.lives.setdefault(server, hints.Life(server=server))
+        return self.lives.setdefault(server, hints.EngineLife(server=server))
--- a/pimentoledge/decisions/quarantine.py
+++ b/pimentoledge/decisions/quarantine.py
@@ -69,7 +69,7 @@
 
 
 @attrs.define(kw_only=True)
-class Record:
+class SuspectRecord:
     """What is known against one fingerprint.
 
     Attributes:
@@ -85,7 +85,7 @@
 
 
 @attrs.define(kw_only=True)
-class Crash:
+class CrashRecord:
     """One crash as far as the store goes.
 
     Attributes:
@@ -127,8 +127,8 @@
     Attributes:
         name: this entry's mailbox.
         peers: mailboxes of the other entries; the owner keeps it current.
-        records: Record by fingerprint.
-        crashes: Crash by id.
+        records: SuspectRecord by fingerprint.
+        crashes: CrashRecord by id.
         running: request that runs now, by suspect fingerprint.
         unwritten: ids of the crashes that this entry has still to write.
     """
@@ -149,8 +149,8 @@
         self.hold_seconds = hold_seconds
         self.poison_seconds = poison_seconds
         self.vanished_seconds = vanished_seconds
-        self.records: dict[bytes, Record] = {}
-        self.crashes: dict[bytes, Crash] = {}
+        self.records: dict[bytes, SuspectRecord] = {}
+        self.crashes: dict[bytes, CrashRecord] = {}
         self.running: dict[bytes, str] = {}
         self.calls = 0
         self.writing: bytes | None = None
@@ -279,9 +279,13 @@
             case events.FromNode(message=messages.Released() as released):
                 self._release(released)
                 return []
-            case stores.Answer(call=call) if call and call == self.watch_call:
+            case stores.StoreAnswer(call=call) if (
+                call and call == self.watch_call
+            ):
                 return self._watched(event, now)
-            case stores.Answer(call=call) if call and call == self.write_call:
+            case stores.StoreAnswer(call=call) if (
+                call and call == self.write_call
+            ):
                 return self._written(event, now)
         return []
 
@@ -379,7 +383,9 @@
             self._add(fingerprint, crash, report.certain, now)
         if len(earlier) == 1 and report.certain:
             self.records[earlier[0]].held = now + self.hold_seconds
-        merged = Crash(report=report, version=known.version if known else 0)
+        merged = CrashRecord(
+            report=report, version=known.version if known else 0
+        )
         self.crashes[crash] = merged
         # A vanished VM isn't made durable: a data centre that goes takes
         # hundreds at once, and the store has few writes to spare.
@@ -398,7 +404,7 @@
         self, fingerprint: bytes, crash: bytes, certain: bool, now: float
     ) -> None:
         if not self._count(fingerprint, now):
-            self.records[fingerprint] = Record()
+            self.records[fingerprint] = SuspectRecord()
         record = self.records[fingerprint]
         record.crashes[crash] = certain
         if len(record.crashes) < POISON_CRASHES:
@@ -449,7 +455,7 @@
         ranked = sorted(everyone, key=lambda each: _rank(crash, each))
         return ranked[:WRITERS]
 
-    def _want(self, crash: Crash, at: float | None) -> None:
+    def _want(self, crash: CrashRecord, at: float | None) -> None:
         """Sets when this entry writes a crash."""
         crash.write_at = at
         key = crash_id(crash.report.server, crash.report.incarnation)
@@ -495,7 +501,7 @@
         return [actions.CallStore(call=write)]
 
     def _written(
-        self, answer: stores.Answer, now: float
+        self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         crash = self.crashes.get(self.writing or b"")
         self.writing = None
@@ -517,7 +523,7 @@
         return self._write(now)
 
     def _watched(
-        self, answer: stores.Answer, now: float
+        self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         self.watch_call = ""
         if answer.outcome != stores.Outcome.FOUND:
--- a/pimentoledge/decisions/registration.py
+++ b/pimentoledge/decisions/registration.py
@@ -81,7 +81,9 @@
             return []
         return self._call(self.name, None)
 
-    def handle(self, answer: stores.Answer, now: float) -> list[stores.Object]:
+    def handle(
+        self, answer: stores.StoreAnswer, now: float
+    ) -> list[stores.Object]:
         """Takes an answer, and returns what the store holds now."""
         if self._write is None or answer.call != self._write.call:
             return []
--- a/pimentoledge/decisions/requests.py
+++ b/pimentoledge/decisions/requests.py
@@ -47,10 +47,10 @@
 
 def wanted(
     ticket: tickets.Ticket, serves: str, block_bytes: int, now: float
-) -> placement.Wanted:
+) -> placement.PlacementRequest:
     """Returns what placement has to know of a request."""
     completion = ticket.event.completion
-    return placement.Wanted(
+    return placement.PlacementRequest(
         request=ticket.event.request,
         organisation=ticket.contract.organisation,
         model=serves,
--- a/pimentoledge/decisions/runs.py
+++ b/pimentoledge/decisions/runs.py
@@ -10,7 +10,7 @@
 from pimentoledge.nodes import messages
 
 
-class Stage(enum.StrEnum):
+class RunStage(enum.StrEnum):
     """Where an attempt stands at its agent."""
 
     # Its claim is on the way to the store.
@@ -51,7 +51,7 @@
     dispatch: messages.Dispatch
     sender: str
     expires: float
-    stage: Stage = Stage.QUEUED
+    stage: RunStage = RunStage.QUEUED
     sequence: int = 0
     tokens: int = 0
     earlier_tokens: int = 0
--- a/pimentoledge/decisions/stores.py
+++ b/pimentoledge/decisions/stores.py
@@ -94,7 +94,7 @@
 
 
 @attrs.define(kw_only=True)
-class Answer:
+class StoreAnswer:
     """The store's answer.
 
     Attributes:
--- a/pimentoledge/decisions/subscription.py
+++ b/pimentoledge/decisions/subscription.py
@@ -3,11 +3,11 @@
 import random
 
 from pimentoledge.decisions import actions
-from pimentoledge.decisions import agents_served
+from pimentoledge.decisions import agent_subscriptions
+from pimentoledge.decisions import bucket_repairs
 from pimentoledge.decisions import configuration
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import events
-from pimentoledge.decisions import exchange
 from pimentoledge.nodes import configuration_messages as messages
 
 POLL_SECONDS = 4.0
@@ -128,7 +128,7 @@
             [each for each in objects if each.path == mine], from_store=False
         )
         server = self.configuration.server(self.name)
-        wanted = [] if server is None else agents_served.own_paths(server)
+        wanted = [] if server is None else agent_subscriptions.own_paths(server)
         self.configuration.apply(
             [each for each in objects if each.path in wanted], from_store=False
         )
@@ -162,7 +162,8 @@
         if not differ:
             return []
         buckets = [
-            exchange.bucket_fingerprints(self.kept, number) for number in differ
+            bucket_repairs.bucket_fingerprints(self.kept, number)
+            for number in differ
         ]
         fetch = messages.Fetch(buckets=buckets, answer=False)
         return [actions.Send(address=sender, message=fetch)]
@@ -181,5 +182,5 @@
         known = min(self._numbers[b.number] for b in fetch.buckets)
         return [
             actions.Send(address=sender, message=part)
-            for part in exchange.answers(self.kept, fetch, known=known)
+            for part in bucket_repairs.answers(self.kept, fetch, known=known)
         ]
--- a/pimentoledge/decisions/tickets.py
+++ b/pimentoledge/decisions/tickets.py
@@ -40,7 +40,7 @@
         phase: where it stands.
         server: backend server of the current attempt.
         agent: mailbox of that server's agent.
-        heard: when its agent was last heard of.
+        last_heard_at: when its agent was last heard of.
         probed: whether its agent was asked about it since.
     """
 
@@ -55,7 +55,7 @@
     crashes: int = 0
     server: str = ""
     agent: str = ""
-    heard: float = 0.0
+    last_heard_at: float = 0.0
     probed: bool = False
 
     def repeatable(self) -> bool:
--- a/pimentoledge/decisions/updates.py
+++ b/pimentoledge/decisions/updates.py
@@ -147,7 +147,9 @@
         self.running[event.request] = update
         return self._read(update, Step.READ, update.path)
 
-    def handle(self, answer: stores.Answer, now: float) -> list[actions.Action]:
+    def handle(
+        self, answer: stores.StoreAnswer, now: float
+    ) -> list[actions.Action]:
         """Takes an answer of the store; one to another's call is ignored."""
         update = self._calls.pop(answer.call, None)
         if update is None:
@@ -248,7 +250,7 @@
         return faults
 
     def _on_read(
-        self, update: Update, answer: stores.Answer
+        self, update: Update, answer: stores.StoreAnswer
     ) -> list[actions.Action]:
         if not _was_read(answer):
             return self._fail(update, results.Code.NOT_ACCEPTED)
@@ -283,7 +285,7 @@
         return outcome.swap().value_or([])
 
     def _on_history(
-        self, update: Update, answer: stores.Answer
+        self, update: Update, answer: stores.StoreAnswer
     ) -> list[actions.Action]:
         if not _was_read(answer):
             return self._fail(update, results.Code.NOT_ACCEPTED)
@@ -301,7 +303,7 @@
         return [actions.CallStore(call=call)]
 
     def _on_history_written(
-        self, update: Update, answer: stores.Answer, now: float
+        self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         match answer.outcome:
             case stores.Outcome.WRITTEN:
@@ -323,7 +325,7 @@
         return [actions.CallStore(call=call)]
 
     def _on_written(
-        self, update: Update, answer: stores.Answer, now: float
+        self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         match answer.outcome:
             case stores.Outcome.WRITTEN:
@@ -338,7 +340,7 @@
         return self._fail(update, results.Code.NOT_ACCEPTED)
 
     def _on_read_back(
-        self, update: Update, answer: stores.Answer, now: float
+        self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         if not _was_read(answer):
             # The write failed its condition: it surely did not take effect
@@ -363,7 +365,7 @@
         return self._read(update, Step.READ_BACK_HISTORY, path)
 
     def _on_history_back(
-        self, update: Update, answer: stores.Answer, now: float
+        self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         if not _was_read(answer):
             return self._retry_later(update, now)
@@ -466,11 +468,11 @@
     return known.value is not None
 
 
-def _was_read(answer: stores.Answer) -> bool:
+def _was_read(answer: stores.StoreAnswer) -> bool:
     found = (stores.Outcome.FOUND, stores.Outcome.ABSENT)
     return answer.outcome in found
 
 
-def _live(answer: stores.Answer) -> stores.Object | None:
+def _live(answer: stores.StoreAnswer) -> stores.Object | None:
     stored = answer.objects[0] if answer.objects else None
     return None if stored is None or stored.value is None else stored
--- a/pimentoledge/decisions/watching.py
+++ b/pimentoledge/decisions/watching.py
@@ -73,7 +73,7 @@
         return [actions.CallStore(call=call) for call in calls]
 
     def handle(
-        self, answer: stores.Answer, now: float
+        self, answer: stores.StoreAnswer, now: float
     ) -> list[stores.Object] | None:
         """Takes an answer of the store.
 
@@ -122,7 +122,7 @@
             seconds=WATCH_SECONDS,
         )
 
-    def _watched(self, answer: stores.Answer) -> list[stores.Object]:
+    def _watched(self, answer: stores.StoreAnswer) -> list[stores.Object]:
         # Not as from a scan: a watch's answer that comes late, behind one of
         # a scan, may hold an object that the scan no longer found.
         fresh = self._apply(answer.objects, from_store=False)
@@ -130,7 +130,7 @@
         self.configuration.known = max(known, answer.version)
         return fresh
 
-    def _scanned(self, answer: stores.Answer) -> list[stores.Object]:
+    def _scanned(self, answer: stores.StoreAnswer) -> list[stores.Object]:
         view = self.configuration
         up_to_date = answer.version >= view.floor
         # A watch that dropped a deletion shows here: the store no longer has
@@ -180,6 +180,6 @@
         return f"{kind}.{self._random.getrandbits(64):016x}"
 
 
-def _read(answer: stores.Answer) -> bool:
+def _read(answer: stores.StoreAnswer) -> bool:
     found = (stores.Outcome.FOUND, stores.Outcome.ABSENT)
     return answer.outcome in found
--- a/pimentoledge/http_pools.py
+++ b/pimentoledge/http_pools.py
@@ -10,7 +10,7 @@
 DEFAULT_SECONDS = 30.0
 
 
-class Pool(urllib3.PoolManager):
+class HttpPool(urllib3.PoolManager):
     """A pool of connections, without retries, that `cut` ends.
 
     A thread that waits for an answer holds its connection outside the pool,
--- a/pimentoledge/operators/clients.py
+++ b/pimentoledge/operators/clients.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(kw_only=True)
-class Answer:
+class ApiAnswer:
     """An answer of the administration API.
 
     Attributes:
@@ -55,7 +55,7 @@
 
     def read(
         self, path: str, **query: object
-    ) -> result.Result[Answer, results.Error]:
+    ) -> result.Result[ApiAnswer, results.Error]:
         """Reads a path below the API's root, as "contracts/acme"."""
         return self._call("GET", path, query=query)
 
@@ -77,7 +77,7 @@
         fields: dict[str, object] | None = None,
         expected: int,
         dry_run: bool = False,
-    ) -> result.Result[Answer, results.Error]:
+    ) -> result.Result[ApiAnswer, results.Error]:
         """Changes an object on condition of its version.
 
         Args:
@@ -103,7 +103,7 @@
         query: dict[str, object],
         headers: dict[str, str] | None = None,
         fields: dict[str, object] | None = None,
-    ) -> result.Result[Answer, results.Error]:
+    ) -> result.Result[ApiAnswer, results.Error]:
         address = f"{self.url}{api.ROOT}{path}?"
         address += urllib.parse.urlencode(query)
         try:
@@ -125,7 +125,7 @@
             text = f"no answer of {self.url}: {error}"
             return result.Failure(results.Error(code=code, text=text, ran=ran))
         version = response.headers.get("ETag", '"0"').strip('"')
-        answer = Answer(
+        answer = ApiAnswer(
             status=response.status,
             fields=body,
             version=int(version),
--- a/pimentoledge/platform/objects.py
+++ b/pimentoledge/platform/objects.py
@@ -66,13 +66,13 @@
     )
 
 
-def reported(body: Any) -> rollouts.Reported:
+def reported(body: Any) -> rollouts.RunnerReport:
     """Returns what a runner reports of itself; raises ValueError."""
     if not isinstance(body, dict):
         raise ValueError("a report that is no table")
     if not isinstance(body.get("busy"), bool):
         raise ValueError("a report that doesn't say whether it is busy")
-    return rollouts.Reported(
+    return rollouts.RunnerReport(
         weights=_weights(_field(body, "models", list)),
         loading=body["busy"],
         # `seq` counts orders taken here; in the store it counts heartbeats.
@@ -142,11 +142,15 @@
     split = entry.get("trafficSplit")
     if split:
         shares = tuple(
-            configurations.Share(service=part["service"], weight=part["weight"])
+            configurations.ServiceShare(
+                service=part["service"], weight=part["weight"]
+            )
             for part in split
         )
     else:
-        shares = (configurations.Share(service=entry["service"], weight=1.0),)
+        shares = (
+            configurations.ServiceShare(service=entry["service"], weight=1.0),
+        )
     gap = entry.get("gapAimMs")
     return configurations.Route(
         name=entry["name"],
@@ -214,9 +218,9 @@
     return found * 1_000_000 / 8 if found else None
 
 
-def _limits(entry: dict) -> configurations.Limits:
-    usual = configurations.Limits()
-    return configurations.Limits(
+def _limits(entry: dict) -> configurations.ClientLimits:
+    usual = configurations.ClientLimits()
+    return configurations.ClientLimits(
         header_bytes=entry.get("maxHeaderBytes") or usual.header_bytes,
         body_bytes=entry.get("maxBodyBytes") or usual.body_bytes,
         header_seconds=_seconds(entry, "headerTimeoutMs")
@@ -230,13 +234,13 @@
     return (entry.get(name) or 0) / 1000
 
 
-def _kind(entry: dict) -> configurations.Kind:
+def _kind(entry: dict) -> configurations.Repeatability:
     """Returns a route's kind.
 
     What is not known here is treated as what may run only once: that is true
     of every kind.
     """
     try:
-        return configurations.Kind(entry.get("kind"))
+        return configurations.Repeatability(entry.get("kind"))
     except ValueError:
-        return configurations.Kind.UNSAFE
+        return configurations.Repeatability.UNSAFE
--- a/pimentoledge/platform/orders.py
+++ b/pimentoledge/platform/orders.py
@@ -7,10 +7,10 @@
 from pimentoledge.platform import names
 from pimentoledge.platform import objects
 from pimentoledge.platform import requests
-from pimentoledge.routing import asks
 from pimentoledge.routing import calls
 from pimentoledge.routing import http_messages
 from pimentoledge.routing import registrations
+from pimentoledge.routing import request_types
 from pimentoledge.routing import rollouts
 
 # A runner says at once whether it takes an order; one that stays silent may
@@ -35,13 +35,13 @@
 
     caller: calls.Caller
     holder: str
-    heard: Callable[[registrations.Registration, asks.Answer], None] = (
-        lambda runner, answer: None
-    )
+    heard: Callable[
+        [registrations.Registration, request_types.ServerResponse], None
+    ] = lambda runner, answer: None
 
     async def report(
         self, runner: registrations.Registration
-    ) -> rollouts.Reported | registrations.Unavailable:
+    ) -> rollouts.RunnerReport | registrations.Unavailable:
         """Asks a runner what it has."""
         try:
             reply = await self.caller.call(
@@ -71,8 +71,8 @@
         return found
 
     async def load(
-        self, runner: registrations.Registration, order: rollouts.Load
-    ) -> rollouts.Verdict:
+        self, runner: registrations.Registration, order: rollouts.LoadOrder
+    ) -> rollouts.OrderVerdict:
         """Orders a runner to load weights; says what it made of it."""
         try:
             reply = await self.caller.call(
@@ -93,10 +93,10 @@
             )
         except calls.CallError as error:
             if not error.sent:
-                return rollouts.Verdict.UNREACHED
-            return rollouts.Verdict.UNKNOWN
+                return rollouts.OrderVerdict.UNREACHED
+            return rollouts.OrderVerdict.UNKNOWN
         self._hear(runner, reply)
-        return _VERDICTS.get(reply.status, rollouts.Verdict.REFUSED)
+        return _VERDICTS.get(reply.status, rollouts.OrderVerdict.REFUSED)
 
     def _hear(
         self,
@@ -117,10 +117,10 @@
 
 
 _VERDICTS = {
-    202: rollouts.Verdict.TAKEN,
-    200: rollouts.Verdict.HOLDS,
+    202: rollouts.OrderVerdict.TAKEN,
+    200: rollouts.OrderVerdict.HOLDS,
     # Another order is under way, or the count of orders differs.
-    409: rollouts.Verdict.OUT_OF_STEP,
-    412: rollouts.Verdict.FENCED,
-    421: rollouts.Verdict.WRONG_SERVER,
+    409: rollouts.OrderVerdict.OUT_OF_STEP,
+    412: rollouts.OrderVerdict.FENCED,
+    421: rollouts.OrderVerdict.WRONG_SERVER,
 }
--- a/pimentoledge/platform/requests.py
+++ b/pimentoledge/platform/requests.py
@@ -4,8 +4,8 @@
 
 from pimentoledge import results
 from pimentoledge.platform import names
-from pimentoledge.routing import asks
 from pimentoledge.routing import http_messages
+from pimentoledge.routing import request_types
 
 _MAX_NUMBER_DIGITS = 15
 
@@ -41,7 +41,7 @@
     return value[len(names.KEY_SCHEME) :].strip().decode("latin-1") or None
 
 
-def _parts(value: bytes | None) -> tuple[asks.Part, ...]:
+def _parts(value: bytes | None) -> tuple[request_types.Part, ...]:
     if not value:
         return ()
     found = []
@@ -50,7 +50,9 @@
         number = _number(tokens)
         if not name or number is None:
             return ()
-        found.append(asks.Part(name=name.decode("latin-1"), tokens=number))
+        found.append(
+            request_types.Part(name=name.decode("latin-1"), tokens=number)
+        )
     return tuple(found)
 
 
@@ -73,7 +75,7 @@
 
 def decode_request(
     head: http_messages.RequestHead, body: bytes, arrived: float
-) -> result.Result[asks.Ask, results.Error]:
+) -> result.Result[request_types.ClientRequest, results.Error]:
     """Returns what a client asks for, or why that can't be told.
 
     Args:
@@ -91,7 +93,7 @@
     host = _text(head.value(b"host")).lower().partition(":")[0]
     path = head.target.partition(b"?")[0].decode("latin-1")
     return result.Success(
-        asks.Ask(
+        request_types.ClientRequest(
             request=_text(identity[0]),
             method=head.method,
             host=host,
@@ -119,17 +121,26 @@
     return result.Failure(results.Error(code=results.Code.BAD_FIELD, text=text))
 
 
-def encode_request(ask: asks.Ask, dispatch: asks.Dispatch) -> bytes:
+def encode_request(
+    client_request: request_types.ClientRequest,
+    dispatch: request_types.Dispatch,
+) -> bytes:
     """Returns a client's request as it goes to a server."""
-    lines = [b"%b %b HTTP/1.1" % (ask.method, ask.target)]
-    lines += [b"%b: %b" % pair for pair in ask.passed_on]
+    lines = [b"%b %b HTTP/1.1" % (client_request.method, client_request.target)]
+    lines += [b"%b: %b" % pair for pair in client_request.passed_on]
     lines += [b"%b: %b" % pair for pair in _system_headers(dispatch)]
-    if ask.body or ask.method not in (b"GET", b"HEAD", b"DELETE"):
-        lines.append(b"Content-Length: %d" % len(ask.body))
-    return b"\r\n".join(lines) + b"\r\n\r\n" + ask.body
-
-
-def _system_headers(dispatch: asks.Dispatch) -> list[tuple[bytes, bytes]]:
+    if client_request.body or client_request.method not in (
+        b"GET",
+        b"HEAD",
+        b"DELETE",
+    ):
+        lines.append(b"Content-Length: %d" % len(client_request.body))
+    return b"\r\n".join(lines) + b"\r\n\r\n" + client_request.body
+
+
+def _system_headers(
+    dispatch: request_types.Dispatch,
+) -> list[tuple[bytes, bytes]]:
     milliseconds = max(1, int(dispatch.seconds_left * 1000))
     pairs: list[tuple[bytes, object]] = [
         (names.DEADLINE, milliseconds),
@@ -149,10 +160,12 @@
     ]
 
 
-def decode_answer(head: http_messages.ResponseHead) -> asks.Answer:
+def decode_answer(
+    head: http_messages.ResponseHead,
+) -> request_types.ServerResponse:
     """Returns the head of a server's answer."""
     identity = head.value(names.REQUEST)
-    return asks.Answer(
+    return request_types.ServerResponse(
         status=head.status,
         request=None if identity is None else _text(identity),
         not_run=head.value(names.NOT_RUN) is not None or head.status == 421,
@@ -175,14 +188,16 @@
     )
 
 
-def _load(value: bytes | None) -> asks.Load | None:
+def _load(value: bytes | None) -> request_types.ServerLoad | None:
     if value is None:
         return None
     numbers = [_number(each) for each in value.split(b",")]
     if len(numbers) != 3 or None in numbers:
         return None
     running, waiting, slots = numbers
-    return asks.Load(running=running, waiting=waiting, slots=slots)
+    return request_types.ServerLoad(
+        running=running, waiting=waiting, slots=slots
+    )
 
 
 def _idle_seconds(value: bytes | None) -> float | None:
@@ -236,7 +251,7 @@
 
 
 def encode_answer_head(
-    answer: asks.Answer, *, length: int | None, closes: bool
+    answer: request_types.ServerResponse, *, length: int | None, closes: bool
 ) -> bytes:
     """Returns the head of a server's answer for the client.
 
--- a/pimentoledge/platform/stand_in_stores.py
+++ b/pimentoledge/platform/stand_in_stores.py
@@ -103,7 +103,7 @@
 
     def _write(
         self, path: str, value: bytes | None, expected: int
-    ) -> stores.Answer:
+    ) -> stores.StoreAnswer:
         return self.objects.call(
             stores.Write(
                 call="",
--- a/pimentoledge/routing/accounts.py
+++ b/pimentoledge/routing/attempt_loads.py
@@ -1,16 +1,16 @@
 """What one attempt adds to what its server is believed to have."""
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
 from pimentoledge.routing import first_events
-from pimentoledge.routing import waits
+from pimentoledge.routing import request_types
+from pimentoledge.routing import wait_estimates
 
 
-class Account:
+class AttemptLoad:
     """Counts an attempt at its server while it is open.
 
     Attributes:
-        ask: the request.
+        client_request: the request.
         backend: the server.
         dispatch: what is sent besides the request.
         prompt_read: whether the server has read the prompt.
@@ -19,11 +19,11 @@
     def __init__(
         self,
         *,
-        ask: asks.Ask,
+        client_request: request_types.ClientRequest,
         backend: backends.Backend,
-        dispatch: asks.Dispatch,
+        dispatch: request_types.Dispatch,
     ):
-        self.ask = ask
+        self.client_request = client_request
         self.backend = backend
         self.dispatch = dispatch
         self.prompt_read = False
@@ -32,7 +32,7 @@
         self._ahead = 0
         self._sent = 0.0
 
-    def start(self, speeds: waits.Speeds, now: float) -> None:
+    def start(self, speeds: wait_estimates.Speeds, now: float) -> None:
         """Takes that the request is being sent.
 
         Args:
@@ -41,7 +41,9 @@
         """
         backend = self.backend
         self._reading = self.dispatch.to_read
-        self._ahead = int(waits.ahead_at(backend, self._reading, speeds, now))
+        self._ahead = int(
+            wait_estimates.ahead_at(backend, self._reading, speeds, now)
+        )
         self._sent = now
         if not backend.outstanding():
             backend.read_since = now
@@ -50,7 +52,7 @@
         self._unbegun = True
         backend.reading += self._reading
 
-    def began(self, found: first_events.FirstEvents, now: float) -> None:
+    def began(self, found: first_events.FirstEventFit, now: float) -> None:
         """Takes the first event: the server has read the prompt."""
         found.note(now - self._sent, self._reading + self._ahead)
         self.backend.read_since = now
--- a/pimentoledge/routing/attempts.py
+++ b/pimentoledge/routing/attempts.py
@@ -1,14 +1,14 @@
 """One attempt of a request at one server: what is sent and what comes back."""
 
 from pimentoledge.platform import requests
-from pimentoledge.routing import accounts
-from pimentoledge.routing import asks
+from pimentoledge.routing import attempt_loads
 from pimentoledge.routing import backends
 from pimentoledge.routing import clocks
 from pimentoledge.routing import http_messages
+from pimentoledge.routing import request_types
+from pimentoledge.routing import retry_rules
 from pimentoledge.routing import server_connections
-from pimentoledge.routing import verdicts
-from pimentoledge.routing import waits
+from pimentoledge.routing import wait_estimates
 
 # How long an idle connection to a server is kept if the server says nothing.
 IDLE_SECONDS = 3.0
@@ -25,7 +25,7 @@
         reason: what was met.
     """
 
-    def __init__(self, outcome: verdicts.Outcome, reason: str):
+    def __init__(self, outcome: retry_rules.AttemptOutcome, reason: str):
         super().__init__(reason)
         self.outcome = outcome
         self.reason = reason
@@ -35,7 +35,7 @@
     """Sends a request to a server and reads its answer.
 
     Attributes:
-        ask: the request.
+        client_request: the request.
         backend: the server.
         dispatch: what is sent besides the request.
         pool: where the connection goes back to.
@@ -51,23 +51,23 @@
     def __init__(
         self,
         *,
-        ask: asks.Ask,
+        client_request: request_types.ClientRequest,
         backend: backends.Backend,
-        dispatch: asks.Dispatch,
-        pool: server_connections.Pool,
+        dispatch: request_types.Dispatch,
+        pool: server_connections.ConnectionPool,
         connection: server_connections.ServerConnection,
         most_idle: int | None,
-        speeds: waits.Speeds,
+        speeds: wait_estimates.Speeds,
     ):
-        self.ask = ask
+        self.client_request = client_request
         self.backend = backend
         self.dispatch = dispatch
         self.pool = pool
         self.connection = connection
         self.most_idle = most_idle
         self.speeds = speeds
-        self.account = accounts.Account(
-            ask=ask, backend=backend, dispatch=dispatch
+        self.account = attempt_loads.AttemptLoad(
+            client_request=client_request, backend=backend, dispatch=dispatch
         )
         self.begun = False
         self.withdrawn = False
@@ -77,7 +77,9 @@
         """Sends the request."""
         self.sent = clocks.now()
         self.account.start(self.speeds, self.sent)
-        self.connection.send(requests.encode_request(self.ask, self.dispatch))
+        self.connection.send(
+            requests.encode_request(self.client_request, self.dispatch)
+        )
 
     def close(self) -> None:
         """Ends the attempt; a server still at work on it is stopped."""
@@ -87,7 +89,7 @@
 
     def has_begun(self) -> bool:
         """Returns whether the server has begun to answer, or broke off."""
-        return self.begun or self.connection.is_heard()
+        return self.begun or self.connection.has_unread_input()
 
     def withdraw(self, reason: str) -> None:
         """Gives the attempt up, so that the server doesn't begin it."""
@@ -96,7 +98,7 @@
 
     async def read_head(
         self,
-    ) -> tuple[asks.Answer, http_messages.ResponseHead]:
+    ) -> tuple[request_types.ServerResponse, http_messages.ResponseHead]:
         """Returns the head of this request's answer; raises BrokenError.
 
         A server may send a second answer late, where the next one is due; it
@@ -104,32 +106,33 @@
         """
         while True:
             match await self.connection.next():
-                case server_connections.Headed(head=head):
+                case server_connections.HeadReceived(head=head):
                     answer = requests.decode_answer(head)
-                    if answer.request == self.ask.request:
+                    if answer.request == self.client_request.request:
                         self.begun = True
                         return answer, head
                     self.connection.reusable = False
                     if head.ends_by_close or answer.request is None:
                         raise BrokenError(
-                            verdicts.Outcome.BROKE, "another request's answer"
+                            retry_rules.AttemptOutcome.BROKE,
+                            "another request's answer",
                         )
-                case server_connections.Broke(reason=reason):
-                    outcome = verdicts.Outcome.BROKE
+                case server_connections.ConnectionBroken(reason=reason):
+                    outcome = retry_rules.AttemptOutcome.BROKE
                     if self.withdrawn:
-                        outcome = verdicts.Outcome.WITHDRAWN
+                        outcome = retry_rules.AttemptOutcome.WITHDRAWN
                     raise BrokenError(outcome, reason)
 
     async def next_piece(self) -> bytes | None:
         """Returns the next bytes of the body, or None at its whole end."""
         while True:
             match await self.connection.next():
-                case server_connections.Piece(data=data):
+                case server_connections.BodyReceived(data=data):
                     return data
-                case server_connections.Ended():
+                case server_connections.ResponseEnded():
                     return None
-                case server_connections.Broke(reason=reason):
-                    raise BrokenError(verdicts.Outcome.BROKE, reason)
+                case server_connections.ConnectionBroken(reason=reason):
+                    raise BrokenError(retry_rules.AttemptOutcome.BROKE, reason)
 
     async def read_body(self) -> bytes:
         """Returns the whole body; raises BrokenError."""
@@ -138,7 +141,7 @@
             pieces.append(piece)
         return b"".join(pieces)
 
-    def release(self, answer: asks.Answer) -> None:
+    def release(self, answer: request_types.ServerResponse) -> None:
         """Gives the connection back after a whole answer."""
         idle = answer.idle_seconds
         if idle is None:
--- a/pimentoledge/routing/backends.py
+++ b/pimentoledge/routing/backends.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import registrations
+from pimentoledge.routing import request_types
 
 # How long a server is left alone after it said that it is full.
 FULL_SECONDS = 0.15
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class Held:
+class CachedPart:
     """A part that a server is believed to keep.
 
     Attributes:
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Share:
+class PeerLoad:
     """What another router has at a server, by its last report.
 
     Attributes:
@@ -59,7 +59,7 @@
 
 
 @attrs.define(kw_only=True)
-class Notice:
+class ServerNotice:
     """What one life of a server has said of itself in answers.
 
     Attributes:
@@ -102,23 +102,23 @@
     """
 
     registration: registrations.Registration
-    notice: Notice = attrs.field(factory=Notice)
+    notice: ServerNotice = attrs.field(factory=ServerNotice)
     open: int = 0
     reading: int = 0
     read_since: float = 0.0
     unbegun: int = 0
-    load: asks.Load | None = None
+    load: request_types.ServerLoad | None = None
     load_open: int = 0
     load_unbegun: int = 0
     load_at: float = 0.0
     load_first_hand: bool = False
-    others: dict[str, Share] = attrs.field(factory=dict)
+    others: dict[str, PeerLoad] = attrs.field(factory=dict)
     avoid_until: float = 0.0
     limited_until: float = 0.0
     failures: int = 0
     over: bool = False
     loading_until: float = 0.0
-    parts: collections.OrderedDict[tuple[str, str], Held] = attrs.field(
+    parts: collections.OrderedDict[tuple[str, str], CachedPart] = attrs.field(
         factory=collections.OrderedDict
     )
     part_tokens: int = 0
@@ -126,7 +126,7 @@
     troubled_at: float = 0.0
     pace: float = 0.0
 
-    def is_of_another_life(self, born: int | None) -> bool:
+    def is_other_incarnation(self, born: int | None) -> bool:
         """Returns whether a server's word is not of this life.
 
         A later life's word shows that this one is over; the store tells of
@@ -154,7 +154,7 @@
         self.forget_parts()
         self.loading_until = 0.0
 
-    def says_it_leaves(self) -> bool:
+    def announced_leaving(self) -> bool:
         """Returns whether it has said that it leaves, here or in the store.
 
         The store may be behind: its entry doesn't take back an answer.
@@ -163,9 +163,9 @@
 
     def is_leaving(self) -> bool:
         """Returns whether it asks for no new work, or has ended."""
-        return self.over or self.says_it_leaves()
+        return self.over or self.announced_leaving()
 
-    def backs_off(self, now: float) -> bool:
+    def is_backing_off(self, now: float) -> bool:
         """Returns whether it has asked this process for no request yet.
 
         Others may be served there meanwhile, so it doesn't count as down.
@@ -174,7 +174,7 @@
 
     def is_unavailable(self, now: float) -> bool:
         """Returns whether it backs off, or its limit is used up."""
-        return self.backs_off(now) or now < self.limited_until
+        return self.is_backing_off(now) or now < self.limited_until
 
     def available_at(self) -> float:
         """Returns when it may be tried again, as far as is known."""
@@ -198,7 +198,7 @@
         age = now - self.load_at - TOLD_SECONDS
         return min(1.0, max(0.0, 1 - age / (OLD_SECONDS - TOLD_SECONDS)))
 
-    def busyness(self, now: float) -> float:
+    def estimated_requests(self, now: float) -> float:
         """Returns how many requests it is believed to have."""
         known = self.open + sum(each.open for each in self.others.values())
         if self.load is None:
@@ -239,8 +239,12 @@
         unbegun = self.unbegun + sum(each.unbegun for each in others)
         return known + int(mean * max(0, self.queued(now) - unbegun))
 
-    def told_load(
-        self, load: asks.Load, now: float, *, first_hand: bool = True
+    def update_load(
+        self,
+        load: request_types.ServerLoad,
+        now: float,
+        *,
+        first_hand: bool = True,
     ) -> None:
         """Takes what it says of its load, to this process or to another."""
         self.load = load
@@ -249,7 +253,7 @@
         self.load_unbegun = self.unbegun
         self.load_at = now
 
-    def was_full(self, now: float) -> None:
+    def back_off_full(self, now: float) -> None:
         """Leaves it alone for a moment."""
         self.avoid_until = max(self.avoid_until, now + FULL_SECONDS)
 
@@ -260,7 +264,7 @@
         self.failures = min(self.failures + 1, 4)
         self.avoid_until = now + min(pause, MOST_FAILED_SECONDS)
 
-    def unreached(self, now: float) -> bool:
+    def is_unreachable(self, now: float) -> bool:
         """Returns whether no connection to it could be opened just now."""
         return self.failures > 0 and now < self.avoid_until
 
@@ -321,13 +325,13 @@
             if key in self.parts:
                 self.parts.move_to_end(key)
                 continue
-            self.parts[key] = Held(part.tokens, ready_at)
+            self.parts[key] = CachedPart(part.tokens, ready_at)
             self.part_tokens += part.tokens
         while self.part_tokens > most and self.parts:
             _, held = self.parts.popitem(last=False)
             self.part_tokens -= held.tokens
 
-    def has_read(self, namespace: str, parts: tuple, now: float) -> None:
+    def note_parts_read(self, namespace: str, parts: tuple, now: float) -> None:
         """Notes that it has read these parts."""
         for part in parts:
             held = self.parts.get((namespace, part.name))
@@ -353,7 +357,7 @@
         self.by_incarnation: dict[str, Backend] = {}
         self.by_server: dict[str, Backend] = {}
         self.by_service: dict[str, list[Backend]] = {}
-        self._gone: collections.OrderedDict[str, Notice] = (
+        self._gone: collections.OrderedDict[str, ServerNotice] = (
             collections.OrderedDict()
         )
 
@@ -380,7 +384,9 @@
         return found
 
     def _add(self, registration: registrations.Registration) -> Backend:
-        notice = self._gone.pop(registration.incarnation, None) or Notice()
+        notice = (
+            self._gone.pop(registration.incarnation, None) or ServerNotice()
+        )
         found = Backend(registration=registration, notice=notice)
         self.by_incarnation[registration.incarnation] = found
         self.by_server[registration.server] = found
--- a/pimentoledge/routing/backoffs.py
+++ b/pimentoledge/routing/backoffs.py
@@ -1,11 +1,11 @@
 """When servers that take no request now take some again."""
 
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
 
 
 def back_at(
-    believed: beliefs.Beliefs,
+    view: cluster_views.ClusterView,
     route: configurations.Route,
     now: float,
     without: frozenset[str] | set[str] = frozenset(),
@@ -17,7 +17,7 @@
     not told beforehand.
 
     Args:
-        believed: what the process believes.
+        view: what the process believes.
         route: whose servers are meant.
         now: the time.
         without: servers, by incarnation, that can take the request no more.
@@ -25,14 +25,16 @@
     servers = [
         each
         for share in route.shares
-        for each in believed.servers.of_service(share.service)
+        for each in view.servers.of_service(share.service)
         if not each.is_leaving()
         and (
             each.is_unavailable(now)
             or each.registration.incarnation not in without
         )
     ]
-    away = [each.is_unavailable(now) or each.unreached(now) for each in servers]
+    away = [
+        each.is_unavailable(now) or each.is_unreachable(now) for each in servers
+    ]
     if not all(away) or not any(each.is_unavailable(now) for each in servers):
         return None
     return min(each.available_at() for each in servers)
--- a/pimentoledge/routing/cache_links.py
+++ b/pimentoledge/routing/cache_monitors.py
@@ -9,7 +9,7 @@
 
 import logbook
 
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import log_lines
 from pimentoledge.routing import server_connections
 
@@ -21,30 +21,32 @@
 AGAIN_SECONDS = 0.05
 
 
-class CacheLinks:
+class CacheMonitor:
     """Keeps a connection to each KV cache server of the configuration.
 
     Attributes:
-        believed: what the process believes; `caches_down` is kept here.
+        view: what the process believes; `caches_down` is kept here.
         lines: where changes of belief are written.
         pool: opens the connections.
     """
 
-    def __init__(self, *, believed: beliefs.Beliefs, lines: log_lines.Lines):
-        self.believed = believed
+    def __init__(
+        self, *, view: cluster_views.ClusterView, lines: log_lines.Lines
+    ):
+        self.view = view
         self.lines = lines
-        self.pool = server_connections.Pool()
+        self.pool = server_connections.ConnectionPool()
         self._tasks: dict[str, asyncio.Task] = {}
 
     def tick(self) -> None:
         """Follows the configuration's KV cache servers."""
-        configuration = self.believed.configuration
+        configuration = self.view.configuration
         if configuration is None:
             return
         wanted = {each.cache_address for each in configuration.cache_servers()}
         for address in set(self._tasks) - wanted:
             self._tasks.pop(address).cancel()
-            self.believed.caches_down.discard(address)
+            self.view.caches_down.discard(address)
         for address in wanted - set(self._tasks):
             task = asyncio.get_running_loop().create_task(self._keep(address))
             self._tasks[address] = task
@@ -71,12 +73,12 @@
             await asyncio.sleep(AGAIN_SECONDS)
 
     def _set_down(self, address: str, why: str) -> None:
-        if address not in self.believed.caches_down:
-            self.believed.caches_down.add(address)
-            self.believed.saved.lost()
+        if address not in self.view.caches_down:
+            self.view.caches_down.add(address)
+            self.view.saved.lost()
             self.lines.write("cache_server_down", address=address, why=why)
 
     def _set_up(self, address: str) -> None:
-        if address in self.believed.caches_down:
-            self.believed.caches_down.discard(address)
+        if address in self.view.caches_down:
+            self.view.caches_down.discard(address)
             self.lines.write("cache_server_up", address=address)
--- a/pimentoledge/routing/sources.py
+++ b/pimentoledge/routing/cache_sources.py
@@ -4,9 +4,9 @@
 
 import attrs
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
 from pimentoledge.routing import configurations
+from pimentoledge.routing import request_types
 
 # After another router sent a prompt to a runner, until its parts can be fetched
 # from there: the time to the first event of a prompt of 9,000 tokens behind
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Source:
+class CacheSource:
     """A server that keeps the first parts of a prompt.
 
     Attributes:
@@ -94,10 +94,10 @@
             to have read.
     """
 
-    best: tuple[Source, ...] = ()
+    best: tuple[CacheSource, ...] = ()
     coming: int = 0
 
-    def for_runner(self, data_centre: str, held: int) -> Source | None:
+    def for_runner(self, data_centre: str, held: int) -> CacheSource | None:
         """Returns where a runner should fetch from, or None.
 
         Args:
@@ -115,11 +115,11 @@
 def find(
     *,
     runners: list[backends.Backend],
-    stored: Source | None,
+    stored: CacheSource | None,
     model: str,
     version: int,
     namespace: str,
-    parts: tuple[asks.Part, ...],
+    parts: tuple[request_types.Part, ...],
     now: float,
 ) -> Sources:
     """Returns what can be fetched of a prompt under weights.
@@ -136,7 +136,7 @@
         parts: the shared parts.
         now: the time.
     """
-    best: dict[str, Source] = {}
+    best: dict[str, CacheSource] = {}
     coming = 0
     for each in runners:
         held = each.cached_tokens(namespace, parts)
@@ -149,7 +149,7 @@
         place = each.registration.data_centre
         known = best.get(place)
         if ready and (known is None or ready > known.tokens):
-            best[place] = Source(
+            best[place] = CacheSource(
                 address=each.registration.address,
                 data_centre=place,
                 tokens=ready,
--- a/pimentoledge/routing/calls.py
+++ b/pimentoledge/routing/calls.py
@@ -49,7 +49,7 @@
     """
 
     def __init__(self):
-        self.pool = server_connections.Pool()
+        self.pool = server_connections.ConnectionPool()
 
     def close(self) -> None:
         """Closes the connections."""
@@ -114,17 +114,17 @@
     pieces = []
     while True:
         match await connection.next():
-            case server_connections.Headed(head=found):
+            case server_connections.HeadReceived(head=found):
                 head = found
-            case server_connections.Piece(data=data):
+            case server_connections.BodyReceived(data=data):
                 pieces.append(data)
-            case server_connections.Ended():
+            case server_connections.ResponseEnded():
                 return Reply(
                     status=head.status,
                     body=_decoded(b"".join(pieces)),
                     headers=head.headers,
                 )
-            case server_connections.Broke(reason=reason):
+            case server_connections.ConnectionBroken(reason=reason):
                 raise CallError(reason, sent=True)
 
 
--- a/pimentoledge/routing/rooms.py
+++ b/pimentoledge/routing/capacity_checks.py
@@ -29,7 +29,7 @@
 BORNE_OBJECTIVES = 0.3
 
 
-class Lack(enum.StrEnum):
+class Shortage(enum.StrEnum):
     """What a runner has too little of for one more request."""
 
     SLOTS = "slots"
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Need:
+class Demand:
     """What a request needs of a runner.
 
     Attributes:
@@ -54,14 +54,14 @@
     objective_seconds: float
 
 
-def lacks(
+def shortage(
     slots: int,
-    need: Need,
+    need: Demand,
     *,
     busy: float,
     first_seconds: float,
     wait_seconds: float,
-) -> Lack | None:
+) -> Shortage | None:
     """Returns what a runner lacks for one more request, or None.
 
     A runner without requests lacks nothing: else a long prompt would be shut
@@ -78,12 +78,12 @@
         return None
     part = URGENT_SLOTS if need.urgent else LESS_URGENT_SLOTS
     if busy + 1 > part * slots:
-        return Lack.SLOTS
+        return Shortage.SLOTS
     share = URGENT_MEMORY_SHARE if need.urgent else MEMORY_SHARE
     held = (busy + 1) * need.mean_tokens
     if need.memory is not None and held > share * need.memory:
-        return Lack.MEMORY
+        return Shortage.MEMORY
     late = first_seconds > MOST_OBJECTIVES * need.objective_seconds
     if late and wait_seconds > BORNE_OBJECTIVES * need.objective_seconds:
-        return Lack.TIME
+        return Shortage.TIME
     return None
--- a/pimentoledge/routing/charges.py
+++ b/pimentoledge/routing/charges.py
@@ -35,7 +35,7 @@
         self.cost = cost
         self.owners: list[str] = []
 
-    async def acquire(self) -> limiters.Answer:
+    async def acquire(self) -> limiters.AcquireResult:
         """Asks for the cost of one run."""
         future = asyncio.get_running_loop().create_future()
         number = self.limiter.acquire(
@@ -51,7 +51,9 @@
             self.limiter.cancel(number)
             raise
 
-    def _decided(self, answer: limiters.Answer, future: asyncio.Future) -> None:
+    def _decided(
+        self, answer: limiters.AcquireResult, future: asyncio.Future
+    ) -> None:
         granted = answer.decision.granted
         if granted and not future.done():
             self.owners.append(answer.owner)
@@ -71,6 +73,6 @@
             self._give_back(self.owners.pop())
 
 
-def is_known(answer: limiters.Answer) -> bool:
+def is_known(answer: limiters.AcquireResult) -> bool:
     """Returns whether a refusal tells that the limit is used up."""
     return answer.decision.share >= KNOWN_SHARE
--- a/pimentoledge/routing/client_connections.py
+++ b/pimentoledge/routing/client_connections.py
@@ -11,7 +11,7 @@
 from pimentoledge.routing import configurations
 from pimentoledge.routing import exchanges
 from pimentoledge.routing import http_messages
-from pimentoledge.routing import own_answers
+from pimentoledge.routing import router_responses
 from pimentoledge.routing import server_connections
 
 logger = logbook.Logger("clients")
@@ -33,7 +33,7 @@
         ready: returns whether the balancer should send clients here.
         begin: makes the exchange that serves a request.
         leaving: returns whether connections are to end.
-        everyone: all open connections; this one is in it while open.
+        open_connections: all open connections; this one is in it while open.
         idle_since: when it last began to wait for a request.
         exchange: the request being served, or None.
         gone: whether the client has closed it.
@@ -43,7 +43,7 @@
     def __init__(
         self,
         *,
-        limits: Callable[[], configurations.Limits],
+        limits: Callable[[], configurations.ClientLimits],
         ready: Callable[[], bool],
         begin: Callable[..., exchanges.Exchange],
         leaving: Callable[[], bool],
@@ -53,7 +53,7 @@
         self.ready = ready
         self.begin = begin
         self.leaving = leaving
-        self.everyone = everyone
+        self.open_connections = everyone
         self.idle_since = clocks.now()
         self.exchange: exchanges.Exchange | None = None
         self.gone = False
@@ -72,14 +72,14 @@
     def connection_made(self, transport) -> None:
         """Takes the transport."""
         self._transport = transport
-        self.everyone.add(self)
+        self.open_connections.add(self)
         server_connections.keep_watch(transport.get_extra_info("socket"))
 
     def connection_lost(self, error: Exception | None) -> None:
         """Takes the end of the connection."""
         self.gone = True
         self._writable.set()
-        self.everyone.discard(self)
+        self.open_connections.discard(self)
         if self.exchange is not None:
             self.exchange.client_left()
 
@@ -134,7 +134,7 @@
             extra={"fields": {"status": error.status, "why": str(error)}},
         )
         self.send(
-            own_answers.encode(
+            router_responses.encode(
                 code=results.Code.BAD_FIELD,
                 status=error.status,
                 request="",
--- a/pimentoledge/routing/client_answers.py
+++ b/pimentoledge/routing/client_responses.py
@@ -2,13 +2,13 @@
 
 from pimentoledge import results
 from pimentoledge.platform import requests
-from pimentoledge.routing import asks
 from pimentoledge.routing import clocks
 from pimentoledge.routing import event_streams
-from pimentoledge.routing import own_answers
+from pimentoledge.routing import request_types
+from pimentoledge.routing import router_responses
 
 
-class ClientAnswer:
+class ClientResponse:
     """The answer to one request; exactly one of its ends is reached.
 
     Attributes:
@@ -35,11 +35,11 @@
         """Returns for how long the client has got nothing."""
         return now - (self._event_at or self.arrived)
 
-    def begin(self, ask: asks.Ask) -> None:
+    def begin(self, client_request: request_types.ClientRequest) -> None:
         """Takes the request that it answers."""
-        self.request = ask.request
-        self.arrived = ask.arrived
-        self.last_event = ask.resume_after
+        self.request = client_request.request
+        self.arrived = client_request.arrived
+        self.last_event = client_request.resume_after
 
     def can_resume(self) -> bool:
         """Returns whether another server's events may follow the last one.
@@ -49,7 +49,9 @@
         """
         return not self.head_sent or self.last_event is not None
 
-    def pass_on(self, answer: asks.Answer, body: bytes) -> None:
+    def pass_on(
+        self, answer: request_types.ServerResponse, body: bytes
+    ) -> None:
         """Sends a server's whole answer."""
         self.client.send(
             requests.encode_answer_head(
@@ -60,7 +62,7 @@
         self.client.finished()
 
     def pass_event(
-        self, event: event_streams.Event, answer: asks.Answer
+        self, event: event_streams.Event, answer: request_types.ServerResponse
     ) -> float | None:
         """Sends an event unless the client has it.
 
@@ -83,7 +85,7 @@
         self.gap_seconds = max(self.gap_seconds, now - before)
         return now - before
 
-    def _send_stream_head(self, answer: asks.Answer) -> None:
+    def _send_stream_head(self, answer: request_types.ServerResponse) -> None:
         if self.head_sent:
             return
         self.head_sent = True
@@ -93,7 +95,7 @@
             )
         )
 
-    def end_stream(self, answer: asks.Answer) -> None:
+    def end_stream(self, answer: request_types.ServerResponse) -> None:
         """Ends a stream that is whole."""
         self._send_stream_head(answer)
         self.client.send(b"0\r\n\r\n")
@@ -111,7 +113,7 @@
             retry_seconds: when to come back, or None.
         """
         self.client.send(
-            own_answers.encode(
+            router_responses.encode(
                 code=code,
                 request=self.request,
                 retry_seconds=retry_seconds,
--- a/pimentoledge/routing/beliefs.py
+++ b/pimentoledge/routing/cluster_views.py
@@ -3,17 +3,17 @@
 import attrs
 
 from pimentoledge.routing import backends
-from pimentoledge.routing import budgets
+from pimentoledge.routing import cache_sources
 from pimentoledge.routing import configurations
 from pimentoledge.routing import first_events as first_events_module
-from pimentoledge.routing import memories
-from pimentoledge.routing import mirrors
+from pimentoledge.routing import memory_estimates
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import peer_messages
+from pimentoledge.routing import retry_budgets
 from pimentoledge.routing import saved_parts
 from pimentoledge.routing import server_limits as server_limits_module
-from pimentoledge.routing import sources
 from pimentoledge.routing import suspects as suspects_module
-from pimentoledge.routing import waits
+from pimentoledge.routing import wait_estimates
 from pimentoledge.routing import wanted_weights
 from pimentoledge.routing.quotas import ledgers
 
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Bounds:
+class RouterBounds:
     """Figures that the deployment sets.
 
     Attributes:
@@ -46,11 +46,11 @@
     grace_seconds: float = 8.0
     drain_seconds: float = 2.0
     configuration_seconds: float = 2.0
-    limits: ledgers.Bounds = ledgers.Bounds()
+    limits: ledgers.QuotaBounds = ledgers.QuotaBounds()
 
 
 @attrs.define(kw_only=True)
-class Beliefs:
+class ClusterView:
     """What one process believes; only its loop touches it.
 
     Attributes:
@@ -75,7 +75,7 @@
         saved: which shared parts the KV cache servers keep.
         links: how busy those servers' links are.
         prompts_sent: what the other routers are yet to be told of prompts.
-        hears_all: whether every router tells this one what it has at servers;
+        reaches_all: whether every router tells this one what it has at servers;
             else those of its data centre do.
         elsewhere: what runners of other data centres have, in the mean.
         suspects: content that was in servers that crashed.
@@ -84,43 +84,43 @@
     name: str
     data_centre: str
     born: float
-    bounds: Bounds = attrs.field(factory=Bounds)
+    bounds: RouterBounds = attrs.field(factory=RouterBounds)
     configuration: configurations.Configuration | None = None
     configured: float = 0.0
-    copied: dict[str, mirrors.Mirror] = attrs.field(factory=dict)
+    copied: dict[str, object_caches.ObjectCache] = attrs.field(factory=dict)
     servers: backends.Backends = attrs.field(factory=backends.Backends)
     server_limits: server_limits_module.ServerLimits = attrs.field(
         factory=server_limits_module.ServerLimits
     )
-    wanted: dict[str, wanted_weights.Wanted] = attrs.field(factory=dict)
+    wanted: dict[str, wanted_weights.WantedWeights] = attrs.field(factory=dict)
     caches_down: set[str] = attrs.field(factory=set)
     members: int = 1
     leaving: bool = False
     refusing: bool = False
-    repeats: dict[str, budgets.Budget] = attrs.field(factory=dict)
+    repeats: dict[str, retry_budgets.Budget] = attrs.field(factory=dict)
     suspects: suspects_module.Suspects = attrs.field(
         factory=suspects_module.Suspects
     )
-    first_events: dict[str, first_events_module.FirstEvents] = attrs.field(
+    first_events: dict[str, first_events_module.FirstEventFit] = attrs.field(
         factory=dict
     )
-    unshared: dict[str, memories.MeanTokens] = attrs.field(factory=dict)
-    prompts_sent: list[peer_messages.Prompt] = attrs.field(factory=list)
-    hears_all: bool = True
-    elsewhere: dict[str, waits.Mean] = attrs.field(factory=dict)
+    unshared: dict[str, memory_estimates.MeanTokens] = attrs.field(factory=dict)
+    prompts_sent: list[peer_messages.PromptReport] = attrs.field(factory=list)
+    reaches_all: bool = True
+    elsewhere: dict[str, wait_estimates.MeanLoad] = attrs.field(factory=dict)
     saved: saved_parts.SavedParts = attrs.field(factory=saved_parts.SavedParts)
-    links: sources.Links = attrs.field(factory=sources.Links)
+    links: cache_sources.Links = attrs.field(factory=cache_sources.Links)
 
     def known_at(self, name: str) -> float:
         """Returns as of when a kind of the store's objects is known, or 0."""
         found = self.copied.get(name)
         return found.known_at if found is not None else 0.0
 
-    def budget(self, service: str) -> budgets.Budget:
+    def budget(self, service: str) -> retry_budgets.Budget:
         """Returns the budget of a service."""
         found = self.repeats.get(service)
         if found is None:
-            found = budgets.Budget(
+            found = retry_budgets.Budget(
                 ratio=self.bounds.budget_ratio,
                 slack=self.bounds.budget_slack,
                 window_seconds=self.bounds.budget_seconds,
@@ -129,15 +129,15 @@
             self.repeats[service] = found
         return found
 
-    def first_event(self, model: str) -> first_events_module.FirstEvents:
+    def first_event(self, model: str) -> first_events_module.FirstEventFit:
         """Returns what is known of a model's first events."""
         return self.first_events.setdefault(
-            model, first_events_module.FirstEvents()
+            model, first_events_module.FirstEventFit()
         )
 
-    def mean_unshared(self, model: str) -> memories.MeanTokens:
+    def mean_unshared(self, model: str) -> memory_estimates.MeanTokens:
         """Returns what a model's requests don't share, in the mean."""
-        return self.unshared.setdefault(model, memories.MeanTokens())
+        return self.unshared.setdefault(model, memory_estimates.MeanTokens())
 
     def rebound(self) -> None:
         """Brings the budgets to changed bounds; what was spent stays."""
@@ -168,7 +168,7 @@
         known = self.wanted.get(model)
         if known is not None:
             return known.take(named)
-        self.wanted[model] = wanted_weights.Wanted(named)
+        self.wanted[model] = wanted_weights.WantedWeights(named)
         return True
 
     def begins_until(self, model: str, version: int | None) -> float | None:
--- a/pimentoledge/routing/configurations.py
+++ b/pimentoledge/routing/configurations.py
@@ -8,7 +8,7 @@
 USUAL_TIMEOUT_SECONDS = 60.0
 
 
-class Kind(enum.StrEnum):
+class Repeatability(enum.StrEnum):
     """What may be repeated."""
 
     SAFE = "safe"
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Share:
+class ServiceShare:
     """A service and its share of a route's requests."""
 
     service: str
@@ -47,11 +47,11 @@
     name: str
     host: str
     path_prefix: str
-    kind: Kind
+    kind: Repeatability
     timeout_seconds: float
     objective_seconds: float
     urgency: int
-    shares: tuple[Share, ...]
+    shares: tuple[ServiceShare, ...]
     most_servers: int
     open: bool
     by_prefix: bool
@@ -60,7 +60,7 @@
 
     def repeatable(self) -> bool:
         """Returns whether a request may run more than once."""
-        return self.kind is Kind.SAFE or self.resumable
+        return self.kind is Repeatability.SAFE or self.resumable
 
 
 class Unit(enum.StrEnum):
@@ -143,7 +143,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Limits:
+class ClientLimits:
     """Bounds on what clients send.
 
     Attributes:
@@ -177,7 +177,7 @@
     routes: dict[str, list[Route]]
     organisations: dict[str, Organisation]
     services: dict[str, Service]
-    limits: Limits
+    limits: ClientLimits
     by_key: dict[str, Organisation] | None
     has_quotas: bool = False
 
@@ -203,7 +203,7 @@
     routes: list[Route],
     organisations: list[Organisation] | None,
     services: list[Service],
-    limits: Limits,
+    limits: ClientLimits,
 ) -> Configuration:
     """Returns a configuration with its indexes."""
     by_host: dict[str, list[Route]] = {}
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -12,28 +12,28 @@
 from pimentoledge.platform import names
 from pimentoledge.platform import orders
 from pimentoledge.platform import stores
-from pimentoledge.routing import beliefs
-from pimentoledge.routing import cache_links
+from pimentoledge.routing import cache_monitors
 from pimentoledge.routing import calls
 from pimentoledge.routing import client_connections
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
 from pimentoledge.routing import counters
 from pimentoledge.routing import exchanges
-from pimentoledge.routing import holders
+from pimentoledge.routing import hedged_calls
+from pimentoledge.routing import lease_holders
 from pimentoledge.routing import leases
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import mirrors
-from pimentoledge.routing import notices
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import pages
 from pimentoledge.routing import pauses
 from pimentoledge.routing import peers
 from pimentoledge.routing import rechecks
 from pimentoledge.routing import rollouts
-from pimentoledge.routing import second_calls
 from pimentoledge.routing import server_connections
+from pimentoledge.routing import server_notices
 from pimentoledge.routing import server_permits
-from pimentoledge.routing import takers as takers_module
+from pimentoledge.routing import view_updaters
 from pimentoledge.routing import watchers
 from pimentoledge.routing.quotas import ledgers
 
@@ -61,7 +61,7 @@
 
     Attributes:
         chosen: its checked settings.
-        believed: what it believes.
+        view: what it believes.
         counters: what it counts.
         lines: where decisions are written.
         notices: takes what answers say of their servers.
@@ -74,30 +74,30 @@
         self.chosen = chosen
         self.counters = counters.Counters()
         self.lines = log_lines.Lines(counters=self.counters)
-        self.believed = beliefs.Beliefs(
+        self.view = cluster_views.ClusterView(
             name=chosen.text("name"),
             data_centre=chosen.text("data-centre"),
             born=clocks.now(),
             bounds=_bounds(chosen),
         )
-        self.notices = notices.Notices(
-            servers=self.believed.servers,
-            limits=self.believed.server_limits,
+        self.notices = server_notices.ServerNotices(
+            servers=self.view.servers,
+            limits=self.view.server_limits,
             lines=self.lines,
             limit_changed=lambda server: (
                 self.peers.limit_reports.changed(server)
             ),
             arrived=lambda now: self.pauses.arrived(now),
         )
-        self.pool = server_connections.Pool()
+        self.pool = server_connections.ConnectionPool()
         self.caller = calls.Caller()
         self.connections: set[client_connections.ClientConnection] = set()
         self.exchanges: set[exchanges.Exchange] = set()
         self.store = stores.Store(
             address=chosen.text("store-address"), caller=self.caller
         )
-        self.takers = takers_module.Takers(
-            believed=self.believed,
+        self.updater = view_updaters.ViewUpdater(
+            view=self.view,
             lines=self.lines,
             news=self._news,
             died=self._died,
@@ -105,26 +105,24 @@
             restarted=self._restarted,
         )
         kinds = {
-            "configuration": mirrors.Mirror(
-                kind=names.CONFIGURATIONS, take=self.takers.configuration
+            "configuration": object_caches.ObjectCache(
+                kind=names.CONFIGURATIONS, take=self.updater.configuration
             ),
-            "servers": mirrors.Mirror(
-                kind=names.SERVERS, take=self.takers.servers
+            "servers": object_caches.ObjectCache(
+                kind=names.SERVERS, take=self.updater.servers
             ),
-            "weights": mirrors.Mirror(
-                kind=names.WEIGHTS_NAMED, take=self.takers.weights
+            "weights": object_caches.ObjectCache(
+                kind=names.WEIGHTS_NAMED, take=self.updater.weights
             ),
         }
-        self.believed.copied = kinds
+        self.view.copied = kinds
         bounds = {
-            "configuration": lambda: (
-                self.believed.bounds.configuration_seconds
-            ),
-            "servers": lambda: self.believed.bounds.drain_seconds,
-            "weights": lambda: self.believed.bounds.weights_seconds,
+            "configuration": lambda: (self.view.bounds.configuration_seconds),
+            "servers": lambda: self.view.bounds.drain_seconds,
+            "weights": lambda: self.view.bounds.weights_seconds,
         }
         self.pauses = pauses.Pauses()
-        answers = second_calls.Answers()
+        answers = hedged_calls.AnswerSignal()
         self.kinds = {
             name: watchers.Watcher(
                 mirror=each,
@@ -142,43 +140,43 @@
         listen = chosen.text("peer-listen")
         holder = f"{chosen.text('name')}@{listen}"
         self.lease = leases.Lease(
-            holder=holder, lease_seconds=self.believed.bounds.lease_seconds
+            holder=holder, lease_seconds=self.view.bounds.lease_seconds
         )
-        self.peers = peers.Peers(
+        self.peers = peers.PeerMessenger(
             listen=listen,
             seeds=chosen.listed("peer-seeds"),
-            believed=self.believed,
+            view=self.view,
             lease=self.lease,
             watching=self.kinds,
-            takers=self.takers,
+            takers=self.updater,
             notices=self.notices,
             store=self.store,
             lines=self.lines,
             arrived=self.pauses.arrived,
         )
         self.permits = server_permits.Permits(
-            limits=self.believed.server_limits,
+            limits=self.view.server_limits,
             limiter=self.peers.limiter,
             lines=self.lines,
         )
         for each in self.watchers:
-            each.turn = self.peers.copies.look_turn
+            each.turn = self.peers.replicator.poll_rank
         for name in ("servers", "weights"):
-            self.kinds[name].follows = self.peers.copies.follows
-        self.kinds["servers"].told = self.peers.copies.tell
+            self.kinds[name].follows = self.peers.replicator.follows
+        self.kinds["servers"].told = self.peers.replicator.forward_changes
         runners = orders.Runners(
             caller=self.caller, holder=holder, heard=self.notices.take_reply
         )
         self.rechecks = rechecks.Rechecks(
             runners=runners, permits=self.permits, lines=self.lines
         )
-        self.cache_links = cache_links.CacheLinks(
-            believed=self.believed, lines=self.lines
+        self.cache_links = cache_monitors.CacheMonitor(
+            view=self.view, lines=self.lines
         )
-        self.holder = holders.Holder(
-            believed=self.believed,
+        self.holder = lease_holders.LeaseHolder(
+            view=self.view,
             lease=self.lease,
-            rollout=rollouts.Rollout(believed=self.believed),
+            rollout=rollouts.Rollout(view=self.view),
             store=self.store,
             runners=runners,
             permits=self.permits,
@@ -211,14 +209,14 @@
             )
         self.peers.start()
         self.holder.start()
-        self.lines.write("started", name=self.believed.name)
+        self.lines.write("started", name=self.view.name)
 
     def _news(self) -> None:
-        self.peers.news()
+        self.peers.beat_now()
 
     def _lapse_ends(self) -> float:
         return max(
-            self.kinds["servers"].lapse_ends(), self.peers.copies.lapse_told
+            self.kinds["servers"].lapse_ends(), self.peers.replicator.lapse_told
         )
 
     def _restarted(self, address: str) -> None:
@@ -229,11 +227,11 @@
         self.peers.server_died(incarnation)
 
     def _page(self) -> bytes:
-        configuration = self.believed.configuration
+        configuration = self.view.configuration
         now = clocks.now()
         ages = {
             f"{name}_age_seconds": now - each.known_at
-            for name, each in self.believed.copied.items()
+            for name, each in self.view.copied.items()
             if each.known_at
         }
         return self.counters.page(
@@ -243,7 +241,7 @@
                 "configuration_version": configuration.version
                 if configuration
                 else 0,
-                "routers": self.believed.members,
+                "routers": self.view.members,
                 "server_connections_opened": self.pool.opened,
             }
         )
@@ -262,10 +260,10 @@
             if value.text != self.chosen.text(name)
         ]
         self.chosen = chosen
-        self.believed.bounds = _bounds(chosen)
-        self.believed.rebound()
-        self.peers.limiter.rebound(self.believed.bounds.limits)
-        self.lease.lease_seconds = self.believed.bounds.lease_seconds
+        self.view.bounds = _bounds(chosen)
+        self.view.rebound()
+        self.peers.limiter.rebound(self.view.bounds.limits)
+        self.lease.lease_seconds = self.view.bounds.lease_seconds
         self.store.address = chosen.text("store-address")
         self.peers.add_seeds(chosen.listed("peer-seeds"))
         self.lines.write("reload", changed=",".join(changed))
@@ -283,28 +281,28 @@
     def _connection(self) -> client_connections.ClientConnection:
         return client_connections.ClientConnection(
             limits=self._limits,
-            ready=self.believed.ready,
+            ready=self.view.ready,
             begin=self._begin,
-            leaving=lambda: self.believed.leaving,
+            leaving=lambda: self.view.leaving,
             everyone=self.connections,
         )
 
-    def _limits(self) -> configurations.Limits:
-        if self.believed.configuration is None:
-            return configurations.Limits()
-        return self.believed.configuration.limits
+    def _limits(self) -> configurations.ClientLimits:
+        if self.view.configuration is None:
+            return configurations.ClientLimits()
+        return self.view.configuration.limits
 
     def _begin(self, decoded, client) -> exchanges.Exchange:
         return exchanges.Exchange(
             decoded=decoded,
             client=client,
-            believed=self.believed,
+            view=self.view,
             pool=self.pool,
             lines=self.lines,
             everyone=self.exchanges,
             died=self._died,
             doubt=self.rechecks.doubt,
-            prompt_changed=self.peers.work_reports.prompt_changed,
+            prompt_changed=self.peers.load_reports.prompt_changed,
             limiter=self.peers.limiter,
             notices=self.notices,
             permits=self.permits,
@@ -352,20 +350,20 @@
             each.withdraw_if_late(now)
         self.peers.tick(now)
         self.cache_links.tick()
-        self.takers.tick(now)
+        self.updater.tick(now)
         self._reload_if_changed(now)
 
     async def drain(self) -> None:
         """Leaves the balancer, finishes what was read, then stops."""
         self.lines.write("leaving")
-        self.believed.leaving = True
+        self.view.leaving = True
         self.peers.limiter.leave(clocks.now())
-        self.peers.news()
+        self.peers.beat_now()
         told = clocks.now()
-        until = told + self.believed.bounds.grace_seconds - END_MARGIN_SECONDS
+        until = told + self.view.bounds.grace_seconds - END_MARGIN_SECONDS
         while clocks.now() < until:
             self.tick()
-            self.believed.refusing = clocks.now() - told > LEAVE_SECONDS
+            self.view.refusing = clocks.now() - told > LEAVE_SECONDS
             busy = self.exchanges or self.holder.busy()
             if not busy and clocks.now() - told > LEAVE_SECONDS:
                 break
@@ -390,8 +388,8 @@
         self.lines.write("ended")
 
 
-def _bounds(chosen: settings.Settings) -> beliefs.Bounds:
-    return beliefs.Bounds(
+def _bounds(chosen: settings.Settings) -> cluster_views.RouterBounds:
+    return cluster_views.RouterBounds(
         budget_ratio=chosen.number("retry-ratio"),
         budget_slack=chosen.number("retry-slack"),
         budget_seconds=chosen.number("retry-window-s"),
@@ -400,7 +398,7 @@
         grace_seconds=chosen.number("grace-s"),
         drain_seconds=chosen.number("drain-ms") / 1000,
         configuration_seconds=chosen.number("config-ms") / 1000,
-        limits=ledgers.Bounds(
+        limits=ledgers.QuotaBounds(
             window_seconds=chosen.number("limit-window-s"),
             over=chosen.number("limit-over"),
             slack=chosen.number("limit-slack"),
--- a/pimentoledge/routing/grounds.py
+++ b/pimentoledge/routing/decision_fields.py
@@ -1,15 +1,15 @@
 """What decided a request's way, with its age, for the log lines."""
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
 from pimentoledge.routing import placements
+from pimentoledge.routing import request_types
 
 
 def of_choice(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     choice: placements.Choice,
     now: float,
 ) -> dict[str, object]:
@@ -19,19 +19,19 @@
     was ever heard.
     """
     backend = choice.backend
-    found = _configuration(believed, now) | {
+    found = _configuration(view, now) | {
         "usable": choice.usable,
         "declared": choice.declared,
-        "servers_age": _age(believed.known_at("servers"), now),
-        "cost": round(choice.offer.cost, 1),
-        "first_ms": round(1000 * choice.offer.first_seconds, 1),
+        "servers_age": _age(view.known_at("servers"), now),
+        "cost": round(choice.candidate.cost, 1),
+        "first_ms": round(1000 * choice.candidate.first_seconds, 1),
         "second": None if choice.second is None else round(choice.second, 1),
-        "busy": round(backend.busyness(now), 1),
+        "busy": round(backend.estimated_requests(now), 1),
         "load_age": _age(backend.load_at, now),
     }
-    wanted = believed.wanted.get(ask.model)
+    wanted = view.wanted.get(client_request.model)
     if wanted is not None:
-        found["weights"] = placements.weights_of(backend, ask.model)
+        found["weights"] = placements.weights_of(backend, client_request.model)
         superseded = wanted.superseded(found["weights"] or wanted.version)
         if superseded is not None:
             found["superseded_age"] = _age(superseded, now)
@@ -41,58 +41,64 @@
 
 
 def of_dispatch(
-    ask: asks.Ask, backend: backends.Backend, sent: asks.Dispatch
+    client_request: request_types.ClientRequest,
+    backend: backends.Backend,
+    sent: request_types.Dispatch,
 ) -> dict[str, object]:
     """Returns what a server was told of a prompt's cached parts.
 
     By it a reader of many routers' lines finds which part was read where, and
     whether it could have been fetched.
     """
-    if sent.namespace is None or not ask.parts:
+    if sent.namespace is None or not client_request.parts:
         return {}
     return {
         "urgency": sent.urgency,
         "namespace": sent.namespace,
-        "parts": [f"{each.name}:{each.tokens}" for each in ask.shared],
-        "unshared": ask.unshared_tokens(),
-        "held": backend.cached_tokens(sent.namespace, ask.shared),
+        "parts": [
+            f"{each.name}:{each.tokens}" for each in client_request.shared
+        ],
+        "unshared": client_request.unshared_tokens(),
+        "held": backend.cached_tokens(sent.namespace, client_request.shared),
         "fetch": sent.fetch_from,
         "save": sent.save_to is not None,
     }
 
 
 def of_refusal(
-    believed: beliefs.Beliefs,
+    view: cluster_views.ClusterView,
     route: configurations.Route | None,
     tried: int,
     now: float,
 ) -> dict[str, object]:
     """Returns what a refusal went by."""
-    if believed.configuration is None:
+    if view.configuration is None:
         return {"configuration": None}
-    found = _configuration(believed, now)
+    found = _configuration(view, now)
     if route is None:
         return found
     servers = [
         each
         for share in route.shares
-        for each in believed.servers.of_service(share.service)
+        for each in view.servers.of_service(share.service)
     ]
-    budget = believed.budget(route.shares[0].service)
+    budget = view.budget(route.shares[0].service)
     return found | {
         "servers": len(servers),
         "usable": sum(each.usable(now) for each in servers),
-        "backing_off": sum(each.backs_off(now) for each in servers),
+        "backing_off": sum(each.is_backing_off(now) for each in servers),
         "limited": sum(now < each.limited_until for each in servers),
         "tried": tried,
-        "repeats_left": round(budget.allowance(now, believed.members), 1),
+        "repeats_left": round(budget.allowance(now, view.members), 1),
     }
 
 
-def _configuration(believed: beliefs.Beliefs, now: float) -> dict[str, object]:
+def _configuration(
+    view: cluster_views.ClusterView, now: float
+) -> dict[str, object]:
     return {
-        "configuration": believed.configuration.version,
-        "configuration_age": _age(believed.configured, now),
+        "configuration": view.configuration.version,
+        "configuration_age": _age(view.configured, now),
     }
 
 
