--- a/pimentoledge/routing/exchanges.py
+++ b/pimentoledge/routing/exchanges.py
@@ -7,28 +7,28 @@
 from returns import result
 
 from pimentoledge import results
-from pimentoledge.routing import asks
 from pimentoledge.routing import attempts
 from pimentoledge.routing import backends
 from pimentoledge.routing import backoffs
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import capacity_checks
 from pimentoledge.routing import charges
-from pimentoledge.routing import client_answers
+from pimentoledge.routing import client_responses
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
+from pimentoledge.routing import decision_fields
 from pimentoledge.routing import event_streams
-from pimentoledge.routing import grounds
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import memories
-from pimentoledge.routing import notices as notices_module
-from pimentoledge.routing import own_answers
+from pimentoledge.routing import memory_estimates
 from pimentoledge.routing import placements
-from pimentoledge.routing import rooms
+from pimentoledge.routing import request_types
+from pimentoledge.routing import retry_rules
+from pimentoledge.routing import router_responses
 from pimentoledge.routing import selections
 from pimentoledge.routing import server_connections
+from pimentoledge.routing import server_notices
 from pimentoledge.routing import server_permits
 from pimentoledge.routing import suspects
-from pimentoledge.routing import verdicts
 from pimentoledge.routing.quotas import ledgers
 from pimentoledge.routing.quotas import limiters
 
@@ -59,12 +59,13 @@
     Attributes:
         decoded: the request, or why it can't be told.
         answer: what the client is sent.
-        believed: what the process believes.
+        view: what the process believes.
         pool: connections to servers.
         lines: where decisions are written.
-        everyone: all exchanges under way; this one is in it while it runs.
+        active_exchanges: all exchanges under way; this one is in it while
+            it runs.
         died: called with a server that was found dead.
-        doubt: called with a server that is not as it was believed to be.
+        recheck: called with a server that is not as it was believed to be.
         prompt_changed: called with the length of a prompt that was sent, or
             read, and the time.
         limiter: holds organisations' limits.
@@ -80,49 +81,51 @@
     def __init__(
         self,
         *,
-        decoded: result.Result[asks.Ask, results.Error],
+        decoded: result.Result[request_types.ClientRequest, results.Error],
         client,
-        believed: beliefs.Beliefs,
-        pool: server_connections.Pool,
+        view: cluster_views.ClusterView,
+        pool: server_connections.ConnectionPool,
         lines: log_lines.Lines,
         everyone: set["Exchange"],
         died: Callable[[str], None],
         doubt: Callable[[backends.Backend], None],
         prompt_changed: Callable[[int, float], None],
         limiter: limiters.Limiter,
-        notices: notices_module.Notices,
+        notices: server_notices.ServerNotices,
         permits: server_permits.Permits,
     ):
         self.decoded = decoded
         self.died = died
-        self.doubt = doubt
+        self.recheck = doubt
         self.prompt_changed = prompt_changed
         self.limiter = limiter
         self.notices = notices
         self.permits = permits
-        self.answer = client_answers.ClientAnswer(client=client)
-        self.believed = believed
+        self.answer = client_responses.ClientResponse(client=client)
+        self.view = view
         self.pool = pool
         self.lines = lines
-        self.everyone = everyone
+        self.active_exchanges = everyone
         self.content = ""
-        self.history = verdicts.History()
-        self.ask: asks.Ask | None = None
+        self.history = retry_rules.AttemptHistory()
+        self.client_request: request_types.ClientRequest | None = None
         self.route: configurations.Route | None = None
         self.organisation: configurations.Organisation | None = None
         self.charge: charges.Charge | None = None
         self._ends_at = 0.0
         self._ending = False
         self._chosen: dict[str, object] = {}
-        self._lacks: dict[rooms.Lack, int] = {}
+        self._lacks: dict[capacity_checks.Shortage, int] = {}
         self._limit_refusals = 0
         self._task: asyncio.Task | None = None
         self._under_way: attempts.Attempt | None = None
-        self._failed_answer: tuple[asks.Answer, bytes] | None = None
+        self._failed_answer: (
+            tuple[request_types.ServerResponse, bytes] | None
+        ) = None
 
     def start(self) -> None:
         """Begins; the client's connection is told when it has ended."""
-        self.everyone.add(self)
+        self.active_exchanges.add(self)
         self._task = asyncio.get_running_loop().create_task(self.run())
 
     def client_left(self) -> None:
@@ -134,7 +137,7 @@
         """
         unsafe = (
             self.route is not None
-            and self.route.kind is configurations.Kind.UNSAFE
+            and self.route.kind is configurations.Repeatability.UNSAFE
         )
         if unsafe and self.history.sends:
             return
@@ -152,11 +155,11 @@
         finally:
             if self.charge is not None:
                 self.charge.settle(self.history.runs())
-            self.everyone.discard(self)
+            self.active_exchanges.discard(self)
 
     def _cancelled(self) -> None:
         if self._ending:
-            self._give_up(verdicts.late_code(self.history))
+            self._give_up(retry_rules.timeout_code(self.history))
             return
         self._log(
             "client_left",
@@ -176,10 +179,10 @@
             case result.Failure(error):
                 self._refuse(error.code)
                 return
-            case result.Success(ask):
-                self.ask = ask
-                self.answer.begin(ask)
-        code = self._accept(ask)
+            case result.Success(client_request):
+                self.client_request = client_request
+                self.answer.begin(client_request)
+        code = self._accept(client_request)
         if code is not None:
             self._refuse(code)
             return
@@ -190,42 +193,48 @@
                 await self._try_servers()
         except TimeoutError:
             self._unanswered()
-            self._give_up(verdicts.late_code(self.history))
+            self._give_up(retry_rules.timeout_code(self.history))
 
     def _unanswered(self) -> None:
         """Takes a deadline without an answer as evidence about a server."""
         pending = self.history.pending
-        backend = self.believed.servers.by_incarnation.get(pending)
+        backend = self.view.servers.by_incarnation.get(pending)
         if backend is not None and not self.answer.head_sent:
             backend.troubled(clocks.now())
 
-    def _accept(self, ask: asks.Ask) -> results.Code | None:
+    def _accept(
+        self, client_request: request_types.ClientRequest
+    ) -> results.Code | None:
         """Checks the request; returns why it is refused, or None."""
-        if self.believed.refusing:
+        if self.view.refusing:
             # A request begun now could be cut by the end of the grace time.
             return results.Code.SHUTTING_DOWN
-        configuration = self.believed.configuration
+        configuration = self.view.configuration
         if configuration is None:
             return results.Code.CONFIGURATION_INCOMPLETE
-        route = configuration.match(ask.host, ask.path)
+        route = configuration.match(client_request.host, client_request.path)
         if route is None:
             return results.Code.NOT_FOUND
         if configuration.by_key is not None and not route.open:
-            self.organisation = configuration.by_key.get(ask.key)
+            self.organisation = configuration.by_key.get(client_request.key)
             if self.organisation is None:
                 return results.Code.BAD_KEY
             self.charge = self._charge(configuration.version)
         self.route = route
-        wait = ask.wait_seconds
+        wait = client_request.wait_seconds
         if wait is None:
             wait = DEFAULT_WAIT_SECONDS
-        self._ends_at = ask.arrived + min(wait, route.timeout_seconds)
-        self.content = suspects.fingerprint(ask)
-        if ask.model:
-            self.believed.mean_unshared(ask.model).note(
-                memories.unshared_tokens(ask)
+        self._ends_at = client_request.arrived + min(
+            wait, route.timeout_seconds
+        )
+        self.content = suspects.fingerprint(client_request)
+        if client_request.model:
+            self.view.mean_unshared(client_request.model).note(
+                memory_estimates.unshared_tokens(client_request)
             )
-        if self.believed.suspects.is_barred(self.content, ask.arrived):
+        if self.view.suspects.is_quarantined(
+            self.content, client_request.arrived
+        ):
             return results.Code.CRASHES
         return None
 
@@ -242,7 +251,7 @@
                 per_second=quota.per_second,
                 burst=quota.burst,
             ),
-            cost=quota.cost(self.ask.tokens()),
+            cost=quota.cost(self.client_request.tokens()),
         )
 
     async def _is_charged(self) -> bool:
@@ -257,7 +266,7 @@
         self._limited(answer)
         return False
 
-    def _limited(self, answer: limiters.Answer) -> None:
+    def _limited(self, answer: limiters.AcquireResult) -> None:
         """Ends a request for which the limit has no room."""
         decision = answer.decision
         known = charges.is_known(answer)
@@ -280,12 +289,12 @@
             wait_s=decision.wait_seconds,
         )
         if self.history.runs():
-            self._give_up(verdicts.final_code(self.history))
+            self._give_up(retry_rules.final_code(self.history))
             return
         if known:
-            wait = own_answers.limit_retry_seconds(decision.wait_seconds)
+            wait = router_responses.limit_retry_seconds(decision.wait_seconds)
         else:
-            wait = own_answers.retry_seconds(code)
+            wait = router_responses.retry_seconds(code)
         self.answer.refuse(code, wait)
 
     async def _try_servers(self) -> None:
@@ -298,12 +307,14 @@
                 seconds = WAIT_SHARE * self.route.objective_seconds
                 until = clocks.now() + seconds
             choice = await self._choose(until)
-            if isinstance(choice, placements.NoRoom):
-                self._lacks = choice.lacks
+            if isinstance(choice, placements.NoCapacity):
+                self._lacks = choice.shortage
                 self._give_up(self._code_without_choice(choice))
                 return
             backend = self._take(choice)
-            permit = await self.permits.acquire(backend, self.ask.request)
+            permit = await self.permits.acquire(
+                backend, self.client_request.request
+            )
             if not permit.granted:
                 self._limit_refusals += 1
                 continue
@@ -311,7 +322,7 @@
                 self._chosen["limit"] = permit.charge.limit.per_second
             if not self._may_send(backend):
                 permit.give_back()
-                self._give_up(verdicts.final_code(self.history))
+                self._give_up(retry_rules.final_code(self.history))
                 return
             until = None
             try:
@@ -327,50 +338,50 @@
                     chosen=self._chosen,
                 )
             if not self._may_go_on():
-                self._give_up(verdicts.final_code(self.history))
+                self._give_up(retry_rules.final_code(self.history))
                 return
 
-    def _code_without_choice(self, found: placements.NoRoom) -> results.Code:
+    def _code_without_choice(
+        self, found: placements.NoCapacity
+    ) -> results.Code:
         """Returns why no server could be chosen."""
-        code = verdicts.final_code(self.history)
-        if code is not results.Code.NO_SERVER or not found.lacks:
+        code = retry_rules.final_code(self.history)
+        if code is not results.Code.NO_SERVER or not found.shortage:
             return code
         return results.Code.OVERLOADED
 
     def _may_go_on(self) -> bool:
-        more = verdicts.may_go_on(self.history, self.route)
+        more = retry_rules.may_retry(self.history, self.route)
         return more and self.answer.can_resume()
 
     def _met(
-        self, backend: backends.Backend, outcome: verdicts.Outcome
+        self, backend: backends.Backend, outcome: retry_rules.AttemptOutcome
     ) -> None:
         incarnation = backend.registration.incarnation
-        self.history.met(incarnation, outcome)
-        if outcome is verdicts.Outcome.BROKE:
+        self.history.note_outcome(incarnation, outcome)
+        if outcome is retry_rules.AttemptOutcome.BROKE:
             backend.troubled(clocks.now())
-            self.believed.suspects.broke(
-                self.content, incarnation, clocks.now()
-            )
+            self.view.suspects.broke(self.content, incarnation, clocks.now())
 
     def _may_send(self, backend: backends.Backend) -> bool:
         service = backend.registration.service
-        budget = self.believed.budget(service)
+        budget = self.view.budget(service)
         now = clocks.now()
         if not self.history.sends:
-            budget.asked(now)
+            budget.note_request(now)
             return True
-        return budget.take(now, self.believed.members)
+        return budget.take(now, self.view.members)
 
     def _take(self, choice: placements.Choice) -> backends.Backend:
         """Keeps what a choice went by, as it was then, for the log."""
-        self._chosen = grounds.of_choice(
-            self.believed, self.ask, choice, clocks.now()
+        self._chosen = decision_fields.of_choice(
+            self.view, self.client_request, choice, clocks.now()
         )
         return choice.backend
 
     async def _choose(
         self, until: float
-    ) -> placements.Choice | placements.NoRoom:
+    ) -> placements.Choice | placements.NoCapacity:
         """Returns the server to send to; waits a moment for a free one.
 
         Args:
@@ -379,8 +390,8 @@
         while True:
             now = clocks.now()
             found = selections.select(
-                believed=self.believed,
-                ask=self.ask,
+                view=self.view,
+                client_request=self.client_request,
                 route=self.route,
                 organisation=self.organisation,
                 without=self._excluded(),
@@ -389,7 +400,7 @@
             if isinstance(found, placements.Choice) or now >= until:
                 return found
             back_at = backoffs.back_at(
-                self.believed, self.route, now, self._excluded()
+                self.view, self.route, now, self._excluded()
             )
             if back_at is not None and back_at > until:
                 return found
@@ -400,9 +411,9 @@
 
         After several refused permits no limited server is asked for one.
         """
-        found = self.history.tried()
+        found = self.history.excluded_servers()
         if self._limit_refusals >= MOST_LIMIT_REFUSALS:
-            found = found | self.believed.server_limits.limited()
+            found = found | self.view.server_limits.limited()
         return found
 
     async def _connect(
@@ -419,7 +430,7 @@
             backend.failed(clocks.now())
             self.died(backend.registration.incarnation)
             raise attempts.BrokenError(
-                verdicts.Outcome.UNSENT, str(error)
+                retry_rules.AttemptOutcome.UNSENT, str(error)
             ) from error
         unwanted = _unwanted(backend)
         if unwanted is None and self.permits.is_missing(backend, permit):
@@ -428,7 +439,9 @@
             # Opening a connection takes up to 0.6 s; what was heard meanwhile
             # is newer than the choice, and nothing has been sent yet.
             connection.abort()
-            raise attempts.BrokenError(verdicts.Outcome.UNSENT, unwanted)
+            raise attempts.BrokenError(
+                retry_rules.AttemptOutcome.UNSENT, unwanted
+            )
         return connection
 
     async def _attempt(
@@ -444,23 +457,25 @@
             permit.give_back()
             raise
         attempt = attempts.Attempt(
-            ask=self.ask,
+            client_request=self.client_request,
             backend=backend,
             dispatch=self._dispatch(backend),
             pool=self.pool,
             connection=connection,
             most_idle=selections.most_idle(
-                self.believed, backend.registration.service
+                self.view, backend.registration.service
             ),
             speeds=selections.speeds_of(
-                self.believed, self.ask.model, backend.registration.service
+                self.view,
+                self.client_request.model,
+                backend.registration.service,
             ),
         )
         self.history.sent(backend.registration.incarnation)
         self._under_way = attempt
         try:
             attempt.start()
-            self.prompt_changed(self.ask.prompt_tokens, clocks.now())
+            self.prompt_changed(self.client_request.prompt_tokens, clocks.now())
             return await self._receive(attempt)
         finally:
             self._under_way = None
@@ -475,18 +490,18 @@
         attempt = self._under_way
         if attempt is None or attempt.withdrawn or attempt.has_begun():
             return
-        until = self.believed.begins_until(
-            self.ask.model, attempt.dispatch.weights
+        until = self.view.begins_until(
+            self.client_request.model, attempt.dispatch.weights
         )
         if until is not None and now >= until - WITHDRAW_SECONDS:
             attempt.withdraw("not begun before its weights were too old")
 
-    def _dispatch(self, backend: backends.Backend) -> asks.Dispatch:
+    def _dispatch(self, backend: backends.Backend) -> request_types.Dispatch:
         """Returns what goes to a server, and notes what it will hold."""
         now = clocks.now()
         found = selections.dispatch(
-            believed=self.believed,
-            ask=self.ask,
+            view=self.view,
+            client_request=self.client_request,
             route=self.route,
             organisation=self.organisation,
             backend=backend,
@@ -494,14 +509,18 @@
             seconds_left=self._ends_at - now,
             now=now,
         )
-        self._chosen |= grounds.of_dispatch(self.ask, backend, found)
-        selections.note_sent(self.believed, self.ask, backend, found, now)
+        self._chosen |= decision_fields.of_dispatch(
+            self.client_request, backend, found
+        )
+        selections.note_sent(
+            self.view, self.client_request, backend, found, now
+        )
         return found
 
     async def _receive(self, attempt: attempts.Attempt) -> bool:
         answer, _ = await attempt.read_head()
         self._learn(attempt, answer)
-        streams = self.route.kind is configurations.Kind.STREAM
+        streams = self.route.kind is configurations.Repeatability.STREAM
         if streams and answer.status == 200 and answer.signed:
             await self._stream(attempt, answer)
             return True
@@ -510,12 +529,14 @@
         self._judge(attempt.backend, answer, body)
         return True
 
-    def _learn(self, attempt: attempts.Attempt, answer: asks.Answer) -> None:
+    def _learn(
+        self, attempt: attempts.Attempt, answer: request_types.ServerResponse
+    ) -> None:
         """Takes what an answer's head says of its server."""
         backend = attempt.backend
         self.notices.take(backend, answer, attempt.sent)
         if answer.load is not None:
-            backend.told_load(answer.load, clocks.now())
+            backend.update_load(answer.load, clocks.now())
         found = answer.server
         if found is not None and found != backend.registration.server:
             # Another life, or another service's server, has the address.
@@ -527,16 +548,19 @@
             )
 
     def _judge(
-        self, backend: backends.Backend, answer: asks.Answer, body: bytes
+        self,
+        backend: backends.Backend,
+        answer: request_types.ServerResponse,
+        body: bytes,
     ) -> None:
         """Passes a whole answer on, or raises BrokenError."""
         if answer.not_run:
             self._refused_by(backend, answer, clocks.now())
             raise attempts.BrokenError(
-                verdicts.Outcome.NOT_RUN,
+                retry_rules.AttemptOutcome.NOT_RUN,
                 f"{answer.status}: not run, load {_load_text(answer.load)}",
             )
-        if answer.status in own_answers.PROMISES or answer.encoded:
+        if answer.status in router_responses.PROMISES or answer.encoded:
             # It bears no "not run", so passing on a status that promises as
             # much could be untrue.
             raise _broke(f"status {answer.status}")
@@ -549,7 +573,7 @@
         if answer.status >= 500 and self._would_retry():
             self._failed_answer = (answer, body)
             raise attempts.BrokenError(
-                verdicts.Outcome.FAILED, f"status {answer.status}"
+                retry_rules.AttemptOutcome.FAILED, f"status {answer.status}"
             )
         self.answer.pass_on(answer, body)
         self._log(
@@ -568,34 +592,37 @@
         """
         if status >= 500 and status != GATEWAY_TIMEOUT:
             backend.troubled(clocks.now())
-            self.believed.suspects.served(self.content)
+            self.view.suspects.served(self.content)
         else:
             self._served(backend)
 
     def _served(self, backend: backends.Backend) -> None:
         """Takes a whole answer as proof that server and content are sound."""
         backend.served()
-        self.believed.suspects.served(self.content)
+        self.view.suspects.served(self.content)
 
     def _refused_by(
-        self, backend: backends.Backend, answer: asks.Answer, now: float
+        self,
+        backend: backends.Backend,
+        answer: request_types.ServerResponse,
+        now: float,
     ) -> None:
         """Takes a server's word that it did not run the request."""
-        backend.was_full(now)
+        backend.back_off_full(now)
         load = answer.load
         full = load is not None and load.running + load.waiting >= load.slots
-        weights = placements.weights_of(backend, self.ask.model)
+        weights = placements.weights_of(backend, self.client_request.model)
         wanted = not backend.is_leaving() and not backend.is_unavailable(now)
         if weights is not None and not full and wanted:
             # It loads weights, or has others than believed.
-            self.doubt(backend)
+            self.recheck(backend)
 
     def _would_retry(self) -> bool:
         more = len(self.history.ran_on) + 1 < self.route.most_servers
         return self.route.repeatable() and more
 
     async def _stream(
-        self, attempt: attempts.Attempt, answer: asks.Answer
+        self, attempt: attempts.Attempt, answer: request_types.ServerResponse
     ) -> None:
         """Passes events on as they come; raises BrokenError."""
         splitter = event_streams.Splitter()
@@ -641,16 +668,16 @@
         """Takes the first piece as proof that the prompt was read."""
         if attempt.account.prompt_read:
             return
-        known = self.believed.first_event(self.ask.model)
+        known = self.view.first_event(self.client_request.model)
         attempt.account.began(known, clocks.now())
         selections.note_read(
-            self.believed,
-            self.ask,
+            self.view,
+            self.client_request,
             attempt.backend,
             attempt.dispatch,
             clocks.now(),
         )
-        self.prompt_changed(self.ask.prompt_tokens, clocks.now())
+        self.prompt_changed(self.client_request.prompt_tokens, clocks.now())
 
     def _give_up(self, code: results.Code) -> None:
         """Gives the final answer of a request that has none."""
@@ -672,10 +699,10 @@
             "refused",
             code=code.name,
             retry_s=None if wait is None else round(wait, 3),
-            **grounds.of_refusal(
-                self.believed,
+            **decision_fields.of_refusal(
+                self.view,
                 self.route,
-                len(self.history.tried()),
+                len(self.history.excluded_servers()),
                 clocks.now(),
             ),
             lacks={each.value: count for each, count in self._lacks.items()},
@@ -685,15 +712,15 @@
     def _retry_seconds(self, code: results.Code, now: float) -> float | None:
         """Returns after how long the client may come back, or None."""
         if code in SERVERS_WANTED:
-            back_at = backoffs.back_at(self.believed, self.route, now)
+            back_at = backoffs.back_at(self.view, self.route, now)
             if back_at is not None:
-                return own_answers.backoff_retry_seconds(back_at - now)
-        return own_answers.retry_seconds(code)
+                return router_responses.backoff_retry_seconds(back_at - now)
+        return router_responses.retry_seconds(code)
 
     def _log(self, message: str, **fields: object) -> None:
-        if self.ask is not None:
-            fields["request"] = self.ask.request
-            fields["ms"] = _ms(clocks.now() - self.ask.arrived)
+        if self.client_request is not None:
+            fields["request"] = self.client_request.request
+            fields["ms"] = _ms(clocks.now() - self.client_request.arrived)
         if self.route is not None:
             fields["route"] = self.route.name
         fields["sends"] = self.history.sends
@@ -701,19 +728,19 @@
 
 
 def _broke(reason: str) -> attempts.BrokenError:
-    return attempts.BrokenError(verdicts.Outcome.BROKE, reason)
+    return attempts.BrokenError(retry_rules.AttemptOutcome.BROKE, reason)
 
 
 def _unwanted(backend: backends.Backend) -> str | None:
     """Returns why a server must get no request now, or None."""
     if backend.is_leaving():
         return "it began to leave meanwhile"
-    if backend.backs_off(clocks.now()):
+    if backend.is_backing_off(clocks.now()):
         return "it asked for no request meanwhile"
     return None
 
 
-def _load_text(load: asks.Load | None) -> str:
+def _load_text(load: request_types.ServerLoad | None) -> str:
     if load is None:
         return "unknown"
     return f"{load.running}+{load.waiting} of {load.slots}"
--- a/pimentoledge/routing/first_events.py
+++ b/pimentoledge/routing/first_events.py
@@ -20,7 +20,7 @@
 
 
 @attrs.define(kw_only=True)
-class FirstEvents:
+class FirstEventFit:
     """A line through first events, by the tokens to read before each.
 
     Least squares, in which older streams count less and a first guess always
--- a/pimentoledge/routing/fleet_sizes.py
+++ b/pimentoledge/routing/fleet_sizes.py
@@ -13,9 +13,9 @@
 
 from pimentoledge.platform import stores
 from pimentoledge.routing import clocks
+from pimentoledge.routing import heartbeat_rings
 from pimentoledge.routing import log_lines
 from pimentoledge.routing import registrations
-from pimentoledge.routing import rings
 from pimentoledge.routing import rosters
 
 logger = logbook.Logger("fleet_sizes")
@@ -130,9 +130,10 @@
         """Returns whether this router comes first of all that live."""
         if now - self.born < STARTING_SECONDS / 2:
             return False
-        here = rings.place(self.roster.own)
+        here = heartbeat_rings.place(self.roster.own)
         return all(
-            rings.place(each) > here for each in self.roster.members(now)
+            heartbeat_rings.place(each) > here
+            for each in self.roster.members(now)
         )
 
     async def _write(self, count: int, owners: list[str]) -> None:
--- a/pimentoledge/routing/second_calls.py
+++ b/pimentoledge/routing/hedged_calls.py
@@ -59,7 +59,7 @@
     return asyncio.ensure_future(what)
 
 
-class Answers:
+class AnswerSignal:
     """Tells those who wait for a peer that it has answered someone."""
 
     def __init__(self):
--- a/pimentoledge/routing/pulses.py
+++ b/pimentoledge/routing/holder_heartbeats.py
@@ -1,6 +1,6 @@
 """Signs of life of the router that gives orders, passed on by all."""
 
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import leases
 from pimentoledge.routing import peer_messages
 
@@ -9,21 +9,21 @@
 SILENT_SECONDS = 1.6
 
 
-class Pulses:
+class HolderHeartbeats:
     """The newest sign of life, this router's own or as told.
 
     Attributes:
         lease: what the process knows of the lease.
-        believed: what the process believes; `loading_until` is kept here.
+        view: what the process believes; `loading_until` is kept here.
         newest: fencing token and number of the newest sign.
         holding: whether the holder held the lease then.
         taken: when that was taken here.
         loading: servers that load at that sign, with the time until when.
     """
 
-    def __init__(self, *, lease: leases.Lease, believed: beliefs.Beliefs):
+    def __init__(self, *, lease: leases.Lease, view: cluster_views.ClusterView):
         self.lease = lease
-        self.believed = believed
+        self.view = view
         self.newest = (0, 0)
         self.holding = False
         self.taken = -1e9
@@ -41,11 +41,11 @@
         self.taken = now
         self.loading = {
             name: each.loading_until
-            for name, each in self.believed.servers.by_incarnation.items()
+            for name, each in self.view.servers.by_incarnation.items()
             if each.loading_until > now
         }
 
-    def told(self, beat: peer_messages.Beat, now: float) -> bool:
+    def merge(self, beat: peer_messages.Heartbeat, now: float) -> bool:
         """Takes a sign of life that another router passes on.
 
         Returns whether it is news. What is older than the newest is not
@@ -61,12 +61,12 @@
             for name, milliseconds in beat.loading.items()
         }
         for name, until in self.loading.items():
-            backend = self.believed.servers.by_incarnation.get(name)
+            backend = self.view.servers.by_incarnation.get(name)
             if backend is not None:
                 backend.loading_until = until
         return True
 
-    def to_tell(self, now: float) -> dict[str, int]:
+    def loading_servers(self, now: float) -> dict[str, int]:
         """Returns the servers that load, with ms left."""
         return {
             name: int((until - now) * 1000)
@@ -74,6 +74,6 @@
             if until > now
         }
 
-    def hears_holder(self, now: float) -> bool:
+    def holder_is_alive(self, now: float) -> bool:
         """Returns whether a holder gave a sign of life just now."""
         return self.holding and now - self.taken < SILENT_SECONDS
--- a/pimentoledge/routing/holders.py
+++ b/pimentoledge/routing/lease_holders.py
@@ -7,8 +7,8 @@
 from pimentoledge.platform import orders
 from pimentoledge.platform import stores
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import leases
 from pimentoledge.routing import log_lines
 from pimentoledge.routing import peers as peers_module
@@ -33,11 +33,11 @@
 RETRY_SECONDS = 0.4
 
 
-class Holder:
+class LeaseHolder:
     """Takes the lease when orders are due and nobody else gives them.
 
     Attributes:
-        believed: what the process believes.
+        view: what the process believes.
         lease: what it knows of the lease.
         rollout: which orders are due.
         store: the store's client.
@@ -50,16 +50,16 @@
     def __init__(
         self,
         *,
-        believed: beliefs.Beliefs,
+        view: cluster_views.ClusterView,
         lease: leases.Lease,
         rollout: rollouts.Rollout,
         store: stores.Store,
         runners: orders.Runners,
         permits: server_permits.Permits,
-        peers: peers_module.Peers,
+        peers: peers_module.PeerMessenger,
         lines: log_lines.Lines,
     ):
-        self.believed = believed
+        self.view = view
         self.lease = lease
         self.rollout = rollout
         self.store = store
@@ -119,7 +119,7 @@
             self._due_since = now
         if self.lease.holds(now):
             return True
-        if self.peers.pulses.hears_holder(now):
+        if self.peers.holder_heartbeats.holder_is_alive(now):
             self._due_since = now
             return False
         return now - self._due_since >= RANK_SECONDS * self._rank(now)
@@ -128,7 +128,7 @@
         """Returns how many heard routers should act before this one."""
         if self.lease.held_by == self.lease.holder:
             return 0
-        mine = (self.believed.leaving, self.peers.address)
+        mine = (self.view.leaving, self.peers.address)
         better = [
             address
             for address, peer in self.peers.roster.present(now).items()
@@ -171,7 +171,7 @@
                             max(0.0, self.lease.quiet_until - now), 2
                         ),
                     )
-                    self.peers.news()
+                    self.peers.beat_now()
             case registrations.Conflict(found=held):
                 self.lines.write("lease_conflict", before=before)
                 if held is None:
@@ -194,18 +194,18 @@
             task = asyncio.get_running_loop().create_task(self._tell(each))
             self._orders.add(task)
             task.add_done_callback(self._orders.discard)
-        self.peers.news()
+        self.peers.beat_now()
 
     async def _tell(self, due: rollouts.Due) -> None:
         """Gives one order."""
-        verdict = rollouts.Verdict.UNREACHED
+        verdict = rollouts.OrderVerdict.UNREACHED
         try:
             await asyncio.sleep(NOTICE_SECONDS)
             verdict = await self._load(due)
         finally:
             now = clocks.now()
-            self.rollout.told(due, verdict, now)
-            if verdict is not rollouts.Verdict.TAKEN:
+            self.rollout.note_verdict(due, verdict, now)
+            if verdict is not rollouts.OrderVerdict.TAKEN:
                 due.backend.loading_until = 0.0
             self.lines.write(
                 "order",
@@ -229,34 +229,34 @@
             if permit.granted or backend.limited_until > until:
                 return permit.granted
             backend.loading_until = backend.limited_until + AVOID_SECONDS
-            self.peers.news()
+            self.peers.beat_now()
             await asyncio.sleep(backend.limited_until - now)
 
-    async def _load(self, due: rollouts.Due) -> rollouts.Verdict:
+    async def _load(self, due: rollouts.Due) -> rollouts.OrderVerdict:
         progress = self.rollout.of(due.backend)
         registration = due.backend.registration
         if progress.orders_taken is None:
             if not await self._acquire_permit(due.backend):
-                return rollouts.Verdict.UNREACHED
+                return rollouts.OrderVerdict.UNREACHED
             reported = await self.runners.report(registration)
             if isinstance(reported, registrations.Unavailable):
-                return rollouts.Verdict.UNREACHED
-            if due.backend.is_of_another_life(reported.born):
-                return rollouts.Verdict.UNREACHED
+                return rollouts.OrderVerdict.UNREACHED
+            if due.backend.is_other_incarnation(reported.born):
+                return rollouts.OrderVerdict.UNREACHED
             progress.orders_taken = reported.orders_taken
             if reported.weights.get(due.model, 0) >= due.version:
-                return rollouts.Verdict.HOLDS
+                return rollouts.OrderVerdict.HOLDS
         if not await self._acquire_permit(due.backend):
-            return rollouts.Verdict.UNREACHED
+            return rollouts.OrderVerdict.UNREACHED
         now = clocks.now()
-        if due.backend.is_leaving() or due.backend.backs_off(now):
-            return rollouts.Verdict.UNREACHED
+        if due.backend.is_leaving() or due.backend.is_backing_off(now):
+            return rollouts.OrderVerdict.UNREACHED
         # The lease is looked at last: the report may have taken long.
         if not self.lease.may_order(now):
-            return rollouts.Verdict.UNREACHED
+            return rollouts.OrderVerdict.UNREACHED
         return await self.runners.load(
             registration,
-            rollouts.Load(
+            rollouts.LoadOrder(
                 model=due.model,
                 version=due.version,
                 fence=self.lease.fence,
--- a/pimentoledge/routing/leases.py
+++ b/pimentoledge/routing/leases.py
@@ -82,7 +82,7 @@
         if self.held_by != self.holder:
             self.term_ends = 0.0
 
-    def told(self, revision: int, held_by: str, learnt: float) -> None:
+    def merge_peer(self, revision: int, held_by: str, learnt: float) -> None:
         """Takes what another process knows of the lease, and since when."""
         self.learn(
             registrations.Stored(
--- a/pimentoledge/routing/limit_reports.py
+++ b/pimentoledge/routing/limit_reports.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterable
 import random
 
-from pimentoledge.routing import beliefs
-from pimentoledge.routing import notices as notices_module
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import peer_messages
 from pimentoledge.routing import rosters
 from pimentoledge.routing import server_limits
+from pimentoledge.routing import server_notices
 
 # Between two reports of what changed: a server may name another limit in each
 # of its answers.
@@ -21,7 +21,7 @@
     """Sends and receives limits; news is forwarded from router to router.
 
     Attributes:
-        believed: what the process believes.
+        view: what the process believes.
         roster: the other routers.
         notices: takes limits that others have received.
         send_all: sends a message to mailboxes.
@@ -31,12 +31,12 @@
     def __init__(
         self,
         *,
-        believed: beliefs.Beliefs,
+        view: cluster_views.ClusterView,
         roster: rosters.Roster,
-        notices: notices_module.Notices,
+        notices: server_notices.ServerNotices,
         send_all: Callable[[list[str], object], None],
     ):
-        self.believed = believed
+        self.view = view
         self.roster = roster
         self.notices = notices
         self.send_all = send_all
@@ -47,7 +47,7 @@
     @property
     def limits(self) -> server_limits.ServerLimits:
         """The limits as this router knows them."""
-        return self.believed.server_limits
+        return self.view.server_limits
 
     def changed(self, server: str) -> None:
         """Takes that a server's limit changed."""
@@ -61,7 +61,7 @@
             self.pending = set()
         if self.limits.advertised and now >= self._next_all:
             self._next_all = now + ALL_SECONDS
-            declared = self.believed.servers.by_incarnation
+            declared = self.view.servers.by_incarnation
             self.limits.expire(declared.keys(), now)
             members = list(self.roster.members(now))
             if members:
@@ -76,13 +76,13 @@
     ) -> None:
         limits = self.limits.encode(servers, now)
         if limits and addresses:
-            message = peer_messages.Limits(
-                limits=limits, clock=self.believed.clock(now)
+            message = peer_messages.LimitReport(
+                limits=limits, clock=self.view.clock(now)
             )
             self.send_all(addresses, message)
 
     def receive(
-        self, sender: str, received: peer_messages.Limits, sent_at: float
+        self, sender: str, received: peer_messages.LimitReport, sent_at: float
     ) -> None:
         """Takes limits that another router has received.
 
--- a/pimentoledge/routing/work_reports.py
+++ b/pimentoledge/routing/load_reports.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Callable
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cluster_views
+from pimentoledge.routing import heartbeat_rings
 from pimentoledge.routing import peer_messages
-from pimentoledge.routing import rings
+from pimentoledge.routing import request_types
 from pimentoledge.routing import rosters
 from pimentoledge.routing import selections
-from pimentoledge.routing import waits
+from pimentoledge.routing import wait_estimates
 
 # What changed little is told after this, also for those who have just come:
 # that a short answer began or ended matters less than a message to each of 13
@@ -40,11 +40,11 @@
 Has = dict[str, tuple[int, int, int]]
 
 
-class WorkReports:
+class LoadReports:
     """Tells what this router has at servers, and takes what others have.
 
     Attributes:
-        believed: what the process believes.
+        view: what the process believes.
         roster: the other routers.
         send_all: sends a message to mailboxes.
         told: what it had at servers by its newest report, and when.
@@ -55,18 +55,18 @@
     def __init__(
         self,
         *,
-        believed: beliefs.Beliefs,
+        view: cluster_views.ClusterView,
         roster: rosters.Roster,
         send_all: Callable[[list[str], object], None],
     ):
-        self.believed = believed
+        self.view = view
         self.roster = roster
         self.send_all = send_all
         self.told: tuple[Has, float] = ({}, -1e9)
         self.heard: dict[str, set[str]] = {}
-        self.passing: list[peer_messages.Prompt] = []
+        self.passing: list[peer_messages.PromptReport] = []
         self._next_far = 0.0
-        self._far_prompts: list[peer_messages.Prompt] = []
+        self._far_prompts: list[peer_messages.PromptReport] = []
 
     def prompt_changed(self, prompt_tokens: int, now: float) -> None:
         """Reports at once that a prompt was sent, or was read.
@@ -85,7 +85,7 @@
 
     def tick(self, now: float) -> None:
         """Reports what is news, and forgets who is away."""
-        self.believed.hears_all = self.roster.reaches_all()
+        self.view.reaches_all = self.roster.reaches_all()
         present = self.roster.present(now)
         for address in [each for each in self.heard if each not in present]:
             self._forget(address)
@@ -96,13 +96,13 @@
         if any(map(_is_long, prompts)) or now >= self._next_far:
             self._report_far(now)
 
-    def _prompts(self) -> list[peer_messages.Prompt]:
-        found = self.believed.prompts_sent[-MOST_PROMPTS:]
-        self.believed.prompts_sent.clear()
+    def _prompts(self) -> list[peer_messages.PromptReport]:
+        found = self.view.prompts_sent[-MOST_PROMPTS:]
+        self.view.prompts_sent.clear()
         return found
 
     def _report_near(
-        self, prompts: list[peer_messages.Prompt], now: float
+        self, prompts: list[peer_messages.PromptReport], now: float
     ) -> None:
         """Tells the data centre's routers, where there is something new."""
         before, when = self.told
@@ -113,7 +113,7 @@
         if not news and now - when < REPEAT_SECONDS:
             return
         self.told = (has, now)
-        message = peer_messages.Work(
+        message = peer_messages.LoadReport(
             has=has,
             said=said,
             prompts=prompts + passing,
@@ -128,8 +128,8 @@
         means = {}
         mean = self._own_mean(now)
         if mean is not None:
-            means[self.believed.data_centre] = (*mean, 0)
-        message = peer_messages.Work(
+            means[self.view.data_centre] = (*mean, 0)
+        message = peer_messages.LoadReport(
             has={}, said={}, prompts=prompts, means=means
         )
         self.send_all(self._far(now), message)
@@ -138,14 +138,14 @@
         """Returns what a runner of the own data centre has in the mean."""
         runners = [
             each
-            for each in self.believed.servers.by_incarnation.values()
+            for each in self.view.servers.by_incarnation.values()
             if each.registration.weights
-            and each.registration.data_centre == self.believed.data_centre
-            and not each.says_it_leaves()
+            and each.registration.data_centre == self.view.data_centre
+            and not each.announced_leaving()
         ]
         if not runners:
             return None
-        busy = sum(each.busyness(now) for each in runners)
+        busy = sum(each.estimated_requests(now) for each in runners)
         queued = sum(each.queued(now) for each in runners)
         unread = sum(each.outstanding() for each in runners)
         count = len(runners)
@@ -164,11 +164,11 @@
                 each.unread,
                 int((now - each.since) * 1000),
             )
-            for place, each in self.believed.elsewhere.items()
+            for place, each in self.view.elsewhere.items()
         }
 
     def _has(self) -> Has:
-        servers = self.believed.servers.by_incarnation
+        servers = self.view.servers.by_incarnation
         return {
             name: (each.open, each.unbegun, each.reading)
             for name, each in servers.items()
@@ -179,7 +179,7 @@
         self, since: float, now: float
     ) -> dict[str, tuple[int, int, int, int]]:
         """Returns what servers said to this router since its last report."""
-        servers = self.believed.servers.by_incarnation
+        servers = self.view.servers.by_incarnation
         since = max(since, now - FRESH_SECONDS)
         return {
             name: (
@@ -206,7 +206,7 @@
         return self._from_here(near)[:MOST_TOLD]
 
     def _is_near(self, peer: rosters.Peer) -> bool:
-        own = self.believed.data_centre
+        own = self.view.data_centre
         return self.roster.reaches_all() or peer.data_centre == own
 
     def _far(self, now: float) -> list[str]:
@@ -215,7 +215,7 @@
         It passes on to its neighbours, so what a prompt leaves at a runner
         goes to another data centre once.
         """
-        own = self.believed.data_centre
+        own = self.view.data_centre
         if self.roster.reaches_all():
             return []
         places: dict[str, list[str]] = {}
@@ -225,19 +225,22 @@
         return [self._from_here(each)[0] for each in places.values()]
 
     def _from_here(self, addresses: list[str]) -> list[str]:
-        here = rings.place(self.roster.own)
+        here = heartbeat_rings.place(self.roster.own)
         return sorted(
             addresses,
-            key=lambda each: (rings.place(each) - here) % rings.CIRCLE,
+            key=lambda each: (heartbeat_rings.place(each) - here)
+            % heartbeat_rings.CIRCLE,
         )
 
-    def take(self, sender: str, work: peer_messages.Work, now: float) -> None:
+    def take(
+        self, sender: str, work: peer_messages.LoadReport, now: float
+    ) -> None:
         """Takes another router's report in place of its last."""
         peer = self.roster.known.get(sender)
         near = peer is not None and self._is_near(peer)
         self._take_means(work, now)
         for prompt in work.prompts:
-            selections.heard_prompt(self.believed, prompt, now)
+            selections.note_peer_prompt(self.view, prompt, now)
         if not near:
             self.passing += work.prompts
             return
@@ -245,9 +248,9 @@
         self._take_said(work, now)
 
     def _take_has(
-        self, sender: str, work: peer_messages.Work, now: float
+        self, sender: str, work: peer_messages.LoadReport, now: float
     ) -> None:
-        servers = self.believed.servers.by_incarnation
+        servers = self.view.servers.by_incarnation
         gone = self.heard.get(sender, set()) - set(work.has)
         self.heard[sender] = set(work.has)
         for name in gone | set(work.has):
@@ -271,40 +274,42 @@
         backend.others.pop(sender, None)
         if share is not None:
             open_, unbegun, unread = share
-            backend.others[sender] = backends.Share(
+            backend.others[sender] = backends.PeerLoad(
                 open=open_, unbegun=unbegun, unread=unread
             )
         if not before or backend.outstanding() < before:
             backend.read_since = now
 
-    def _take_said(self, work: peer_messages.Work, now: float) -> None:
-        servers = self.believed.servers.by_incarnation
+    def _take_said(self, work: peer_messages.LoadReport, now: float) -> None:
+        servers = self.view.servers.by_incarnation
         for name, (running, waiting, slots, age) in work.said.items():
             backend = servers.get(name)
             said_at = now - age / 1000
             if backend is not None and said_at > backend.load_at:
-                load = asks.Load(running=running, waiting=waiting, slots=slots)
-                backend.told_load(load, said_at, first_hand=False)
+                load = request_types.ServerLoad(
+                    running=running, waiting=waiting, slots=slots
+                )
+                backend.update_load(load, said_at, first_hand=False)
 
-    def _take_means(self, work: peer_messages.Work, now: float) -> None:
-        known = self.believed.elsewhere
+    def _take_means(self, work: peer_messages.LoadReport, now: float) -> None:
+        known = self.view.elsewhere
         for place, (busy, queued, unread, age) in work.means.items():
             since = now - age / 1000
-            if place == self.believed.data_centre:
+            if place == self.view.data_centre:
                 continue
             if place not in known or since > known[place].since:
-                known[place] = waits.Mean(
+                known[place] = wait_estimates.MeanLoad(
                     busy=busy, queued=queued, unread=unread, since=since
                 )
 
     def _forget_old_means(self, now: float) -> None:
-        known = self.believed.elsewhere
+        known = self.view.elsewhere
         for place in list(known):
             if now - known[place].since > OLD_SECONDS:
                 del known[place]
 
     def _forget(self, sender: str) -> None:
-        servers = self.believed.servers.by_incarnation
+        servers = self.view.servers.by_incarnation
         for name in self.heard.pop(sender, ()):
             backend = servers.get(name)
             if backend is not None:
@@ -321,6 +326,6 @@
     )
 
 
-def _is_long(prompt: peer_messages.Prompt) -> bool:
+def _is_long(prompt: peer_messages.PromptReport) -> bool:
     """Returns whether another router should know of a prompt at once."""
     return sum(tokens for _, tokens in prompt.parts) > NEWS_TOKENS
--- a/pimentoledge/routing/memories.py
+++ b/pimentoledge/routing/memory_estimates.py
@@ -2,15 +2,17 @@
 
 import attrs
 
-from pimentoledge.routing import asks
+from pimentoledge.routing import request_types
 
 # Weight of the newest request in the mean: some fifty back still count.
 SHARE = 0.02
 
 
-def unshared_tokens(ask: asks.Ask) -> int:
+def unshared_tokens(client_request: request_types.ClientRequest) -> int:
     """Returns the tokens of a request that no other request shares."""
-    return max(0, ask.unshared_tokens()) + ask.answer_tokens
+    return (
+        max(0, client_request.unshared_tokens()) + client_request.answer_tokens
+    )
 
 
 @attrs.define(kw_only=True)
--- a/pimentoledge/routing/mirrors.py
+++ b/pimentoledge/routing/object_caches.py
@@ -8,7 +8,7 @@
 
 
 @attrs.define(kw_only=True)
-class Mirror:
+class ObjectCache:
     """All objects of one kind, as of a revision.
 
     Attributes:
--- a/pimentoledge/routing/peer_messages.py
+++ b/pimentoledge/routing/peer_messages.py
@@ -7,7 +7,7 @@
 
 
 @attrs.define(kw_only=True)
-class Beat:
+class Heartbeat:
     """A heartbeat with what is newest at its sender.
 
     Attributes:
@@ -59,14 +59,14 @@
 
 
 @attrs.define(kw_only=True)
-class Wish:
+class ListingRequest:
     """Asks for all objects of a kind, which the receiver knows newer."""
 
     kind: str
 
 
 @attrs.define(kw_only=True)
-class Gift:
+class FullListing:
     """All objects of a kind.
 
     Attributes:
@@ -81,7 +81,7 @@
 
 
 @attrs.define(kw_only=True)
-class Offer:
+class ChangesOffer:
     """Says that its sender has heard of changes of the servers.
 
     What changed goes only to those that lack it: a neighbour that hears of it
@@ -95,14 +95,14 @@
 
 
 @attrs.define(kw_only=True)
-class Want:
+class ChangesRequest:
     """Asks for what was offered."""
 
     changed_at: int
 
 
 @attrs.define(kw_only=True)
-class Told:
+class WatchedChanges:
     """What a watch of the servers brought.
 
     It goes on from router to router within a data centre.
@@ -120,7 +120,7 @@
 
 
 @attrs.define(kw_only=True)
-class Crashed:
+class CrashReport:
     """Content that was in servers that died.
 
     Attributes:
@@ -133,7 +133,7 @@
 
 
 @attrs.define(kw_only=True)
-class Ages:
+class HeartbeatAges:
     """For how many ms each router was not heard.
 
     Attributes:
@@ -144,7 +144,7 @@
 
 
 @attrs.define(kw_only=True)
-class Limits:
+class LimitReport:
     """Limits that servers have named.
 
     Attributes:
@@ -159,7 +159,7 @@
 
 
 @attrs.define(kw_only=True)
-class Prompt:
+class PromptReport:
     """A prompt that was sent to a runner, which will keep its parts.
 
     Attributes:
@@ -179,7 +179,7 @@
 
 
 @attrs.define(kw_only=True)
-class Work:
+class LoadReport:
     """What its sender has at servers, and what they said to it.
 
     Attributes:
@@ -195,24 +195,24 @@
 
     has: dict[str, tuple[int, int, int]]
     said: dict[str, tuple[int, int, int, int]]
-    prompts: list[Prompt]
+    prompts: list[PromptReport]
     means: dict[str, tuple[float, float, int, int]]
 
 
 NUMBERS: dict[int, type] = {
-    1: Beat,
-    2: Wish,
-    3: Gift,
-    4: Crashed,
-    5: Ages,
-    6: Told,
-    7: Offer,
-    8: Want,
-    9: Work,
+    1: Heartbeat,
+    2: ListingRequest,
+    3: FullListing,
+    4: CrashReport,
+    5: HeartbeatAges,
+    6: WatchedChanges,
+    7: ChangesOffer,
+    8: ChangesRequest,
+    9: LoadReport,
     10: quota_messages.LeaseRights,
     11: quota_messages.RightsLeased,
     12: quota_messages.Acquire,
     13: quota_messages.Acquired,
     14: quota_messages.GiveBack,
-    15: Limits,
+    15: LimitReport,
 }
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -10,28 +10,28 @@
 from pimentoledge.nodes import codecs
 from pimentoledge.nodes import mailboxes
 from pimentoledge.platform import stores
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
-from pimentoledge.routing import copies
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import delays
 from pimentoledge.routing import fleet_sizes
+from pimentoledge.routing import holder_heartbeats
 from pimentoledge.routing import leases
 from pimentoledge.routing import limit_reports
+from pimentoledge.routing import load_reports
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import notices as notices_module
 from pimentoledge.routing import peer_messages
-from pimentoledge.routing import pulses
+from pimentoledge.routing import replicators
 from pimentoledge.routing import rosters
-from pimentoledge.routing import takers as takers_module
+from pimentoledge.routing import server_notices
+from pimentoledge.routing import view_updaters
 from pimentoledge.routing import wanted_weights
 from pimentoledge.routing import watchers
-from pimentoledge.routing import work_reports
 from pimentoledge.routing.quotas import limiters
 
 logger = logbook.Logger("peers")
 
 # A heartbeat of some 200 bytes, twice a second.
-BEAT_SECONDS = 0.5
+HEARTBEAT_SECONDS = 0.5
 # News that come within this of a heartbeat wait for its end and share the
 # next: what several routers pass on at once would else go out several times.
 NEWS_SECONDS = 0.004
@@ -41,18 +41,18 @@
 CODEC = codecs.Codec(numbers=peer_messages.NUMBERS)
 
 
-class Peers:
+class PeerMessenger:
     """This router's part of the talk between routers.
 
     Attributes:
-        believed: what the process believes.
+        view: what the process believes.
         lease: what it knows of the lease.
-        takers: turn what is told into beliefs.
+        updater: turn what is told into beliefs.
         lines: where changes of belief are written.
-        pulses: signs of life of the router that gives orders.
+        holder_heartbeats: signs of life of the router that gives orders.
         roster: the other routers.
-        copies: keeps the copies of the store's objects in step with theirs.
-        work_reports: tell and take what routers have at servers.
+        replicator: keeps the copies of the store's objects in step with theirs.
+        load_reports: tell and take what routers have at servers.
         limit_reports: send and receive the limits that servers have named.
         fleet_size: how many routers there are.
         limiter: holds organisations' limits over all routers.
@@ -66,39 +66,41 @@
         *,
         listen: str,
         seeds: list[str],
-        believed: beliefs.Beliefs,
+        view: cluster_views.ClusterView,
         lease: leases.Lease,
         watching: dict[str, watchers.Watcher],
-        takers: takers_module.Takers,
-        notices: notices_module.Notices,
+        takers: view_updaters.ViewUpdater,
+        notices: server_notices.ServerNotices,
         store: stores.Store,
         lines: log_lines.Lines,
         arrived: Callable[[float], float] = lambda now: now,
     ):
-        self.believed = believed
+        self.view = view
         self.arrived = arrived
         self.delays = delays.Delays()
         self._held_up: set[str] = set()
         self.lease = lease
-        self.takers = takers
+        self.updater = takers
         self.lines = lines
-        self.pulses = pulses.Pulses(lease=lease, believed=believed)
+        self.holder_heartbeats = holder_heartbeats.HolderHeartbeats(
+            lease=lease, view=view
+        )
         self.roster = rosters.Roster(
-            own=f"tcp://{listen}", data_centre=believed.data_centre
+            own=f"tcp://{listen}", data_centre=view.data_centre
         )
-        self.copies = copies.Copies(
-            believed=believed,
+        self.replicator = replicators.Replicator(
+            view=view,
             watching=watching,
             roster=self.roster,
             takers=takers,
             lines=lines,
             send=self._send,
         )
-        self.work_reports = work_reports.WorkReports(
-            believed=believed, roster=self.roster, send_all=self._tell
+        self.load_reports = load_reports.LoadReports(
+            view=view, roster=self.roster, send_all=self._tell
         )
         self.limit_reports = limit_reports.LimitReports(
-            believed=believed,
+            view=view,
             roster=self.roster,
             notices=notices,
             send_all=self._tell,
@@ -107,14 +109,14 @@
             roster=self.roster,
             store=store,
             lines=lines,
-            wanted=believed.shares_limits,
+            wanted=view.shares_limits,
             owners=lambda: self.limiter.rights.wanted,
-            born=believed.born,
+            born=view.born,
         )
         self.limiter = limiters.Limiter(
             own=self.roster.own,
             life=random.getrandbits(31),
-            bounds=believed.bounds.limits,
+            bounds=view.bounds.limits,
             share=self.fleet_size.share,
             routers=self.fleet_size.routers,
             send=self._send,
@@ -156,24 +158,24 @@
         """Sends heartbeats when they are due."""
         self.roster.tick(now)
         self._mailbox.expire(now, set(self.roster.partners))
-        for address in self.roster.unheard(now):
+        for address in self.roster.silent_partners(now):
             self._renew(address, now)
         if now >= self._next_beat:
             self.beat(now)
         if now >= self._next_ages:
             self._tell_ages(now)
-        self.work_reports.tick(now)
+        self.load_reports.tick(now)
         self.limit_reports.tick(now)
-        if self.believed.shares_limits() or self.limiter.questions:
+        if self.view.shares_limits() or self.limiter.questions:
             self.limiter.tick(now)
-        self.believed.members = self.roster.count(now)
+        self.view.members = self.roster.count(now)
 
-    def news(self) -> None:
+    def beat_now(self) -> None:
         """Sends a heartbeat at once, since something changed."""
         if self._loop is None or self._news_wait:
             return
         now = clocks.now()
-        wait = self._next_beat - BEAT_SECONDS + NEWS_SECONDS - now
+        wait = self._next_beat - HEARTBEAT_SECONDS + NEWS_SECONDS - now
         if wait <= 0:
             self.beat(now)
             return
@@ -186,8 +188,8 @@
 
     def beat(self, now: float) -> None:
         """Sends a heartbeat to each partner."""
-        self._next_beat = now + BEAT_SECONDS
-        self.pulses.own(now)
+        self._next_beat = now + HEARTBEAT_SECONDS
+        self.holder_heartbeats.own(now)
         self._tell(self.roster.partners, self._own_beat(now))
 
     def _tell_ages(self, now: float) -> None:
@@ -196,31 +198,31 @@
         members = list(self.roster.members(now))
         if not members:
             return
-        told = peer_messages.Ages(ages=self.roster.ages(now))
+        told = peer_messages.HeartbeatAges(ages=self.roster.ages(now))
         self._send(random.choice(members), told)
 
     def _send(self, address: str, message: object) -> None:
         self._tell([address], message)
 
-    def _own_beat(self, now: float) -> peer_messages.Beat:
+    def _own_beat(self, now: float) -> peer_messages.Heartbeat:
         lease = self.lease
-        return peer_messages.Beat(
-            data_centre=self.believed.data_centre,
-            counted=self.roster.tell_count(now),
+        return peer_messages.Heartbeat(
+            data_centre=self.view.data_centre,
+            counted=self.roster.count_report(now),
             wanted={
                 model: (wanted.version, int((now - wanted.since) * 1000))
-                for model, wanted in self.believed.wanted.items()
+                for model, wanted in self.view.wanted.items()
             },
-            known=self.copies.known(now),
-            store_reached=self.copies.store_reached(),
+            known=self.replicator.known(now),
+            store_reached=self.replicator.store_reached(),
             lease_revision=-1 if lease.revision is None else lease.revision,
             lease_holder=lease.held_by,
             lease_ms=int((now - lease.learnt) * 1000),
-            leaving=self.believed.leaving,
-            pulse=self.pulses.newest,
-            holding=self.pulses.holding,
-            loading=self.pulses.to_tell(now),
-            watchers=self.copies.sign(now),
+            leaving=self.view.leaving,
+            pulse=self.holder_heartbeats.newest,
+            holding=self.holder_heartbeats.holding,
+            loading=self.holder_heartbeats.loading_servers(now),
+            watchers=self.replicator.current_watchers(now),
             named={
                 model: [
                     (
@@ -230,14 +232,14 @@
                     )
                     for each in wanted.named
                 ]
-                for model, wanted in self.believed.wanted.items()
+                for model, wanted in self.view.wanted.items()
             },
-            clock=self.believed.clock(now),
-            unheard=self.roster.unheard(now),
+            clock=self.view.clock(now),
+            unheard=self.roster.silent_partners(now),
         )
 
     def _tell(self, addresses: list[str], message: object) -> None:
-        configuration = self.believed.configuration
+        configuration = self.view.configuration
         self._mailbox.send_all(
             addresses,
             message,
@@ -248,25 +250,33 @@
     def handle(self, event: object) -> None:
         """Takes an event of the mailbox; on the loop."""
         match event:
-            case events.FromNode(message=peer_messages.Beat() as beat):
+            case events.FromNode(message=peer_messages.Heartbeat() as beat):
                 self._heard(event, beat)
-            case events.FromNode(message=peer_messages.Wish() as wish):
-                self.copies.give(event.sender, wish.kind)
-            case events.FromNode(message=peer_messages.Gift() as gift):
-                self.copies.take_all(event.sender, gift)
-            case events.FromNode(message=peer_messages.Crashed() as crash):
+            case events.FromNode(
+                message=peer_messages.ListingRequest() as wish
+            ):
+                self.replicator.send_listing(event.sender, wish.kind)
+            case events.FromNode(message=peer_messages.FullListing() as gift):
+                self.replicator.receive_listing(event.sender, gift)
+            case events.FromNode(message=peer_messages.CrashReport() as crash):
                 self._crashed(crash)
-            case events.FromNode(message=peer_messages.Ages(ages=ages)):
-                self.roster.take_ages(ages, clocks.now())
-            case events.FromNode(message=peer_messages.Told() as told):
-                self.copies.take(event.sender, told)
-            case events.FromNode(message=peer_messages.Offer() as offer):
-                self.copies.offered(event.sender, offer)
-            case events.FromNode(message=peer_messages.Want() as want):
-                self.copies.hand_over(event.sender, want)
-            case events.FromNode(message=peer_messages.Work() as work):
-                self.work_reports.take(event.sender, work, clocks.now())
-            case events.FromNode(message=peer_messages.Limits() as limits):
+            case events.FromNode(
+                message=peer_messages.HeartbeatAges(ages=ages)
+            ):
+                self.roster.merge_ages(ages, clocks.now())
+            case events.FromNode(
+                message=peer_messages.WatchedChanges() as told
+            ):
+                self.replicator.receive_changes(event.sender, told)
+            case events.FromNode(message=peer_messages.ChangesOffer() as offer):
+                self.replicator.request_changes(event.sender, offer)
+            case events.FromNode(
+                message=peer_messages.ChangesRequest() as want
+            ):
+                self.replicator.send_changes(event.sender, want)
+            case events.FromNode(message=peer_messages.LoadReport() as work):
+                self.load_reports.take(event.sender, work, clocks.now())
+            case events.FromNode(message=peer_messages.LimitReport() as limits):
                 sent = self._sent_at(event.sender, limits.clock, clocks.now())
                 self.limit_reports.receive(event.sender, limits, sent)
             case mailboxes.PeerUp() | mailboxes.PeerDown():
@@ -279,44 +289,52 @@
 
     def server_died(self, incarnation: str) -> None:
         """Tells the others which content a dead server had."""
-        for content in self.believed.suspects.died(incarnation, clocks.now()):
+        for content in self.view.suspects.died(incarnation, clocks.now()):
             self.lines.write("crashed", content=content, server=incarnation)
             self._tell(
                 self.roster.partners,
-                peer_messages.Crashed(content=content, incarnation=incarnation),
+                peer_messages.CrashReport(
+                    content=content, incarnation=incarnation
+                ),
             )
 
-    def _crashed(self, crash: peer_messages.Crashed) -> None:
-        is_news = self.believed.suspects.crashed(
+    def _crashed(self, crash: peer_messages.CrashReport) -> None:
+        is_news = self.view.suspects.crashed(
             crash.content, crash.incarnation, clocks.now()
         )
         if is_news and not self.roster.reaches_all():
             self._tell(self.roster.partners, crash)
 
-    def _heard(self, event: events.FromNode, beat: peer_messages.Beat) -> None:
+    def _heard(
+        self, event: events.FromNode, beat: peer_messages.Heartbeat
+    ) -> None:
         now = clocks.now()
         self.roster.meet(event.sender, now)
         peer = self.roster.known.get(event.sender)
         if peer is None:
             return
-        if now - peer.heard > rosters.AWAY_SECONDS:
+        if now - peer.last_heard_at > rosters.AWAY_SECONDS:
             self._greet(event.sender, now)
-        peer.heard = peer.alive = now
+        peer.last_heard_at = peer.alive = now
         peer.beat = beat
         peer.configuration = event.configuration
         peer.data_centre = beat.data_centre
         if self.roster.own in beat.unheard:
             self._renew(event.sender, now)
-        self.roster.take_count(*beat.counted, now)
-        if beat.data_centre == self.believed.data_centre:
-            self.copies.shares.take(beat.watchers, now)
+        self.roster.merge_count(*beat.counted, now)
+        if beat.data_centre == self.view.data_centre:
+            self.replicator.shares.take(beat.watchers, now)
         sent = self._sent_at(event.sender, beat.clock, now)
-        self.copies.take_known(beat, sent)
+        self.replicator.merge_known(beat, sent)
         self._learn_weights(beat, sent, now)
         self._learn(beat, now)
-        if self.copies.is_behind(peer):
+        if self.replicator.is_behind(peer):
             later = self._loop.call_later
-            later(copies.PATIENCE_SECONDS, self.copies.catch_up, event.sender)
+            later(
+                replicators.PATIENCE_SECONDS,
+                self.replicator.catch_up,
+                event.sender,
+            )
 
     def _sent_at(
         self, sender: str, clock: tuple[int, int], now: float
@@ -343,12 +361,12 @@
         """Tells a router that has come, or come back, what is newest."""
         self.lines.write("router_heard", router=address)
         ages = self.roster.ages(now, most=rosters.MOST_TOLD)
-        self._send(address, peer_messages.Ages(ages=ages))
+        self._send(address, peer_messages.HeartbeatAges(ages=ages))
         self._send(address, self._own_beat(now))
         self.limit_reports.greet(address, now)
 
     def _learn_weights(
-        self, beat: peer_messages.Beat, sent: float, now: float
+        self, beat: peer_messages.Heartbeat, sent: float, now: float
     ) -> None:
         least = wanted_weights.Source.HEARD
         if sent < now:
@@ -357,7 +375,7 @@
         for model, newest in beat.wanted.items():
             named = beat.named.get(model) or [(*newest, 0)]
             for version, age, source in reversed(named):
-                self.takers.want(
+                self.updater.want(
                     model,
                     version,
                     sent - age / 1000,
@@ -365,15 +383,18 @@
                     source=wanted_weights.Source(max(source, least)),
                 )
 
-    def _learn(self, beat: peer_messages.Beat, now: float) -> None:
+    def _learn(self, beat: peer_messages.Heartbeat, now: float) -> None:
         if beat.lease_revision > 0:
-            self.lease.told(
+            self.lease.merge_peer(
                 beat.lease_revision,
                 beat.lease_holder,
                 now - beat.lease_ms / 1000,
             )
-        if self.pulses.told(beat, now) and not self.roster.reaches_all():
-            self.news()
+        if (
+            self.holder_heartbeats.merge(beat, now)
+            and not self.roster.reaches_all()
+        ):
+            self.beat_now()
 
     @property
     def address(self) -> str:
--- a/pimentoledge/routing/placements.py
+++ b/pimentoledge/routing/placements.py
@@ -5,11 +5,11 @@
 import attrs
 import xxhash
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
-from pimentoledge.routing import rooms
-from pimentoledge.routing import sources as sources_module
-from pimentoledge.routing import waits
+from pimentoledge.routing import cache_sources
+from pimentoledge.routing import capacity_checks
+from pimentoledge.routing import request_types
+from pimentoledge.routing import wait_estimates
 
 # Another data centre: its bytes are dear, so it is worth a queue.
 ELSEWHERE_MS = 120.0
@@ -33,7 +33,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Terms:
+class Criteria:
     """What a choice takes into account besides the servers.
 
     Attributes:
@@ -51,14 +51,14 @@
     """
 
     data_centre: str
-    parts: tuple[asks.Part, ...] = ()
+    parts: tuple[request_types.Part, ...] = ()
     unshared: int = 0
-    need: rooms.Need | None = None
+    need: capacity_checks.Demand | None = None
     model: str = ""
     newest: int | None = None
     isolated_by: str = ""
-    sources: sources_module.Sources = sources_module.Sources()
-    speeds: waits.Speeds = waits.Speeds()
+    sources: cache_sources.Sources = cache_sources.Sources()
+    speeds: wait_estimates.Speeds = wait_estimates.Speeds()
     near: bool = False
 
 
@@ -77,20 +77,20 @@
 
 
 @attrs.frozen(kw_only=True)
-class Offer:
+class ServerCandidate:
     """What a server offers a request.
 
     Attributes:
         backend: the server.
         first_seconds: expected time to the first event.
         loses_ms: what else is lost there, as a wait that would be worth it.
-        lacks: what it has too little of, or None.
+        shortage: what it has too little of, or None.
     """
 
     backend: backends.Backend
     first_seconds: float
     loses_ms: float
-    lacks: rooms.Lack | None
+    shortage: capacity_checks.Shortage | None
 
     @property
     def cost(self) -> float:
@@ -103,13 +103,13 @@
     """The server chosen for a request, and against what.
 
     Attributes:
-        offer: the server's.
+        candidate: the server's.
         second: cost of the next best, or None if no other had room.
         usable: how many could have been chosen.
         declared: how many were declared and not yet tried.
     """
 
-    offer: Offer
+    candidate: ServerCandidate
     second: float | None
     usable: int
     declared: int
@@ -117,35 +117,35 @@
     @property
     def backend(self) -> backends.Backend:
         """The server."""
-        return self.offer.backend
+        return self.candidate.backend
 
 
 @attrs.frozen(kw_only=True)
-class NoRoom:
+class NoCapacity:
     """That no server should get a request now.
 
     Attributes:
-        lacks: what usable servers have too little of, with how many lack it.
+        shortage: what usable servers have too little of, with how many lack it.
     """
 
-    lacks: dict[rooms.Lack, int]
+    shortage: dict[capacity_checks.Shortage, int]
 
 
 def choose(
     *,
     candidates: list[backends.Backend],
-    terms: Terms,
+    terms: Criteria,
     now: float,
-) -> Choice | NoRoom:
+) -> Choice | NoCapacity:
     """Returns the server with room that costs least, if any."""
     usable = [each for each in candidates if each.usable(now)]
     paces = [each.pace for each in usable if each.pace]
     best = min(paces, default=0.0)
-    offers = [offer(each, terms, now, best) for each in usable]
-    free = [each for each in offers if each.lacks is None]
+    offers = [evaluate(each, terms, now, best) for each in usable]
+    free = [each for each in offers if each.shortage is None]
     if not free:
-        lacks = collections.Counter(each.lacks for each in offers)
-        return NoRoom(lacks=dict(lacks))
+        lacks = collections.Counter(each.shortage for each in offers)
+        return NoCapacity(shortage=dict(lacks))
     free.sort(
         key=lambda each: (
             terms.near and _is_elsewhere(each.backend, terms),
@@ -153,23 +153,23 @@
         )
     )
     return Choice(
-        offer=free[0],
+        candidate=free[0],
         second=free[1].cost if len(free) > 1 else None,
         usable=len(usable),
         declared=len(candidates),
     )
 
 
-def _is_elsewhere(backend: backends.Backend, terms: Terms) -> bool:
+def _is_elsewhere(backend: backends.Backend, terms: Criteria) -> bool:
     return backend.registration.data_centre != terms.data_centre
 
 
-def offer(
+def evaluate(
     backend: backends.Backend,
-    terms: Terms,
+    terms: Criteria,
     now: float,
     best_pace: float = 0.0,
-) -> Offer:
+) -> ServerCandidate:
     """Returns what a server offers a request.
 
     Args:
@@ -181,7 +181,7 @@
     version = weights_of(backend, terms.model)
     older = _is_older(version, terms)
     prompt = _prompt_at(backend, terms, version, older)
-    first = waits.first_event(backend, prompt, terms.speeds, now)
+    first = wait_estimates.expected_wait(backend, prompt, terms.speeds, now)
     losses = TROUBLE_MS * backend.trouble_by(now)
     if terms.unshared > CHUNK_TOKENS and backend.pace and best_pace:
         slower = backend.pace / best_pace - 1
@@ -195,44 +195,44 @@
     losses += 1000 * first.reader_seconds
     lacks = None
     if terms.need is not None:
-        lacks = rooms.lacks(
+        lacks = capacity_checks.shortage(
             backend.registration.slots,
             terms.need,
             busy=first.busy,
             first_seconds=first.seconds,
             wait_seconds=first.others_seconds,
         )
-    return Offer(
+    return ServerCandidate(
         backend=backend,
         first_seconds=first.seconds,
         loses_ms=losses + _drawn_ms(backend, terms),
-        lacks=lacks,
+        shortage=lacks,
     )
 
 
-def _is_older(version: int | None, terms: Terms) -> bool:
+def _is_older(version: int | None, terms: Criteria) -> bool:
     """Returns whether newer weights than these are named."""
     return None not in (version, terms.newest) and version < terms.newest
 
 
 def _prompt_at(
     backend: backends.Backend,
-    terms: Terms,
+    terms: Criteria,
     version: int | None,
     older: bool,
-) -> waits.Prompt:
+) -> wait_estimates.PromptWork:
     """Returns what a runner has to do for the prompt."""
     if not terms.parts or version is None:
-        return waits.Prompt(to_read=terms.unshared)
+        return wait_estimates.PromptWork(to_read=terms.unshared)
     found = namespace(version, terms.isolated_by)
     held = backend.cached_tokens(found, terms.parts)
     shared = sum(part.tokens for part in terms.parts)
-    prompt = waits.prompt_at(
+    prompt = wait_estimates.prompt_at(
         data_centre=backend.registration.data_centre,
         held=held,
         shared=shared,
         unshared=terms.unshared,
-        sources=sources_module.Sources() if older else terms.sources,
+        sources=cache_sources.Sources() if older else terms.sources,
         speeds=terms.speeds,
     )
     if older:
@@ -241,7 +241,7 @@
     return prompt
 
 
-def _drawn_ms(backend: backends.Backend, terms: Terms) -> float:
+def _drawn_ms(backend: backends.Backend, terms: Criteria) -> float:
     """Returns what decides where all else is alike.
 
     Requests that share a prompt stay together, and routers that see the same
--- a/pimentoledge/routing/quotas/ledgers.py
+++ b/pimentoledge/routing/quotas/ledgers.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Bounds:
+class QuotaBounds:
     """By how much the sum over all routers may exceed a limit.
 
     Attributes:
@@ -67,7 +67,7 @@
 # Of the limits that servers name, in requests. A window allows 5 more than half
 # of a limit more; what is left of that is for requests on their way while a
 # limit or an owner changes.
-SERVER_BOUNDS = Bounds(
+SERVER_BOUNDS = QuotaBounds(
     window_seconds=4.0,
     over=0.5,
     slack=3.0,
@@ -94,10 +94,10 @@
     version: int
     per_second: float
     burst: float
-    bounds: Bounds | None = None
+    bounds: QuotaBounds | None = None
 
 
-def longest_window(bounds: Bounds) -> float:
+def longest_window(bounds: QuotaBounds) -> float:
     """Returns the longest window of all limits, in seconds.
 
     Args:
@@ -139,7 +139,7 @@
 
 
 @attrs.define(kw_only=True)
-class Lease:
+class RightsLease:
     """A router's rights, as a ledger holds them.
 
     Attributes:
@@ -167,7 +167,7 @@
 
 
 @attrs.define(kw_only=True)
-class Pool:
+class QuotaPool:
     """What is left of one organisation's limit in a ledger.
 
     Attributes:
@@ -203,15 +203,15 @@
         pools: by organisation.
     """
 
-    def __init__(self, *, bounds: Bounds):
+    def __init__(self, *, bounds: QuotaBounds):
         self.bounds = bounds
-        self.leases: dict[str, Lease] = {}
+        self.leases: dict[str, RightsLease] = {}
         self.share = 0.0
         self.earned = 0.0
         self.brought = 0.0
         self.lapsed = 0.0
         self.allowances: dict[str, Allowance] = {}
-        self.pools: dict[str, Pool] = {}
+        self.pools: dict[str, QuotaPool] = {}
         self._counted_at = 0.0
         # No lease lapses before; one that was prolonged may lapse later.
         self._lapses_at = float("inf")
@@ -231,7 +231,7 @@
         self._counted_at = max(now, self._counted_at)
 
     def put(
-        self, router: str, lease: Lease, *, allowance: bool, now: float
+        self, router: str, lease: RightsLease, *, allowance: bool, now: float
     ) -> None:
         """Takes a router's rights, or changes them."""
         self.advance(now)
@@ -325,36 +325,36 @@
         self._changed_earned = self.earned
         self.share = share
 
-    def _refill(self, pool: Pool) -> None:
+    def _refill(self, pool: QuotaPool) -> None:
         """Adds what the rights have earned; an allowance may exceed the top."""
         rate = pool.limit.per_second
         refill = rate * (self.earned - pool.earned)
         pool.earned = self.earned
         self.add(pool, refill)
 
-    def add(self, pool: Pool, tokens: float) -> None:
+    def add(self, pool: QuotaPool, tokens: float) -> None:
         """Adds to what a limit has left, up to what it may hold."""
         top = self.top(pool)
         pool.level = max(pool.level, min(pool.level + tokens, top))
 
-    def bounds_of(self, limit: Limit) -> Bounds:
+    def bounds_of(self, limit: Limit) -> QuotaBounds:
         """Returns by how much a limit may be exceeded."""
         return limit.bounds or self.bounds
 
-    def top(self, pool: Pool) -> float:
+    def top(self, pool: QuotaPool) -> float:
         """Returns the most that a pool may hold."""
         return self.bounds_of(pool.limit).top(pool.limit) * self.share
 
-    def is_full(self, pool: Pool) -> bool:
+    def is_full(self, pool: QuotaPool) -> bool:
         """Returns whether a limit has all that it can have here."""
         return pool.level >= FULL_SHARE * self.top(pool)
 
-    def pool(self, organisation: str, limit: Limit, now: float) -> Pool:
+    def pool(self, organisation: str, limit: Limit, now: float) -> QuotaPool:
         """Returns an organisation's pool as it is now."""
         self.advance(now)
         pool = self.pools.get(organisation)
         if pool is None:
-            pool = Pool(
+            pool = QuotaPool(
                 limit=limit,
                 level=self._level_unasked(limit),
                 earned=self.earned,
@@ -369,7 +369,7 @@
         pool.used_at = now
         return pool
 
-    def _allow(self, pool: Pool) -> None:
+    def _allow(self, pool: QuotaPool) -> None:
         """Adds the allowances that came since a pool was asked."""
         share = self.brought - max(pool.brought, self.lapsed)
         tolerance = self.bounds_of(pool.limit).tolerance(pool.limit)
@@ -394,11 +394,11 @@
         slots: by number.
     """
 
-    def __init__(self, *, bounds: Bounds):
+    def __init__(self, *, bounds: QuotaBounds):
         self.bounds = bounds
         self.slots = [Slot(bounds=bounds) for _ in range(SLOTS)]
 
-    def rebound(self, bounds: Bounds) -> None:
+    def rebound(self, bounds: QuotaBounds) -> None:
         """Takes changed bounds."""
         self.bounds = bounds
         for each in self.slots:
@@ -422,19 +422,19 @@
             share=slot.share,
         )
 
-    def _has_room(self, slot: Slot, pool: Pool, cost: float) -> bool:
+    def _has_room(self, slot: Slot, pool: QuotaPool, cost: float) -> bool:
         if pool.level >= cost:
             return True
         return slot.is_full(pool) and cost <= self._most(slot, pool)
 
-    def _most(self, slot: Slot, pool: Pool) -> float:
+    def _most(self, slot: Slot, pool: QuotaPool) -> float:
         """Returns the largest request that can ever run."""
         tolerance = slot.bounds_of(pool.limit).tolerance(pool.limit)
         overdraft = OVERDRAFT_SHARE * tolerance * slot.share
         return slot.top(pool) + overdraft
 
     def _wait(
-        self, slot: Slot, pool: Pool, cost: float, now: float
+        self, slot: Slot, pool: QuotaPool, cost: float, now: float
     ) -> float | None:
         """Returns when a refused client finds room.
 
--- a/pimentoledge/routing/quotas/limiters.py
+++ b/pimentoledge/routing/quotas/limiters.py
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Answer:
+class AcquireResult:
     """What became of a request that asked for its part of a limit.
 
     Attributes:
@@ -40,7 +40,7 @@
 
 
 @attrs.define(kw_only=True)
-class Question:
+class PendingAcquire:
     """A request that waits for an owner's answer.
 
     Attributes:
@@ -57,7 +57,7 @@
     organisation: str
     limit: ledgers.Limit
     cost: float
-    decided: Callable[[Answer], None] | None
+    decided: Callable[[AcquireResult], None] | None
     owner: str
     began: float
     asked_at: float
@@ -84,7 +84,7 @@
         *,
         own: str,
         life: int,
-        bounds: ledgers.Bounds,
+        bounds: ledgers.QuotaBounds,
         share: Callable[[float], float],
         routers: Callable[[float], list[str]],
         send: Callable[[str, object], None],
@@ -99,14 +99,14 @@
         self.routers = routers
         self.send = send
         self.renew = renew
-        self.questions: dict[int, Question] = {}
+        self.questions: dict[int, PendingAcquire] = {}
         self.leaving = False
         self._number = 0
         self._stepped = False
         self._next_talk = 0.0
         self._heard: dict[str, tuple[int, int]] = {}
 
-    def rebound(self, bounds: ledgers.Bounds) -> None:
+    def rebound(self, bounds: ledgers.QuotaBounds) -> None:
         """Takes changed bounds; what is left of each limit stays."""
         self.ledger.rebound(bounds)
 
@@ -116,7 +116,7 @@
         limit: ledgers.Limit,
         cost: float,
         now: float,
-        decided: Callable[[Answer], None],
+        decided: Callable[[AcquireResult], None],
     ) -> int:
         """Asks to let a request in; `decided` may be called at once.
 
@@ -124,7 +124,7 @@
         """
         if not self._stepped:
             self._step(now)
-        question = Question(
+        question = PendingAcquire(
             organisation=organisation,
             limit=limit,
             cost=cost,
@@ -138,7 +138,7 @@
     def _target(self, organisation: str, now: float) -> str:
         return self.rights.target(ledgers.slot_of(organisation), now)
 
-    def _ask(self, question: Question, now: float) -> int:
+    def _ask(self, question: PendingAcquire, now: float) -> int:
         self._number += 1
         if question.owner == self.own:
             self._decide_here(question, now)
@@ -160,19 +160,19 @@
         )
         return self._number
 
-    def _decide_here(self, question: Question, now: float) -> None:
+    def _decide_here(self, question: PendingAcquire, now: float) -> None:
         decision = self.ledger.acquire(
             question.organisation, question.limit, question.cost, now
         )
         if not decision.granted and self._asks_wanted(question, now):
             return
         question.decided(
-            Answer(
+            AcquireResult(
                 decision=decision, owner=self.own, seconds=now - question.began
             )
         )
 
-    def _asks_wanted(self, question: Question, now: float) -> bool:
+    def _asks_wanted(self, question: PendingAcquire, now: float) -> bool:
         """Asks the owner to which the own rights are about to go, if any.
 
         A router that has just started has few rights; who is to have them may
@@ -228,14 +228,18 @@
             elif late >= FORGET_SECONDS:
                 del self.questions[number]
 
-    def _ask_another(self, number: int, question: Question, now: float) -> None:
+    def _ask_another(
+        self, number: int, question: PendingAcquire, now: float
+    ) -> None:
         """Asks the next owner, or decides by the own rights."""
         again = attrs.evolve(question, asked=question.asked + 1)
         # A late answer still finds the question: what it grants is given back.
         question.decided = None
         self._ask_again(again, question.owner, now)
 
-    def _ask_again(self, again: Question, before: str, now: float) -> None:
+    def _ask_again(
+        self, again: PendingAcquire, before: str, now: float
+    ) -> None:
         again.owner = self._target(again.organisation, now)
         if again.asked > MOST_ASKED or again.owner == before:
             again.owner = self.own
@@ -303,7 +307,7 @@
         for number, slot in enumerate(self.ledger.slots):
             fresh = number in lent.fresh
             if number in lent.slots and timely:
-                lease = ledgers.Lease(share=lent.share, until=until)
+                lease = ledgers.RightsLease(share=lent.share, until=until)
                 slot.put(sender, lease, allowance=fresh, now=now)
             elif number not in lent.slots:
                 slot.remove(sender, now)
@@ -364,7 +368,7 @@
             return
         wait = None if answer.wait_ms < 0 else answer.wait_ms / 1000
         question.decided(
-            Answer(
+            AcquireResult(
                 decision=ledgers.Decision(
                     granted=answer.granted,
                     wait_seconds=wait,
--- a/pimentoledge/routing/quotas/rights.py
+++ b/pimentoledge/routing/quotas/rights.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from pimentoledge.routing import rings
+from pimentoledge.routing import heartbeat_rings
 from pimentoledge.routing.quotas import ledgers
 from pimentoledge.routing.quotas import messages
 
@@ -100,9 +100,11 @@
 
 def owner_of(slot: int, routers: list[str]) -> str:
     """Returns the router that comes next on the circle after a slot."""
-    here = rings.place(f"quota-slot-{slot}")
+    here = heartbeat_rings.place(f"quota-slot-{slot}")
     return min(
-        routers, key=lambda each: (rings.place(each) - here) % rings.CIRCLE
+        routers,
+        key=lambda each: (heartbeat_rings.place(each) - here)
+        % heartbeat_rings.CIRCLE,
     )
 
 
@@ -249,7 +251,7 @@
         due = comes and stays and self._allowance_due(home, now)
         if due:
             home.bring(self.own, now, fresh=False)
-        lease = ledgers.Lease(share=self.share, until=NEVER)
+        lease = ledgers.RightsLease(share=self.share, until=NEVER)
         held.put(self.own, lease, allowance=due, now=now)
 
     def _allowance_due(self, home: Home, now: float) -> bool:
--- a/pimentoledge/routing/rechecks.py
+++ b/pimentoledge/routing/rechecks.py
@@ -66,7 +66,7 @@
         found = await self.runners.report(backend.registration)
         if isinstance(found, registrations.Unavailable):
             return
-        if backend.is_of_another_life(found.born):
+        if backend.is_other_incarnation(found.born):
             return
         if found.loading:
             backend.loading_until = clocks.now() + LOADING_SECONDS
--- a/pimentoledge/routing/copies.py
+++ b/pimentoledge/routing/replicators.py
@@ -7,14 +7,14 @@
 import collections
 from collections.abc import Callable
 
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import mirrors
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import peer_messages
 from pimentoledge.routing import registrations
 from pimentoledge.routing import rosters
-from pimentoledge.routing import takers as takers_module
+from pimentoledge.routing import view_updaters
 from pimentoledge.routing import watch_shares
 from pimentoledge.routing import watchers
 
@@ -25,17 +25,17 @@
 # Changes kept for those that ask for them; each is some hundred bytes.
 MOST_OFFERED = 50
 # Between two wishes for the same kind.
-WISH_SECONDS = 0.6
+LISTING_REQUEST_SECONDS = 0.6
 
 
-class Copies:
+class Replicator:
     """What a router tells and hears of the store's objects.
 
     Attributes:
-        believed: what the process believes.
+        view: what the process believes.
         watching: the tasks that follow the store, by kind.
         roster: the other routers.
-        takers: turn what is told into beliefs.
+        updater: turn what is told into beliefs.
         lines: where changes of belief are written.
         send: sends a message to a mailbox.
         shares: who watches the servers for others.
@@ -45,26 +45,26 @@
     def __init__(
         self,
         *,
-        believed: beliefs.Beliefs,
+        view: cluster_views.ClusterView,
         watching: dict[str, watchers.Watcher],
         roster: rosters.Roster,
-        takers: takers_module.Takers,
+        takers: view_updaters.ViewUpdater,
         lines: log_lines.Lines,
         send: Callable[[str, object], None],
     ):
-        self.believed = believed
+        self.view = view
         self.watching = watching
         self.roster = roster
-        self.takers = takers
+        self.updater = takers
         self.lines = lines
         self.send = send
         self.shares = watch_shares.WatchShares(own=roster.own)
         self.lapse_told = 0.0
         self._wished: dict[str, float] = {}
         self._asked = (0, 0.0)
-        self._offered: collections.OrderedDict[int, peer_messages.Told] = (
-            collections.OrderedDict()
-        )
+        self._offered: collections.OrderedDict[
+            int, peer_messages.WatchedChanges
+        ] = collections.OrderedDict()
 
     def store_reached(self) -> bool:
         """Returns whether the store answers this router."""
@@ -81,7 +81,7 @@
             if each.mirror.revision is not None and each.mirror.known_at
         }
 
-    def take_known(self, beat: peer_messages.Beat, now: float) -> None:
+    def merge_known(self, beat: peer_messages.Heartbeat, now: float) -> None:
         """Takes that another router lately saw that nothing is newer.
 
         It holds here only where all that it knows is known here; of named
@@ -94,7 +94,7 @@
             if name == "weights" or changed_at <= mirror.revision:
                 mirror.freshen(now - age / 1000)
 
-    def look_turn(self) -> int:
+    def poll_rank(self) -> int:
         """Returns when this router looks, as an index of LOOK_SHARES.
 
         Of few routers the first is one that the store answers, of many the
@@ -110,7 +110,7 @@
         )
         return 0 if first else 2
 
-    def _mirror(self, kind: str) -> mirrors.Mirror | None:
+    def _mirror(self, kind: str) -> object_caches.ObjectCache | None:
         found = self.watching.get(kind)
         return None if found is None else found.mirror
 
@@ -118,15 +118,15 @@
         """Returns whether others watch the servers for this router."""
         if self.roster.reaches_all():
             return False
-        return self.shares.are_enough(self.roster.rank, clocks.now())
+        return self.shares.has_enough(self.roster.rank, clocks.now())
 
-    def sign(self, now: float) -> dict[str, int]:
+    def current_watchers(self, now: float) -> dict[str, int]:
         """Returns who watches, this router included if it does."""
         if self.watching["servers"].watching:
             self.shares.watches(now)
-        return self.shares.to_tell(now)
+        return self.shares.watcher_ages(now)
 
-    def tell(self, after: int, found: registrations.Changes) -> None:
+    def forward_changes(self, after: int, found: registrations.Changes) -> None:
         """Passes on what this router's watch of the servers brought.
 
         Args:
@@ -135,14 +135,14 @@
         """
         if self.roster.reaches_all() or not (found.changed or found.removed):
             return
-        told = peer_messages.Told(
+        told = peer_messages.WatchedChanges(
             after=after, changes=found, lapse_ms=self._lapse_ms()
         )
         self._offer(told, without="")
 
     def _lapse_ms(self) -> int:
         """Returns for how long yet what is gone may come back."""
-        lapse_seconds = self.takers.lapse_ends() - clocks.now()
+        lapse_seconds = self.updater.lapse_ends() - clocks.now()
         return max(0, int(lapse_seconds * 1000))
 
     def _take_lapse(self, lapse_ms: int) -> None:
@@ -150,7 +150,7 @@
         lapse_ends = clocks.now() + lapse_ms / 1000
         self.lapse_told = max(self.lapse_told, lapse_ends)
 
-    def _offer(self, told: peer_messages.Told, without: str) -> None:
+    def _offer(self, told: peer_messages.WatchedChanges, without: str) -> None:
         """Offers changes to the neighbours in the data centre."""
         changes = told.changes
         newest = max(
@@ -161,9 +161,13 @@
             self._offered.popitem(last=False)
         for address in self.roster.near:
             if address != without:
-                self.send(address, peer_messages.Offer(changed_at=newest))
+                self.send(
+                    address, peer_messages.ChangesOffer(changed_at=newest)
+                )
 
-    def offered(self, sender: str, offer: peer_messages.Offer) -> None:
+    def request_changes(
+        self, sender: str, offer: peer_messages.ChangesOffer
+    ) -> None:
         """Asks for changes that are news, of the first that offers them."""
         now = clocks.now()
         servers = self._mirror("servers")
@@ -173,15 +177,21 @@
         if offer.changed_at <= asked and now - when < ASKED_SECONDS:
             return
         self._asked = (offer.changed_at, now)
-        self.send(sender, peer_messages.Want(changed_at=offer.changed_at))
+        self.send(
+            sender, peer_messages.ChangesRequest(changed_at=offer.changed_at)
+        )
 
-    def hand_over(self, sender: str, want: peer_messages.Want) -> None:
+    def send_changes(
+        self, sender: str, want: peer_messages.ChangesRequest
+    ) -> None:
         """Sends changes that were offered."""
         told = self._offered.get(want.changed_at)
         if told is not None:
             self.send(sender, told)
 
-    def take(self, sender: str, told: peer_messages.Told) -> None:
+    def receive_changes(
+        self, sender: str, told: peer_messages.WatchedChanges
+    ) -> None:
         """Takes and passes on what another's watch brought."""
         servers = self._mirror("servers")
         if servers.revision is None:
@@ -198,7 +208,7 @@
         return self._lacks_configuration(peer) or self._lacks_servers(peer)
 
     def _lacks_configuration(self, peer: rosters.Peer) -> bool:
-        held = self.believed.configuration
+        held = self.view.configuration
         return peer.configuration > (held.version if held else 0)
 
     def _lacks_servers(self, peer: rosters.Peer) -> bool:
@@ -230,22 +240,24 @@
 
     def _wish(self, address: str, kind: str) -> None:
         now = clocks.now()
-        if now - self._wished.get(kind, 0.0) < WISH_SECONDS:
+        if now - self._wished.get(kind, 0.0) < LISTING_REQUEST_SECONDS:
             return
         self._wished[kind] = now
-        self.send(address, peer_messages.Wish(kind=kind))
+        self.send(address, peer_messages.ListingRequest(kind=kind))
 
-    def give(self, address: str, kind: str) -> None:
+    def send_listing(self, address: str, kind: str) -> None:
         """Sends a router all objects of a kind."""
         mirror = self._mirror(kind)
         if mirror is None or mirror.revision is None:
             return
-        gift = peer_messages.Gift(
+        gift = peer_messages.FullListing(
             kind=kind, listing=mirror.listing(), lapse_ms=self._lapse_ms()
         )
         self.send(address, gift)
 
-    def take_all(self, sender: str, gift: peer_messages.Gift) -> None:
+    def receive_listing(
+        self, sender: str, gift: peer_messages.FullListing
+    ) -> None:
         """Takes all objects of a kind from another router."""
         mirror = self._mirror(gift.kind)
         if mirror is None:
--- a/pimentoledge/routing/asks.py
+++ b/pimentoledge/routing/request_types.py
@@ -19,7 +19,7 @@
 
 
 @attrs.define(kw_only=True)
-class Ask:
+class ClientRequest:
     """One attempt of a client.
 
     Attributes:
@@ -104,7 +104,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Load:
+class ServerLoad:
     """What a server says of its load.
 
     Attributes:
@@ -119,7 +119,7 @@
 
 
 @attrs.define(kw_only=True)
-class Answer:
+class ServerResponse:
     """The head of a server's answer.
 
     Attributes:
@@ -145,7 +145,7 @@
     not_run: bool
     signed: bool
     encoded: bool
-    load: Load | None
+    load: ServerLoad | None
     weights: int | None
     server: str | None
     idle_seconds: float | None
--- a/pimentoledge/routing/budgets.py
+++ b/pimentoledge/routing/retry_budgets.py
@@ -30,7 +30,7 @@
         self._asked: collections.deque[float] = collections.deque()
         self._repeated: collections.deque[float] = collections.deque()
 
-    def asked(self, now: float) -> None:
+    def note_request(self, now: float) -> None:
         """Counts a client's request."""
         self._asked.append(now)
         self._expire(now)
--- a/pimentoledge/routing/verdicts.py
+++ b/pimentoledge/routing/retry_rules.py
@@ -8,7 +8,7 @@
 from pimentoledge.routing import configurations
 
 
-class Outcome(enum.StrEnum):
+class AttemptOutcome(enum.StrEnum):
     """How an attempt at one server ended without an answer to pass on."""
 
     # Nothing was sent.
@@ -24,7 +24,7 @@
 
 
 @attrs.define(kw_only=True)
-class History:
+class AttemptHistory:
     """What was done for one request so far.
 
     Attributes:
@@ -52,22 +52,26 @@
         self.sends += 1
         self.pending = incarnation
 
-    def met(self, incarnation: str, outcome: Outcome) -> None:
+    def note_outcome(self, incarnation: str, outcome: AttemptOutcome) -> None:
         """Takes the end of an attempt."""
-        never_ran = outcome in (Outcome.UNSENT, Outcome.NOT_RUN)
+        never_ran = outcome in (AttemptOutcome.UNSENT, AttemptOutcome.NOT_RUN)
         if self.pending is not None and never_ran:
             self.undone += 1
         self.pending = None
         match outcome:
-            case Outcome.UNSENT:
+            case AttemptOutcome.UNSENT:
                 self.unsent += 1
                 self.refused_by.add(incarnation)
-            case Outcome.NOT_RUN:
+            case AttemptOutcome.NOT_RUN:
                 self.refused_by.add(incarnation)
-            case Outcome.FAILED | Outcome.BROKE | Outcome.WITHDRAWN:
+            case (
+                AttemptOutcome.FAILED
+                | AttemptOutcome.BROKE
+                | AttemptOutcome.WITHDRAWN
+            ):
                 self.ran_on.add(incarnation)
 
-    def tried(self) -> set[str]:
+    def excluded_servers(self) -> set[str]:
         """Returns the servers that it need not be sent to again."""
         return self.ran_on | self.refused_by
 
@@ -78,7 +82,7 @@
 MOST_SENDS = 4
 
 
-def may_go_on(history: History, route: configurations.Route) -> bool:
+def may_retry(history: AttemptHistory, route: configurations.Route) -> bool:
     """Returns whether a request may be sent to a further server.
 
     A request that may not be repeated must not be sent again once a server
@@ -91,7 +95,7 @@
     return route.repeatable() and len(history.ran_on) < route.most_servers
 
 
-def final_code(history: History) -> results.Code:
+def final_code(history: AttemptHistory) -> results.Code:
     """Returns the code of a request that is given up.
 
     Only one that no server may have run is refused with a promise.
@@ -101,7 +105,7 @@
     return results.Code.OVERLOADED if history.sends else results.Code.NO_SERVER
 
 
-def late_code(history: History) -> results.Code:
+def timeout_code(history: AttemptHistory) -> results.Code:
     """Returns the code of a request whose time is over.
 
     One that a server has now, or may have run before, is never promised as
--- a/pimentoledge/routing/rollouts.py
+++ b/pimentoledge/routing/rollouts.py
@@ -9,7 +9,7 @@
 import attrs
 
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cluster_views
 
 # Part of a model's runners that load at one time: reading weights slows down
 # with more of them, and the others carry all requests meanwhile. Measured
@@ -22,7 +22,7 @@
 AGAIN_SECONDS = 0.3
 
 
-class Verdict(enum.StrEnum):
+class OrderVerdict(enum.StrEnum):
     """What a runner made of an order."""
 
     TAKEN = "taken"
@@ -38,7 +38,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Reported:
+class RunnerReport:
     """What a runner reports.
 
     Attributes:
@@ -57,7 +57,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Load:
+class LoadOrder:
     """An order to load weights.
 
     Attributes:
@@ -111,33 +111,33 @@
     """Brings runners to the wanted weights, a few at a time.
 
     Attributes:
-        believed: what the process believes.
+        view: what the process believes.
         progress: by incarnation.
     """
 
-    def __init__(self, *, believed: beliefs.Beliefs):
-        self.believed = believed
+    def __init__(self, *, view: cluster_views.ClusterView):
+        self.view = view
         self.progress: dict[str, Progress] = {}
 
     def behind(self, model: str) -> list[backends.Backend]:
         """Returns the runners of a model with older weights than wanted."""
-        wanted = self.believed.wanted[model].version
+        wanted = self.view.wanted[model].version
         return [
             each
-            for each in self.believed.servers.by_incarnation.values()
+            for each in self.view.servers.by_incarnation.values()
             if not each.is_leaving()
             and each.registration.weights.get(model, wanted) < wanted
         ]
 
     def needed(self) -> bool:
         """Returns whether any runner has older weights than wanted."""
-        return any(self.behind(model) for model in self.believed.wanted)
+        return any(self.behind(model) for model in self.view.wanted)
 
     def due(self, now: float) -> list[Due]:
         """Returns the runners to tell now."""
         self._forget_gone()
         found = []
-        for model, wanted in self.believed.wanted.items():
+        for model, wanted in self.view.wanted.items():
             behind = self.behind(model)
             loading = [each for each in behind if self._is_loading(each, now)]
             room = self._room(model, loading, now)
@@ -167,7 +167,7 @@
         return [
             each
             for each in waiting
-            if not self.believed.may_begin(
+            if not self.view.may_begin(
                 model, each.registration.weights[model], now
             )
         ]
@@ -183,7 +183,7 @@
         return [by_version[version] for version in sorted(by_version)]
 
     def _forget_gone(self) -> None:
-        known = self.believed.servers.by_incarnation
+        known = self.view.servers.by_incarnation
         for incarnation in list(self.progress):
             if incarnation not in known:
                 del self.progress[incarnation]
@@ -200,13 +200,13 @@
         """
         runners = [
             each
-            for each in self.believed.servers.by_incarnation.values()
+            for each in self.view.servers.by_incarnation.values()
             if model in each.registration.weights and not each.over
         ]
         down = [
             each
             for each in runners
-            if each not in loading and each.unreached(now)
+            if each not in loading and each.is_unreachable(now)
         ]
         room = int(len(runners) * AT_ONCE_SHARE) - len(loading) - len(down)
         return room if loading else max(1, room)
@@ -222,27 +222,31 @@
 
     def _may_tell(self, backend: backends.Backend, now: float) -> bool:
         progress = self.of(backend)
-        if backend.unreached(now) or backend.is_unavailable(now):
+        if backend.is_unreachable(now) or backend.is_unavailable(now):
             return False
         return not progress.calling and now >= progress.not_before
 
-    def told(self, due: Due, verdict: Verdict, now: float) -> None:
+    def note_verdict(self, due: Due, verdict: OrderVerdict, now: float) -> None:
         """Takes a runner's word on an order."""
         progress = self.of(due.backend)
         progress.calling = False
         progress.not_before = now + AGAIN_SECONDS
         match verdict:
-            case Verdict.TAKEN:
+            case OrderVerdict.TAKEN:
                 progress.ends = now + LOAD_SECONDS
                 progress.orders_taken += 1
-            case Verdict.HOLDS:
+            case OrderVerdict.HOLDS:
                 # The store has not told yet that the runner has them.
                 progress.ends = now + AGAIN_SECONDS
-            case Verdict.WRONG_SERVER:
+            case OrderVerdict.WRONG_SERVER:
                 due.backend.over = True
-            case Verdict.UNREACHED | Verdict.REFUSED | Verdict.FENCED:
+            case (
+                OrderVerdict.UNREACHED
+                | OrderVerdict.REFUSED
+                | OrderVerdict.FENCED
+            ):
                 pass
-            case Verdict.OUT_OF_STEP | Verdict.UNKNOWN:
+            case OrderVerdict.OUT_OF_STEP | OrderVerdict.UNKNOWN:
                 progress.orders_taken = None
 
 
@@ -262,7 +266,7 @@
         place = each.registration.data_centre
         taken[place] = taken.get(place, 0) + 1
     chosen: list[backends.Backend] = []
-    rest = sorted(waiting, key=lambda each: each.busyness(now))
+    rest = sorted(waiting, key=lambda each: each.estimated_requests(now))
     while rest and len(chosen) < room:
         best = min(
             rest, key=lambda each: taken.get(each.registration.data_centre, 0)
--- a/pimentoledge/routing/rosters.py
+++ b/pimentoledge/routing/rosters.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from pimentoledge.routing import heartbeat_rings
 from pimentoledge.routing import peer_messages
-from pimentoledge.routing import rings
 
 # A router that was not heard for so long is taken to be away.
 AWAY_SECONDS = 1.6
@@ -26,18 +26,19 @@
     """Another router.
 
     Attributes:
-        met: when it became known.
-        heard: when this router last heard it; long ago before the first time.
+        first_seen_at: when it became known.
+        last_heard_at: when this router last heard it; long ago before the
+            first time.
         alive: when any router last heard it, as far as is told.
         beat: its last heartbeat, or None.
         configuration: its newest configuration version.
         data_centre: where it is, or "" if that isn't known yet.
     """
 
-    met: float = 0.0
-    heard: float = -1e9
+    first_seen_at: float = 0.0
+    last_heard_at: float = -1e9
     alive: float = -1e9
-    beat: peer_messages.Beat | None = None
+    beat: peer_messages.Heartbeat | None = None
     configuration: int = 0
     data_centre: str = ""
 
@@ -76,7 +77,7 @@
     def meet(self, address: str, now: float) -> None:
         """Notes that there may be a router."""
         if address != self.own and address not in self.known:
-            self.known[address] = Peer(met=now)
+            self.known[address] = Peer(first_seen_at=now)
 
     def members(self, now: float) -> dict[str, Peer]:
         """Returns the other routers that are believed to live."""
@@ -109,7 +110,7 @@
             ages[address] = int((now - peer.alive) * 1000)
         return found
 
-    def take_ages(self, ages: dict[str, dict[str, int]], now: float) -> None:
+    def merge_ages(self, ages: dict[str, dict[str, int]], now: float) -> None:
         """Takes how long ago another router heard each."""
         for data_centre, found in ages.items():
             for address, age in found.items():
@@ -124,7 +125,7 @@
         peer.alive = max(peer.alive, when)
         peer.data_centre = peer.data_centre or data_centre
 
-    def tell_count(self, now: float) -> tuple[int, int]:
+    def count_report(self, now: float) -> tuple[int, int]:
         """Returns the most routers that anyone counts, and its age in ms."""
         own = 1 + len(self.members(now))
         most, when = self.counted
@@ -132,7 +133,7 @@
             return own, 0
         return most, int((now - when) * 1000)
 
-    def take_count(self, count: int, age: int, now: float) -> None:
+    def merge_count(self, count: int, age: int, now: float) -> None:
         """Takes how many routers another one counts, and the age in ms.
 
         The age is that of the first count of so many, so that it goes out of
@@ -146,7 +147,7 @@
     def tick(self, now: float) -> None:
         """Forgets who is gone, and chooses whom to write to."""
         for address, peer in list(self.known.items()):
-            since = max(peer.alive, peer.met)
+            since = max(peer.alive, peer.first_seen_at)
             if address not in self.seeds and now - since > FORGET_SECONDS:
                 del self.known[address]
         self._choose_partners(now)
@@ -163,16 +164,21 @@
             address
             for address, peer in self.known.items()
             if address not in members
-            and (address in self.seeds or now - peer.met < MEMBER_SECONDS)
+            and (
+                address in self.seeds
+                or now - peer.first_seen_at < MEMBER_SECONDS
+            )
         ]
-        room = max(1, rings.ALL_TO_ALL - len(members))
+        room = max(1, heartbeat_rings.ALL_TO_ALL - len(members))
         hoped = random.sample(hopes, min(room, len(hopes)))
         where = {each: peer.data_centre for each, peer in members.items()}
-        self.near, far = rings.partners(self.own, self.data_centre, where)
+        self.near, far = heartbeat_rings.partners(
+            self.own, self.data_centre, where
+        )
         self.partners = self.near + far + hoped
-        here = rings.place(self.own)
+        here = heartbeat_rings.place(self.own)
         self.rank = sum(
-            rings.place(each) < here
+            heartbeat_rings.place(each) < here
             for each, at in where.items()
             if at == self.data_centre
         )
@@ -192,14 +198,16 @@
 
     def reaches_all(self) -> bool:
         """Returns whether every router hears the others itself."""
-        return len(self.known) <= rings.ALL_TO_ALL
+        return len(self.known) <= heartbeat_rings.ALL_TO_ALL
 
-    def unheard(self, now: float) -> list[str]:
+    def silent_partners(self, now: float) -> list[str]:
         """Returns the partners that were heard before, and are not now."""
         return [
             address
             for address in self.partners
-            if AWAY_SECONDS < now - self.known[address].heard < MEMBER_SECONDS
+            if AWAY_SECONDS
+            < now - self.known[address].last_heard_at
+            < MEMBER_SECONDS
         ]
 
     def present(self, now: float) -> dict[str, Peer]:
@@ -207,5 +215,5 @@
         return {
             address: peer
             for address, peer in self.known.items()
-            if now - peer.heard < AWAY_SECONDS
+            if now - peer.last_heard_at < AWAY_SECONDS
         }
--- a/pimentoledge/routing/saved_parts.py
+++ b/pimentoledge/routing/saved_parts.py
@@ -2,7 +2,7 @@
 
 import collections
 
-from pimentoledge.routing import asks
+from pimentoledge.routing import request_types
 
 # From a reader's first event until the part can be fetched from the KV cache
 # server: 2,520 tokens of 131 KB take some 15 ms, twice that between data
@@ -35,31 +35,31 @@
             collections.OrderedDict()
         )
 
-    def will_be_read(
+    def note_saving(
         self,
         address: str,
         namespace: str,
-        parts: tuple[asks.Part, ...],
+        parts: tuple[request_types.Part, ...],
         now: float,
     ) -> None:
         """Notes that a request was sent that will save these parts."""
         _note(self.saving, address, namespace, parts, now)
 
-    def was_read(
+    def note_saved(
         self,
         address: str,
         namespace: str,
-        parts: tuple[asks.Part, ...],
+        parts: tuple[request_types.Part, ...],
         now: float,
     ) -> None:
         """Notes that a runner has read these parts, and saves them."""
         _note(self.saved, address, namespace, parts, now + SAVE_SECONDS)
 
-    def lacks(
+    def unsaved_tokens(
         self,
         address: str,
         namespace: str,
-        parts: tuple[asks.Part, ...],
+        parts: tuple[request_types.Part, ...],
         now: float,
     ) -> int:
         """Returns how many tokens of the parts are neither saved nor coming.
@@ -81,7 +81,7 @@
         self,
         address: str,
         namespace: str,
-        parts: tuple[asks.Part, ...],
+        parts: tuple[request_types.Part, ...],
         now: float,
     ) -> int:
         """Returns how many of a prompt's first tokens were saved."""
@@ -97,7 +97,7 @@
         self,
         address: str,
         namespace: str,
-        parts: tuple[asks.Part, ...],
+        parts: tuple[request_types.Part, ...],
         moment: float,
         now: float,
     ) -> bool:
@@ -127,7 +127,7 @@
     where: collections.OrderedDict[Key, float],
     address: str,
     namespace: str,
-    parts: tuple[asks.Part, ...],
+    parts: tuple[request_types.Part, ...],
     when: float,
 ) -> None:
     for part in parts:
--- a/pimentoledge/routing/selections.py
+++ b/pimentoledge/routing/selections.py
@@ -2,15 +2,15 @@
 
 import xxhash
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cache_sources
+from pimentoledge.routing import capacity_checks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
 from pimentoledge.routing import peer_messages
 from pimentoledge.routing import placements
-from pimentoledge.routing import rooms
-from pimentoledge.routing import sources
-from pimentoledge.routing import waits
+from pimentoledge.routing import request_types
+from pimentoledge.routing import wait_estimates
 
 MOST_URGENCY = 9
 # Urgencies of routes that are told apart within an organisation's.
@@ -38,7 +38,7 @@
 HEARD_LATE_SECONDS = 1.0
 
 
-def service_of(route: configurations.Route, request: str) -> list[str]:
+def services_of(route: configurations.Route, request: str) -> list[str]:
     """Returns a route's services, the request's own first.
 
     The split is by the request's id, so no state is needed.
@@ -58,23 +58,23 @@
 
 def select(
     *,
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     route: configurations.Route,
     organisation: configurations.Organisation | None,
     without: set[str],
     now: float,
-) -> placements.Choice | placements.NoRoom:
+) -> placements.Choice | placements.NoCapacity:
     """Returns the server to send a request to, if one has room."""
-    found = placements.NoRoom(lacks={})
-    for name in service_of(route, ask.request):
+    found = placements.NoCapacity(shortage={})
+    for name in services_of(route, client_request.request):
         candidates = [
             each
-            for each in believed.servers.of_service(name)
+            for each in view.servers.of_service(name)
             if each.registration.incarnation not in without
-            and weights_allow(believed, ask.model, each, now)
+            and weights_allow(view, client_request.model, each, now)
         ]
-        terms = _terms(believed, ask, route, organisation, name, now)
+        terms = _terms(view, client_request, route, organisation, name, now)
         found = placements.choose(candidates=candidates, terms=terms, now=now)
         if isinstance(found, placements.Choice):
             return found
@@ -82,90 +82,92 @@
 
 
 def weights_allow(
-    believed: beliefs.Beliefs,
+    view: cluster_views.ClusterView,
     model: str,
     backend: backends.Backend,
     now: float,
 ) -> bool:
     """Returns whether a server's weights are new enough to begin on."""
     version = placements.weights_of(backend, model)
-    return believed.may_begin(model, version, now)
+    return view.may_begin(model, version, now)
 
 
 def _terms(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     route: configurations.Route,
     organisation: configurations.Organisation | None,
     service_name: str,
     now: float,
-) -> placements.Terms:
-    service = believed.configuration.services.get(service_name)
-    wanted = believed.wanted.get(ask.model)
-    return placements.Terms(
-        data_centre=believed.data_centre,
-        parts=ask.shared,
-        unshared=ask.unshared_tokens(),
-        model=ask.model,
+) -> placements.Criteria:
+    service = view.configuration.services.get(service_name)
+    wanted = view.wanted.get(client_request.model)
+    return placements.Criteria(
+        data_centre=view.data_centre,
+        parts=client_request.shared,
+        unshared=client_request.unshared_tokens(),
+        model=client_request.model,
         newest=None if wanted is None else wanted.version,
         isolated_by=_isolated_by(organisation),
-        sources=_newest_sources(believed, ask, organisation, service_name, now),
-        speeds=speeds_of(believed, ask.model, service_name),
-        need=_need(believed, ask, route, service),
-        near=bool(ask.model) and not believed.hears_all,
+        sources=_newest_sources(
+            view, client_request, organisation, service_name, now
+        ),
+        speeds=speeds_of(view, client_request.model, service_name),
+        need=_need(view, client_request, route, service),
+        near=bool(client_request.model) and not view.reaches_all,
     )
 
 
 def speeds_of(
-    believed: beliefs.Beliefs, model: str, service_name: str
-) -> waits.Speeds:
+    view: cluster_views.ClusterView, model: str, service_name: str
+) -> wait_estimates.Speeds:
     """Returns what first events of a model have shown."""
     if not model:
-        return waits.Speeds()
-    known = believed.first_event(model)
-    return waits.Speeds(
+        return wait_estimates.Speeds()
+    known = view.first_event(model)
+    return wait_estimates.Speeds(
         base_seconds=known.expected_seconds(0),
         token_seconds=known.token_seconds,
-        fetch_seconds=sources.transfer_seconds(
+        fetch_seconds=cache_sources.transfer_seconds(
             1,
-            service=believed.configuration.services.get(service_name),
+            service=view.configuration.services.get(service_name),
             link_bytes=None,
             apart=False,
         ),
-        mean_unread=believed.mean_unshared(model).known(),
-        elsewhere=believed.elsewhere,
+        mean_unread=view.mean_unshared(model).known(),
+        elsewhere=view.elsewhere,
     )
 
 
 def _need(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     route: configurations.Route,
     service: configurations.Service | None,
-) -> rooms.Need | None:
-    if not ask.model:
+) -> capacity_checks.Demand | None:
+    if not client_request.model:
         return None
-    return rooms.Need(
-        urgent=route.urgency == asks.MOST_URGENT,
-        mean_tokens=believed.mean_unshared(ask.model).known(),
+    return capacity_checks.Demand(
+        urgent=route.urgency == request_types.MOST_URGENT,
+        mean_tokens=view.mean_unshared(client_request.model).known(),
         memory=None if service is None else service.cache_tokens,
         objective_seconds=route.objective_seconds,
     )
 
 
 def _newest_sources(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     organisation: configurations.Organisation | None,
     service_name: str,
     now: float,
-) -> sources.Sources:
-    wanted = believed.wanted.get(ask.model)
-    if wanted is None or ask.shared_tokens() < LEAST_FETCH_TOKENS:
-        return sources.Sources()
+) -> cache_sources.Sources:
+    wanted = view.wanted.get(client_request.model)
+    if wanted is None or client_request.shared_tokens() < LEAST_FETCH_TOKENS:
+        return cache_sources.Sources()
     return sources_of(
-        believed,
-        ask,
+        view,
+        client_request,
         service_name=service_name,
         version=wanted.version,
         namespace=placements.namespace(
@@ -176,38 +178,38 @@
 
 
 def sources_of(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     *,
     service_name: str,
     version: int,
     namespace: str,
     now: float,
-) -> sources.Sources:
+) -> cache_sources.Sources:
     """Returns what can be fetched of a prompt under a version's namespace."""
-    cache = cache_server(believed, ask.parts)
+    cache = cache_server(view, client_request.parts)
     stored = None
     if cache is not None:
-        stored = sources.Source(
+        stored = cache_sources.CacheSource(
             address=cache.cache_address,
             data_centre=cache.data_centre,
-            tokens=believed.saved.tokens(
-                cache.cache_address, namespace, ask.shared, now
+            tokens=view.saved.tokens(
+                cache.cache_address, namespace, client_request.shared, now
             ),
         )
-    return sources.find(
-        runners=_unlimited(believed, service_name),
+    return cache_sources.find(
+        runners=_unlimited(view, service_name),
         stored=stored,
-        model=ask.model,
+        model=client_request.model,
         version=version,
         namespace=namespace,
-        parts=ask.shared,
+        parts=client_request.shared,
         now=now,
     )
 
 
 def _unlimited(
-    believed: beliefs.Beliefs, service_name: str
+    view: cluster_views.ClusterView, service_name: str
 ) -> list[backends.Backend]:
     """Returns a service's servers that have named no limit.
 
@@ -215,8 +217,8 @@
     """
     return [
         each
-        for each in believed.servers.of_service(service_name)
-        if not believed.server_limits.get(each.registration.incarnation)
+        for each in view.servers.of_service(service_name)
+        if not view.server_limits.get(each.registration.incarnation)
     ]
 
 
@@ -230,15 +232,15 @@
 
 def dispatch(
     *,
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     route: configurations.Route,
     organisation: configurations.Organisation | None,
     backend: backends.Backend,
     resume_after: int | None,
     seconds_left: float,
     now: float,
-) -> asks.Dispatch:
+) -> request_types.Dispatch:
     """Returns what is sent to a server besides the request.
 
     While weights change, a run that goes on under new ones may leave parts
@@ -248,52 +250,54 @@
     have changed, or where they are known to have been saved before: the KV
     cache server keeps a part as it was first made.
     """
-    found = asks.Dispatch(
+    found = request_types.Dispatch(
         server=backend.registration.server,
         organisation=None if organisation is None else organisation.name,
         seconds_left=seconds_left,
         resume_after=resume_after,
     )
-    version = placements.weights_of(backend, ask.model)
+    version = placements.weights_of(backend, client_request.model)
     if version is None:
         return found
     found.urgency = urgency_of(route, organisation)
     found.weights = version
     found.namespace = placements.namespace(version, _isolated_by(organisation))
-    found.to_read = ask.prompt_tokens
-    if not ask.parts:
+    found.to_read = client_request.prompt_tokens
+    if not client_request.parts:
         return found
-    held = backend.cached_tokens(found.namespace, ask.shared)
+    held = backend.cached_tokens(found.namespace, client_request.shared)
     found.to_read -= held
-    cache = cache_server(believed, ask.parts)
+    cache = cache_server(view, client_request.parts)
     address = None if cache is None else cache.cache_address
-    wanted = believed.wanted.get(ask.model)
+    wanted = view.wanted.get(client_request.model)
     superseded = None if wanted is None else wanted.superseded(version)
     if superseded is None:
         # It may keep more than is known here; a miss costs a ms.
         found.fetch_from = address
-        _fetch_newest(believed, ask, backend, held, found, now)
-        found.save_to = _save_to(believed, ask, found.namespace, cache, now)
+        _fetch_newest(view, client_request, backend, held, found, now)
+        found.save_to = _save_to(
+            view, client_request, found.namespace, cache, now
+        )
     elif address is not None and _may_fetch_older(
-        believed, address, found.namespace, ask.shared, now, superseded
+        view, address, found.namespace, client_request.shared, now, superseded
     ):
         found.fetch_from = address
     return found
 
 
 def _fetch_newest(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     backend: backends.Backend,
     held: int,
-    found: asks.Dispatch,
+    found: request_types.Dispatch,
     now: float,
 ) -> None:
     """Has the runner fetch what another server is believed to keep."""
     registration = backend.registration
     source = sources_of(
-        believed,
-        ask,
+        view,
+        client_request,
         service_name=registration.service,
         version=found.weights,
         namespace=found.namespace,
@@ -305,8 +309,8 @@
 
 
 def _save_to(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     namespace: str,
     cache: configurations.Service | None,
     now: float,
@@ -315,25 +319,27 @@
     if cache is None:
         return None
     address = cache.cache_address
-    lacks = believed.saved.lacks(address, namespace, ask.shared, now)
+    lacks = view.saved.unsaved_tokens(
+        address, namespace, client_request.shared, now
+    )
     least = 1
-    if believed.links.busy_share(address, now) > BUSY_SHARE:
-        least = SAVE_SHARE * ask.unshared_tokens()
+    if view.links.busy_share(address, now) > BUSY_SHARE:
+        least = SAVE_SHARE * client_request.unshared_tokens()
     return address if lacks and lacks >= least else None
 
 
 def _may_fetch_older(
-    believed: beliefs.Beliefs,
+    view: cluster_views.ClusterView,
     address: str,
     namespace: str,
-    parts: tuple[asks.Part, ...],
+    parts: tuple[request_types.Part, ...],
     now: float,
     since: float,
 ) -> bool:
     """Returns whether parts of older weights may be fetched.
 
     Args:
-        believed: what the process believes.
+        view: what the process believes.
         address: of the KV cache server.
         namespace: of the older weights.
         parts: the shared parts.
@@ -343,7 +349,7 @@
     if now - since < SAFE_FETCH_SECONDS:
         return True
     moment = since - HEARD_LATE_SECONDS
-    return believed.saved.saved_before(address, namespace, parts, moment, now)
+    return view.saved.saved_before(address, namespace, parts, moment, now)
 
 
 def urgency_of(
@@ -364,7 +370,7 @@
 
 
 def cache_server(
-    believed: beliefs.Beliefs, parts: tuple[asks.Part, ...]
+    view: cluster_views.ClusterView, parts: tuple[request_types.Part, ...]
 ) -> configurations.Service | None:
     """Returns the KV cache server of a prompt, among those that live.
 
@@ -376,8 +382,8 @@
     return max(
         (
             each
-            for each in believed.configuration.cache_servers()
-            if each.cache_address not in believed.caches_down
+            for each in view.configuration.cache_servers()
+            if each.cache_address not in view.caches_down
         ),
         key=lambda each: xxhash.xxh3_64_intdigest(
             f"{name}/{each.cache_address}".encode()
@@ -386,129 +392,132 @@
     )
 
 
-def most_idle(believed: beliefs.Beliefs, service_name: str) -> int | None:
+def most_idle(view: cluster_views.ClusterView, service_name: str) -> int | None:
     """Returns how many connections to a server may wait for a request.
 
     A server counts the connections of all routers and resets those beyond its
     bound. Each router may leave its part of half of them idle; the other half
     is for requests under way.
     """
-    service = believed.configuration.services.get(service_name)
+    service = view.configuration.services.get(service_name)
     if service is None or not service.max_connections:
         return None
-    part = IDLE_SHARE * service.max_connections / max(1, believed.members)
+    part = IDLE_SHARE * service.max_connections / max(1, view.members)
     return max(1, int(part))
 
 
 def note_sent(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     backend: backends.Backend,
-    sent: asks.Dispatch,
+    sent: request_types.Dispatch,
     now: float,
 ) -> None:
     """Notes which parts a server will hold, for this router and the others."""
-    if sent.namespace is None or len(ask.parts) < 2:
+    if sent.namespace is None or len(client_request.parts) < 2:
         return
-    _tell(believed, ask, backend, sent, read=False, now=now)
+    _tell(view, client_request, backend, sent, read=False, now=now)
 
 
 def note_read(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     backend: backends.Backend,
-    sent: asks.Dispatch,
+    sent: request_types.Dispatch,
     now: float,
 ) -> None:
     """Notes that a request's shared parts have been read."""
     if sent.namespace is None:
         return
-    backend.has_read(sent.namespace, ask.parts, now)
+    backend.note_parts_read(sent.namespace, client_request.parts, now)
     if sent.save_to is None:
         return
-    _tell(believed, ask, backend, sent, read=True, now=now)
+    _tell(view, client_request, backend, sent, read=True, now=now)
 
 
 def _tell(
-    believed: beliefs.Beliefs,
-    ask: asks.Ask,
+    view: cluster_views.ClusterView,
+    client_request: request_types.ClientRequest,
     backend: backends.Backend,
-    sent: asks.Dispatch,
+    sent: request_types.Dispatch,
     *,
     read: bool,
     now: float,
 ) -> None:
     """Takes for this router, and tells the others, where a prompt went."""
-    prompt = peer_messages.Prompt(
+    prompt = peer_messages.PromptReport(
         server=backend.registration.incarnation,
         namespace=sent.namespace,
-        parts=[(part.name, part.tokens) for part in ask.parts],
+        parts=[(part.name, part.tokens) for part in client_request.parts],
         saved_to=sent.save_to or "",
         read=read,
     )
-    believed.prompts_sent.append(prompt)
-    heard_prompt(believed, prompt, now)
+    view.prompts_sent.append(prompt)
+    note_peer_prompt(view, prompt, now)
 
 
-def heard_prompt(
-    believed: beliefs.Beliefs, prompt: peer_messages.Prompt, now: float
+def note_peer_prompt(
+    view: cluster_views.ClusterView,
+    prompt: peer_messages.PromptReport,
+    now: float,
 ) -> None:
     """Takes that a prompt was sent to a runner, or read by it.
 
     A router that has just started may know servers and no configuration yet;
     how much they keep is not known to it.
     """
-    if believed.configuration is None:
+    if view.configuration is None:
         return
     parts = tuple(
-        asks.Part(name=name, tokens=tokens) for name, tokens in prompt.parts
+        request_types.Part(name=name, tokens=tokens)
+        for name, tokens in prompt.parts
     )
     shared = parts[:-1]
-    saved = believed.saved
+    saved = view.saved
     if prompt.read:
-        saved.was_read(prompt.saved_to, prompt.namespace, shared, now)
+        saved.note_saved(prompt.saved_to, prompt.namespace, shared, now)
         return
-    backend = believed.servers.by_incarnation.get(prompt.server)
+    backend = view.servers.by_incarnation.get(prompt.server)
     if backend is None:
         return
-    _keep(believed, backend, prompt.namespace, parts, now)
+    _keep(view, backend, prompt.namespace, parts, now)
     if prompt.saved_to:
-        _note_saving(believed, backend, prompt, parts, now)
+        _note_saving(view, backend, prompt, parts, now)
 
 
 def _note_saving(
-    believed: beliefs.Beliefs,
+    view: cluster_views.ClusterView,
     backend: backends.Backend,
-    prompt: peer_messages.Prompt,
-    parts: tuple[asks.Part, ...],
+    prompt: peer_messages.PromptReport,
+    parts: tuple[request_types.Part, ...],
     now: float,
 ) -> None:
     """Takes that a prompt goes to a KV cache server, and what its link has."""
     address, namespace = prompt.saved_to, prompt.namespace
-    tokens = believed.saved.lacks(address, namespace, parts, now)
-    believed.saved.will_be_read(address, namespace, parts[:-1], now)
-    services = believed.configuration.services
+    tokens = view.saved.unsaved_tokens(address, namespace, parts, now)
+    view.saved.note_saving(address, namespace, parts[:-1], now)
+    services = view.configuration.services
     place = backend.registration.data_centre
-    for each in believed.configuration.cache_servers():
+    for each in view.configuration.cache_servers():
         if each.cache_address == address:
-            seconds = sources.transfer_seconds(
+            seconds = cache_sources.transfer_seconds(
                 tokens,
                 service=services.get(backend.registration.service),
                 link_bytes=each.link_bytes,
                 apart=each.data_centre != place,
             )
-            believed.links.carries(address, seconds, now)
+            view.links.carries(address, seconds, now)
 
 
 def _keep(
-    believed: beliefs.Beliefs,
+    view: cluster_views.ClusterView,
     backend: backends.Backend,
     namespace: str,
-    parts: tuple[asks.Part, ...],
+    parts: tuple[request_types.Part, ...],
     now: float,
 ) -> None:
-    service = believed.configuration.services.get(backend.registration.service)
+    service = view.configuration.services.get(backend.registration.service)
     tokens = 0 if service is None else service.cache_tokens or 0
     most = int(tokens * placements.KEPT_SHARE)
-    ready_at = now + sources.READY_SECONDS
+    ready_at = now + cache_sources.READY_SECONDS
     backend.note_parts(namespace, parts, most, ready_at)
--- a/pimentoledge/routing/server_connections.py
+++ b/pimentoledge/routing/server_connections.py
@@ -24,32 +24,32 @@
 
 
 @attrs.frozen(kw_only=True)
-class Headed:
+class HeadReceived:
     """The head of an answer arrived."""
 
     head: http_messages.ResponseHead
 
 
 @attrs.frozen(kw_only=True)
-class Piece:
+class BodyReceived:
     """Bytes of an answer's body arrived."""
 
     data: bytes
 
 
 @attrs.frozen(kw_only=True)
-class Ended:
+class ResponseEnded:
     """An answer is complete."""
 
 
 @attrs.frozen(kw_only=True)
-class Broke:
+class ConnectionBroken:
     """The connection ended, or carried bytes that are no answer."""
 
     reason: str
 
 
-Happening = Headed | Piece | Ended | Broke
+ConnectionEvent = HeadReceived | BodyReceived | ResponseEnded | ConnectionBroken
 
 
 def keep_watch(sock: socket.socket) -> None:
@@ -87,7 +87,9 @@
         self._parser = http_messages.ResponseParser(
             heads=self._on_head, pieces=self._on_piece, ends=self._on_end
         )
-        self._happenings: collections.deque[Happening] = collections.deque()
+        self._happenings: collections.deque[ConnectionEvent] = (
+            collections.deque()
+        )
         self._waiter: asyncio.Future | None = None
         self._ends_by_close = False
         self._over = False
@@ -103,7 +105,7 @@
         self.busy = True
         self._transport.write(data)
 
-    def is_heard(self) -> bool:
+    def has_unread_input(self) -> bool:
         """Returns whether something came that has not been looked at."""
         return bool(self._happenings)
 
@@ -113,8 +115,11 @@
         if self._transport is not None:
             self._transport.abort()
 
-    async def next(self) -> Happening:
-        """Returns what happens next; after Broke nothing more does."""
+    async def next(self) -> ConnectionEvent:
+        """Returns what happens next.
+
+        After ConnectionBroken nothing more does.
+        """
         while not self._happenings:
             self._waiter = asyncio.get_running_loop().create_future()
             try:
@@ -126,7 +131,7 @@
             self._transport.resume_reading()
         return self._happenings.popleft()
 
-    def _happen(self, happening: Happening) -> None:
+    def _happen(self, happening: ConnectionEvent) -> None:
         self._happenings.append(happening)
         if len(self._happenings) > MOST_WAITING and not self._paused:
             self._paused = True
@@ -153,16 +158,16 @@
         self._ends_by_close = head.ends_by_close
         if not head.keep_alive or head.ends_by_close:
             self.reusable = False
-        self._happen(Headed(head=head))
+        self._happen(HeadReceived(head=head))
 
     def _on_piece(self, data: bytes) -> None:
         if self.busy:
-            self._happen(Piece(data=data))
+            self._happen(BodyReceived(data=data))
 
     def _on_end(self) -> None:
         if not self.busy:
             return
-        self._happen(Ended())
+        self._happen(ResponseEnded())
 
     def finish(self, *, idle_seconds: float) -> None:
         """Ends the wait for an answer; the connection may be used again."""
@@ -177,14 +182,14 @@
         if self._over:
             return
         self._over = True
-        self._happen(Broke(reason=reason))
+        self._happen(ConnectionBroken(reason=reason))
         self.abort()
 
     def eof_received(self) -> bool:
         """Takes the server's orderly end, which may end an answer."""
         if self.busy and self._ends_by_close and not self._over:
             self._over = True
-            self._happen(Ended())
+            self._happen(ResponseEnded())
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -192,7 +197,9 @@
         self.reusable = False
         if not self._over:
             self._over = True
-            self._happen(Broke(reason=str(error) if error else "closed"))
+            self._happen(
+                ConnectionBroken(reason=str(error) if error else "closed")
+            )
         self.on_lost(self)
 
 
@@ -200,7 +207,7 @@
     """No connection could be opened: nothing was sent."""
 
 
-class Pool:
+class ConnectionPool:
     """Open connections to servers, by address.
 
     Attributes:
--- a/pimentoledge/routing/server_limits.py
+++ b/pimentoledge/routing/server_limits.py
@@ -106,7 +106,7 @@
     def encode(
         self, servers: Iterable[str], now: float
     ) -> dict[str, tuple[float, int]]:
-        """Returns limits as they go to other routers; see Limits."""
+        """Returns limits as they go to other routers; see LimitReport."""
         found = {}
         for server in servers:
             limit = self.advertised.get(server)
--- a/pimentoledge/routing/notices.py
+++ b/pimentoledge/routing/server_notices.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
 from pimentoledge.routing import clocks
 from pimentoledge.routing import log_lines
 from pimentoledge.routing import registrations
+from pimentoledge.routing import request_types
 from pimentoledge.routing import server_limits
 
 # Status of a server that is not the one that was meant, or that has other
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Notices:
+class ServerNotices:
     """Takes what answers say of the servers that gave them.
 
     Attributes:
@@ -42,7 +42,7 @@
     def take(
         self,
         asked: backends.Backend,
-        answer: asks.Answer,
+        answer: request_types.ServerResponse,
         sent: float | None = None,
     ) -> None:
         """Takes the head of an answer.
@@ -71,7 +71,7 @@
     def _update_limit(
         self,
         backend: backends.Backend,
-        answer: asks.Answer,
+        answer: request_types.ServerResponse,
         sent: float | None,
     ) -> None:
         """Takes how many requests a second a server says that it takes."""
@@ -121,7 +121,7 @@
         self.limit_changed(server)
 
     def _take_retry(
-        self, backend: backends.Backend, answer: asks.Answer
+        self, backend: backends.Backend, answer: request_types.ServerResponse
     ) -> None:
         """Takes for how long a server that is busy asks for no request."""
         server = backend.registration.incarnation
@@ -146,7 +146,9 @@
         )
 
     def take_reply(
-        self, asked: registrations.Registration, answer: asks.Answer
+        self,
+        asked: registrations.Registration,
+        answer: request_types.ServerResponse,
     ) -> None:
         """Takes the head of an answer to a call of the system's own."""
         backend = self.servers.by_incarnation.get(asked.incarnation)
@@ -154,7 +156,7 @@
             self.take(backend, answer)
 
     def _answerer(
-        self, asked: backends.Backend, answer: asks.Answer
+        self, asked: backends.Backend, answer: request_types.ServerResponse
     ) -> backends.Backend | None:
         """Returns the server that gave an answer, or None if unknown."""
         if answer.server is not None:
--- a/pimentoledge/routing/server_permits.py
+++ b/pimentoledge/routing/server_permits.py
@@ -89,7 +89,7 @@
     def _refused(
         self,
         backend: backends.Backend,
-        answer: limiters.Answer,
+        answer: limiters.AcquireResult,
         per_second: float,
         request: str,
     ) -> None:
@@ -109,7 +109,7 @@
         )
 
 
-def wait_seconds(answer: limiters.Answer) -> float:
+def wait_seconds(answer: limiters.AcquireResult) -> float:
     """Returns for how long no permit is asked for after a refusal."""
     if not charges.is_known(answer):
         return UNKNOWN_WAIT_SECONDS
--- a/pimentoledge/routing/suspects.py
+++ b/pimentoledge/routing/suspects.py
@@ -10,7 +10,7 @@
 import attrs
 import xxhash
 
-from pimentoledge.routing import asks
+from pimentoledge.routing import request_types
 
 # The users' pages allow three servers; what is stopped after the second
 # crash leaves one for a router that hasn't heard yet.
@@ -24,12 +24,16 @@
 MOST_CONTENTS = 2000
 
 
-def fingerprint(ask: asks.Ask) -> str:
+def fingerprint(client_request: request_types.ClientRequest) -> str:
     """Returns what is the same for a request that comes again."""
-    digest = xxhash.xxh3_128(ask.method)
-    for part in (ask.host.encode(), ask.target, (ask.key or "").encode()):
+    digest = xxhash.xxh3_128(client_request.method)
+    for part in (
+        client_request.host.encode(),
+        client_request.target,
+        (client_request.key or "").encode(),
+    ):
         digest.update(b"\0" + part)
-    digest.update(b"\0" + ask.body)
+    digest.update(b"\0" + client_request.body)
     return digest.hexdigest()
 
 
@@ -97,7 +101,7 @@
         """Takes a whole answer as proof of innocence."""
         self.contents.pop(content, None)
 
-    def is_barred(self, content: str, now: float) -> bool:
+    def is_quarantined(self, content: str, now: float) -> bool:
         """Returns whether content crashed too many servers to run again."""
         suspect = self.contents.get(content)
         if suspect is None:
--- a/pimentoledge/routing/takers.py
+++ b/pimentoledge/routing/view_updaters.py
@@ -5,8 +5,8 @@
 from pimentoledge.platform import names
 from pimentoledge.platform import objects
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import log_lines
 from pimentoledge.routing import registrations
 from pimentoledge.routing import wanted_weights
@@ -19,13 +19,13 @@
 START_SECONDS = 3.0
 
 
-class Takers:
+class ViewUpdater:
     """Turns objects of the store into beliefs.
 
     Attributes:
-        believed: what the process believes.
+        view: what the process believes.
         lines: where changes of belief are written.
-        news: called when something changed that other routers should hear.
+        beat_now: called when something changed that other routers should hear.
         died: called with a server that is gone without having left.
         restarted: called with the address of a server that has started again
             under its id.
@@ -37,16 +37,16 @@
     def __init__(
         self,
         *,
-        believed: beliefs.Beliefs,
+        view: cluster_views.ClusterView,
         lines: log_lines.Lines,
         news=lambda: None,
         died=lambda incarnation: None,
         lapse_ends=lambda: 0.0,
         restarted=lambda address: None,
     ):
-        self.believed = believed
+        self.view = view
         self.lines = lines
-        self.news = news
+        self.beat_now = news
         self.died = died
         self.lapse_ends = lapse_ends
         self.restarted = restarted
@@ -79,15 +79,15 @@
         fresh = self._decoded(objects.configuration, each)
         if fresh is None:
             return
-        held = self.believed.configuration
+        held = self.view.configuration
         if held is not None and held.version >= fresh.version:
             return
-        self.believed.configuration = fresh
-        self.believed.configured = clocks.now()
+        self.view.configuration = fresh
+        self.view.configured = clocks.now()
         self.lines.write(
             "configuration", version=fresh.version, revision=each.revision
         )
-        self.news()
+        self.beat_now()
 
     def weights(
         self, changed: list[registrations.Stored], removed: list[str]
@@ -122,14 +122,14 @@
         Taken for older, runners that have yet to load would serve nobody in
         the first seconds; taken for younger, the bound would be passed.
         """
-        copied = self.believed.copied.get("weights")
+        copied = self.view.copied.get("weights")
         silent_at = copied.silent_at if copied is not None else 0.0
-        over = max(self.believed.born, silent_at) + START_SECONDS
-        return over - self.believed.bounds.weights_seconds
+        over = max(self.view.born, silent_at) + START_SECONDS
+        return over - self.view.bounds.weights_seconds
 
     def _unseen_seconds(self) -> float:
         """Returns how long ago at most the store's newest naming came about."""
-        copied = self.believed.copied.get("weights")
+        copied = self.view.copied.get("weights")
         return copied.unseen_seconds if copied is not None else 0.0
 
     def want(
@@ -142,7 +142,7 @@
         source: wanted_weights.Source,
     ) -> None:
         """Takes a named version, from the store, a router or a runner."""
-        if self.believed.want(model, version, since, source=source):
+        if self.view.want(model, version, since, source=source):
             self.lines.write(
                 "weights_named",
                 model=model,
@@ -151,7 +151,7 @@
                 age=round(clocks.now() - since, 2),
                 source=source.name,
             )
-            self.news()
+            self.beat_now()
 
     def servers(
         self, changed: list[registrations.Stored], removed: list[str]
@@ -161,12 +161,12 @@
             registration = self._decoded(objects.registration, each)
             if registration is None:
                 # It may have left, for all that this says.
-                if each.name in self.believed.servers.by_server:
+                if each.name in self.view.servers.by_server:
                     self._gone(each.name)
                 continue
             self.lapsed.pop(each.name, None)
-            former = self.believed.servers.by_server.get(each.name)
-            present = self.believed.servers.put(registration)
+            former = self.view.servers.by_server.get(each.name)
+            present = self.view.servers.put(registration)
             if former not in (None, present):
                 self._started_again(former)
             self.lines.write(
@@ -192,9 +192,9 @@
         whole.
         """
         for model, version in shown.weights.items():
-            wanted = self.believed.wanted.get(model)
+            wanted = self.view.wanted.get(model)
             if wanted is None or wanted.version < version:
-                since = self.believed.known_at("weights")
+                since = self.view.known_at("weights")
                 source = wanted_weights.Source.NOT_BEFORE
                 if not since:
                     since = self._unknown_since()
@@ -208,18 +208,18 @@
         would be lost with it, and could not be sent again.
         """
         self.restarted(former.registration.address)
-        if not former.says_it_leaves():
+        if not former.announced_leaving():
             self.died(former.registration.incarnation)
         self.lines.write(
             "server_restarted", server=former.registration.incarnation
         )
 
     def _gone(self, name: str) -> None:
-        gone = self.believed.servers.remove(name)
+        gone = self.view.servers.remove(name)
         if gone is None:
             self.lines.write("server_gone", server=name)
             return
-        if not gone.says_it_leaves():
+        if not gone.announced_leaving():
             self.died(gone.registration.incarnation)
         self.lines.write("server_gone", server=gone.registration.incarnation)
 
--- a/pimentoledge/routing/waits.py
+++ b/pimentoledge/routing/wait_estimates.py
@@ -3,7 +3,7 @@
 import attrs
 
 from pimentoledge.routing import backends
-from pimentoledge.routing import sources as sources_module
+from pimentoledge.routing import cache_sources
 
 # Added for each request that a server has while it has free slots, at a server
 # of ten slots; a larger batch shares its step among more.
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Prompt:
+class PromptWork:
     """What a runner has to do before a prompt's first event.
 
     Attributes:
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Mean:
+class MeanLoad:
     """What a runner of a data centre has, in the mean.
 
     Attributes:
@@ -66,7 +66,7 @@
     token_seconds: float = 0.0
     fetch_seconds: float = 0.0
     mean_unread: float = 0.0
-    elsewhere: dict[str, Mean] = attrs.field(factory=dict)
+    elsewhere: dict[str, MeanLoad] = attrs.field(factory=dict)
 
 
 def prompt_at(
@@ -75,9 +75,9 @@
     held: int,
     shared: int,
     unshared: int,
-    sources: sources_module.Sources,
+    sources: cache_sources.Sources,
     speeds: Speeds,
-) -> Prompt:
+) -> PromptWork:
     """Returns what a runner has to do for a prompt.
 
     Args:
@@ -92,10 +92,10 @@
     seconds = 0.0
     if source is not None:
         apart = source.data_centre != data_centre
-        times = sources_module.ELSEWHERE_TIMES if apart else 1.0
+        times = cache_sources.ELSEWHERE_TIMES if apart else 1.0
         seconds = speeds.fetch_seconds * times * (source.tokens - held)
         held = source.tokens
-    return Prompt(
+    return PromptWork(
         to_read=unshared + shared - held,
         fetch_seconds=seconds,
         twice=max(0, sources.coming - held),
@@ -103,7 +103,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class FirstEvent:
+class ExpectedWait:
     """The expected time to a first event at a server, and what it is made of.
 
     Attributes:
@@ -129,9 +129,9 @@
         return self.own_seconds + self.others_seconds
 
 
-def first_event(
-    backend: backends.Backend, prompt: Prompt, speeds: Speeds, now: float
-) -> FirstEvent:
+def expected_wait(
+    backend: backends.Backend, prompt: PromptWork, speeds: Speeds, now: float
+) -> ExpectedWait:
     """Returns the expected time until a first event."""
     slots = max(1, backend.registration.slots)
     busy = busy_at(backend, speeds, now)
@@ -140,7 +140,7 @@
     queued = QUEUE_SECONDS * max(0, busy + 1 - slots) * QUEUE_SLOTS / slots
     ahead = ahead_at(backend, prompt.to_read, speeds, now)
     own = speeds.base_seconds + prompt.fetch_seconds
-    return FirstEvent(
+    return ExpectedWait(
         busy=busy,
         own_seconds=own + speeds.token_seconds * prompt.to_read,
         step_seconds=steps + queued,
@@ -151,7 +151,7 @@
 def busy_at(backend: backends.Backend, speeds: Speeds, now: float) -> float:
     """Returns how many requests a server is believed to have."""
     mean = speeds.elsewhere.get(backend.registration.data_centre)
-    return max(backend.busyness(now), mean.busy if mean else 0)
+    return max(backend.estimated_requests(now), mean.busy if mean else 0)
 
 
 def ahead_at(
--- a/pimentoledge/routing/wanted_weights.py
+++ b/pimentoledge/routing/wanted_weights.py
@@ -52,7 +52,7 @@
         return self.source is Source.HEARD
 
 
-class Wanted:
+class WantedWeights:
     """The version of a model's weights that is wanted.
 
     Attributes:
--- a/pimentoledge/routing/watch_shares.py
+++ b/pimentoledge/routing/watch_shares.py
@@ -5,7 +5,7 @@
 of them watches for itself.
 """
 
-from pimentoledge.routing import rings
+from pimentoledge.routing import heartbeat_rings
 
 # So many watch for all: what one misses, or dies with, the other tells.
 WATCHERS = 2
@@ -42,7 +42,7 @@
                 known = self.seen.get(address, -1e9)
                 self.seen[address] = max(known, now - age / 1000)
 
-    def to_tell(self, now: float) -> dict[str, int]:
+    def watcher_ages(self, now: float) -> dict[str, int]:
         """Returns the first watchers in rank, with the ages of their signs."""
         return {
             each: int((now - self.seen[each]) * 1000)
@@ -54,9 +54,9 @@
         for address, when in list(self.seen.items()):
             if now - when > FRESH_SECONDS:
                 del self.seen[address]
-        return sorted(self.seen, key=rings.place)
+        return sorted(self.seen, key=heartbeat_rings.place)
 
-    def are_enough(self, rank: int, now: float) -> bool:
+    def has_enough(self, rank: int, now: float) -> bool:
         """Returns whether others watch for this router.
 
         Args:
--- a/pimentoledge/routing/watchers.py
+++ b/pimentoledge/routing/watchers.py
@@ -8,10 +8,10 @@
 
 from pimentoledge.platform import stores
 from pimentoledge.routing import clocks
+from pimentoledge.routing import hedged_calls
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import mirrors
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import registrations
-from pimentoledge.routing import second_calls
 
 logger = logbook.Logger("watchers")
 
@@ -85,7 +85,7 @@
     def __init__(
         self,
         *,
-        mirror: mirrors.Mirror,
+        mirror: object_caches.ObjectCache,
         store: stores.Store,
         lines: log_lines.Lines,
         bound_seconds: Callable[[], float],
@@ -94,7 +94,7 @@
         told: Callable[[int, registrations.Changes], None] = (
             lambda after, changes: None
         ),
-        answers: second_calls.Answers,
+        answers: hedged_calls.AnswerSignal,
         leads: bool,
         arrived: Callable[[float], float] = lambda now: now,
     ):
@@ -235,7 +235,7 @@
         self._behind.clear()
         self._repeated = 0
         sent = clocks.now()
-        found = await second_calls.first_answer(
+        found = await hedged_calls.first_answer(
             call=lambda: self.store.watch(
                 self.mirror.kind, self.mirror.revision, 0.0
             ),
@@ -274,7 +274,7 @@
         self,
     ) -> registrations.Listing | registrations.Unavailable:
         sent = clocks.now()
-        found = await second_calls.first_answer(
+        found = await hedged_calls.first_answer(
             call=lambda: self.store.list(self.mirror.kind),
             overdue=self._overdue,
             failed=self._unanswered,
--- a/pimentoledge/runners/engines.py
+++ b/pimentoledge/runners/engines.py
@@ -51,7 +51,7 @@
     def start(self) -> None:
         """Opens the connection pool and starts the reading thread."""
         self.closing = False
-        self.pool = http_pools.Pool(size=POOL_SIZE, timeout=self.timeout)
+        self.pool = http_pools.HttpPool(size=POOL_SIZE, timeout=self.timeout)
         # A thread is needed from the sending of a completion to the first
         # bytes of its answer.
         self.starters = futures.ThreadPoolExecutor(
--- a/pimentoledge/services/clients.py
+++ b/pimentoledge/services/clients.py
@@ -47,7 +47,7 @@
 
     def start(self) -> None:
         """Opens the connection pool."""
-        self.pool = http_pools.Pool(size=POOL_SIZE)
+        self.pool = http_pools.HttpPool(size=POOL_SIZE)
 
     def close(self) -> None:
         """Closes the connections, also those that a thread waits on."""
--- a/pimentoledge/services/fake_services.py
+++ b/pimentoledge/services/fake_services.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define(kw_only=True)
-class Answer:
+class FakeAnswer:
     """The service's answer."""
 
     status: int
@@ -77,7 +77,7 @@
         self.crashes = 0
         self.lock = threading.Lock()
 
-    def call(self, call: Call) -> Answer | None:
+    def call(self, call: Call) -> FakeAnswer | None:
         """Runs a call; None when it gives no answer."""
         with self.lock:
             if self.down:
@@ -94,7 +94,7 @@
                 self.lose_answers -= 1
                 return None
             number = len(self.calls)
-        return Answer(
+        return FakeAnswer(
             status=self.status,
             headers=[("Content-Type", "text/plain"), ("X-Run", str(number))],
             body=b"run %d of %s" % (number, call.body),
--- a/pimentoledge/stores/fake_objects.py
+++ b/pimentoledge/stores/fake_objects.py
@@ -78,7 +78,7 @@
             self.writes = Rate(per_second=writes_per_second)
             self.reads = Rate(per_second=reads_per_second)
 
-    def call(self, call: stores.Call) -> stores.Answer:
+    def call(self, call: stores.Call) -> stores.StoreAnswer:
         """Makes a call and answers at once."""
         with self.changed:
             self._count(call)
@@ -115,15 +115,17 @@
         rate = self.writes if isinstance(call, stores.Write) else self.reads
         return rate.take(self.clock())
 
-    def _answer(self, call, outcome, objects=(), version=0) -> stores.Answer:
-        return stores.Answer(
+    def _answer(
+        self, call, outcome, objects=(), version=0
+    ) -> stores.StoreAnswer:
+        return stores.StoreAnswer(
             call=call.call,
             outcome=outcome,
             objects=list(objects),
             version=version,
         )
 
-    def _complete(self, call, objects) -> stores.Answer:
+    def _complete(self, call, objects) -> stores.StoreAnswer:
         return self._answer(call, stores.Outcome.FOUND, objects, self.revision)
 
     def _live(self, path: str) -> stores.Object | None:
@@ -132,13 +134,13 @@
             return None
         return found
 
-    def _read(self, call: stores.Read) -> stores.Answer:
+    def _read(self, call: stores.Read) -> stores.StoreAnswer:
         found = self._live(call.path)
         if found is None:
             return self._answer(call, stores.Outcome.ABSENT)
         return self._answer(call, stores.Outcome.FOUND, [found], found.version)
 
-    def _write(self, call: stores.Write) -> stores.Answer:
+    def _write(self, call: stores.Write) -> stores.StoreAnswer:
         if len(call.value or b"") > self.max_value_bytes:
             return self._answer(call, stores.Outcome.DOWN)
         if self.lose_requests > 0:
@@ -162,7 +164,7 @@
             return self._answer(call, stores.Outcome.LOST)
         return self._answer(call, stores.Outcome.WRITTEN, version=self.revision)
 
-    def _watch(self, call: stores.Watch) -> stores.Answer:
+    def _watch(self, call: stores.Watch) -> stores.StoreAnswer:
         found = self._under(call.prefix, call.after)
         dropped = min(self.drop_watch_entries, len(found))
         self.drop_watch_entries -= dropped
--- a/pimentoledge/stores/objects.py
+++ b/pimentoledge/stores/objects.py
@@ -26,14 +26,14 @@
 
     def start(self) -> None:
         """Opens the connection pool."""
-        self.pool = http_pools.Pool(size=POOL_SIZE)
+        self.pool = http_pools.HttpPool(size=POOL_SIZE)
 
     def close(self) -> None:
         """Closes the connections, also those that a thread waits on."""
         if self.pool is not None:
             self.pool.cut()
 
-    def call(self, call: stores.Call) -> stores.Answer:
+    def call(self, call: stores.Call) -> stores.StoreAnswer:
         """Makes a call and waits for its answer.
 
         Never raises for a fault of the network or the store: DOWN means
@@ -64,10 +64,10 @@
         return answer
 
 
-def _broken(call: stores.Call, *, never_sent: bool) -> stores.Answer:
+def _broken(call: stores.Call, *, never_sent: bool) -> stores.StoreAnswer:
     # A write whose request may have left this process may have taken effect,
     # whatever the fault was; only what was never sent is certainly without
     # effect. Reads have no effect at all.
     lost = isinstance(call, stores.Write) and not never_sent
     outcome = stores.Outcome.LOST if lost else stores.Outcome.DOWN
-    return stores.Answer(call=call.call, outcome=outcome)
+    return stores.StoreAnswer(call=call.call, outcome=outcome)
--- a/pimentoledge/stores/store_tasks.py
+++ b/pimentoledge/stores/store_tasks.py
@@ -15,7 +15,7 @@
 
     Attributes:
         client: the object API's client.
-        deliver: called with each stores.Answer, from another thread.
+        deliver: called with each stores.StoreAnswer, from another thread.
     """
 
     def __init__(
--- a/pimentoledge/stores/vms.py
+++ b/pimentoledge/stores/vms.py
@@ -52,7 +52,7 @@
 
     def start(self) -> None:
         """Opens the connection pool."""
-        self.pool = http_pools.Pool(size=1)
+        self.pool = http_pools.HttpPool(size=1)
 
     def close(self) -> None:
         """Closes the connections, also those that a thread waits on."""
--- a/pimentoledge/stores/wires.py
+++ b/pimentoledge/stores/wires.py
@@ -14,7 +14,7 @@
 KINDS: dict[str, type] = {path: kind for kind, path in PATHS.items()}
 
 
-def encode(message: stores.Call | stores.Answer) -> bytes:
+def encode(message: stores.Call | stores.StoreAnswer) -> bytes:
     """Returns the JSON form of a call or an answer."""
     return msgspec.json.encode(message)
 
@@ -24,6 +24,6 @@
     return msgspec.json.decode(body, type=KINDS[path])
 
 
-def decode_answer(body: bytes) -> stores.Answer:
+def decode_answer(body: bytes) -> stores.StoreAnswer:
     """Returns the answer in a body."""
-    return msgspec.json.decode(body, type=stores.Answer)
+    return msgspec.json.decode(body, type=stores.StoreAnswer)
--- a/pimentoledge/tests/fuzz/mutations.py
+++ b/pimentoledge/tests/fuzz/mutations.py
@@ -98,7 +98,7 @@
 
 def grant_loads(monkeypatch):
     """Grants every permit to load, whoever else loads."""
-    monkeypatch.setattr(permits.Permits, "_denied", lambda *_: "")
+    monkeypatch.setattr(permits.LoadPermits, "_denied", lambda *_: "")
 
 
 def release_early(monkeypatch):
@@ -491,7 +491,9 @@
 def own_whole_limit(monkeypatch):
     """Gives each entry the whole limit of each contract."""
     monkeypatch.setattr(
-        limits.Limits, "owner_of", lambda self, organisation: self.address
+        limits.ContractLimits,
+        "owner_of",
+        lambda self, organisation: self.address,
     )
 
 
--- a/pimentoledge/tests/fuzz/oracles.py
+++ b/pimentoledge/tests/fuzz/oracles.py
@@ -567,7 +567,7 @@
     message = getattr(what, "message", None)
     if type(message).__module__ == configuration_messages.__name__:
         return True
-    noise = (events.EngineStatus, stores.Answer, actions.LogDecision)
+    noise = (events.EngineStatus, stores.StoreAnswer, actions.LogDecision)
     return isinstance(what, noise)
 
 
--- a/pimentoledge/tests/fuzz/worlds.py
+++ b/pimentoledge/tests/fuzz/worlds.py
@@ -178,7 +178,7 @@
                 )
                 self.declare(server)
 
-    def declare(self, declaration) -> stores.Answer:
+    def declare(self, declaration) -> stores.StoreAnswer:
         """Writes a declaration over the present one."""
         path = declarations.path_of(declaration)
         read = self.objects.objects.get(path)
--- a/pimentoledge/tests/network.py
+++ b/pimentoledge/tests/network.py
@@ -35,7 +35,7 @@
         """Answers a call; None for a watch that has nothing to tell yet."""
         outcome = stores.Outcome
         if self.down:
-            return stores.Answer(call=call.call, outcome=outcome.DOWN)
+            return stores.StoreAnswer(call=call.call, outcome=outcome.DOWN)
         match call:
             case stores.Read(path=path):
                 found = [self.objects[path]] if path in self.objects else []
@@ -67,7 +67,7 @@
                 else:
                     kind = outcome.WRITTEN
                     found = [self.put(path, call.value, call.write_id)]
-        return stores.Answer(
+        return stores.StoreAnswer(
             call=call.call, outcome=kind, objects=found, version=self.revision
         )
 
@@ -157,7 +157,7 @@
         for address, call, due in waiting:
             answer = self.ask(address, call)
             if answer is None and self.now >= due:
-                answer = stores.Answer(
+                answer = stores.StoreAnswer(
                     call=call.call,
                     outcome=stores.Outcome.FOUND,
                     version=self.store.revision,
@@ -169,7 +169,9 @@
 
     def ask(self, address, call):
         if address in self.apart:
-            return stores.Answer(call=call.call, outcome=stores.Outcome.DOWN)
+            return stores.StoreAnswer(
+                call=call.call, outcome=stores.Outcome.DOWN
+            )
         return self.store.call(call)
 
     def later(self, address, event):
--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -80,14 +80,14 @@
         for number in range(routers):
             await self.add_router(f"router-{number}", ports[number], ports)
         await self.until(
-            lambda: all(each.believed.ready() for each in self.routers)
+            lambda: all(each.view.ready() for each in self.routers)
         )
         await self.until(self.all_known)
 
     def all_known(self):
         return all(
-            len(each.believed.servers.by_incarnation) == len(self.servers)
-            and each.believed.wanted
+            len(each.view.servers.by_incarnation) == len(self.servers)
+            and each.view.wanted
             for each in self.routers
         )
 
@@ -154,7 +154,7 @@
         The other server of the service takes no request at first.
         """
         [router] = self.routers
-        known = router.believed.servers.by_incarnation
+        known = router.view.servers.by_incarnation
         opened = asyncio.Event()
         open_connection = router.pool._open
 
@@ -202,7 +202,7 @@
         ]
 
 
-class Answer:
+class WorldAnswer:
     """What a client got.
 
     Attributes:
@@ -261,7 +261,7 @@
         """Reads an answer to its end, or to the connection's."""
         head = await self._head()
         if head is None:
-            return Answer(None, {}, b"", whole=False)
+            return WorldAnswer(None, {}, b"", whole=False)
         status, headers = head
         if "transfer-encoding" in headers:
             body, whole = await self._chunks()
@@ -273,7 +273,7 @@
             ):
                 body = await self.reader.readexactly(length)
             whole = len(body) == length
-        return Answer(status, headers, body, whole)
+        return WorldAnswer(status, headers, body, whole)
 
     async def _head(self):
         try:
--- a/pimentoledge/tests/soak/checks.py
+++ b/pimentoledge/tests/soak/checks.py
@@ -8,7 +8,7 @@
 import attrs
 
 from pimentoledge.platform import names
-from pimentoledge.routing import own_answers
+from pimentoledge.routing import router_responses
 from pimentoledge.tests.soak import clients
 from pimentoledge.tests.soak import records
 from pimentoledge.tests.soak import servers
@@ -66,16 +66,16 @@
     text: str
 
 
-Check = Callable[[records.Record], Iterator[Violation]]
+Check = Callable[[records.SoakRecord], Iterator[Violation]]
 
 
-def violations(record: records.Record) -> list[Violation]:
+def violations(record: records.SoakRecord) -> list[Violation]:
     """Returns all violations that a record shows, in order of time."""
     found = [each for check in CHECKS for each in check(record)]
     return sorted(found, key=lambda each: each.at)
 
 
-def in_touch(record: records.Record, router: str, at: float) -> bool:
+def in_touch(record: records.SoakRecord, router: str, at: float) -> bool:
     """Returns whether a router ran and reached the store for some seconds."""
     begin = at - TOUCH_SECONDS
     disturbed = any(
@@ -86,7 +86,7 @@
 
 
 def restarted(
-    record: records.Record, router: str, begin: float, end: float
+    record: records.SoakRecord, router: str, begin: float, end: float
 ) -> bool:
     """Returns whether a process of a router was started within a time."""
     lives = record.lives[router]
@@ -94,14 +94,14 @@
 
 
 def frozen(
-    record: records.Record, router: str, begin: float, end: float
+    record: records.SoakRecord, router: str, begin: float, end: float
 ) -> bool:
     """Returns whether a router was stopped within a time."""
     return any(each.touches(router, begin, end) for each in record.freezes)
 
 
 def _known(
-    record: records.Record,
+    record: records.SoakRecord,
 ) -> Iterator[tuple[records.Arrival, records.Request]]:
     """Yields what reached servers, with what was sent."""
     for arrival in list(record.arrivals):
@@ -110,7 +110,7 @@
             yield arrival, request
 
 
-def _runs(record: records.Record) -> dict[str, list[records.Arrival]]:
+def _runs(record: records.SoakRecord) -> dict[str, list[records.Arrival]]:
     found: dict[str, list[records.Arrival]] = {}
     for arrival in list(record.arrivals):
         if arrival.ran:
@@ -118,7 +118,7 @@
     return found
 
 
-def once(record: records.Record) -> Iterator[Violation]:
+def once(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that unsafe requests ran at most once."""
     for identity, runs in _runs(record).items():
         request = record.requests.get(identity)
@@ -132,11 +132,11 @@
             )
 
 
-def not_run(record: records.Record) -> Iterator[Violation]:
+def not_run(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that what was promised not to have run did not."""
     for identity, runs in _runs(record).items():
         request = record.requests.get(identity)
-        if request and request.status in own_answers.PROMISES:
+        if request and request.status in router_responses.PROMISES:
             yield Violation(
                 line="not_run",
                 at=request.ended,
@@ -146,7 +146,7 @@
 
 
 def _wrong(
-    record: records.Record, request: records.Request, runs: list
+    record: records.SoakRecord, request: records.Request, runs: list
 ) -> str | None:
     """Returns what is wrong with a 2xx, or None."""
     server = request.headers.get(servers.SERVER.decode().lower())
@@ -163,7 +163,7 @@
     return None
 
 
-def whole(record: records.Record) -> Iterator[Violation]:
+def whole(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that each 2xx is right."""
     ran = _runs(record)
     for request in list(record.requests.values()):
@@ -179,7 +179,7 @@
             )
 
 
-def stream(record: records.Record) -> Iterator[Violation]:
+def stream(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks the events of streams."""
     for request in list(record.requests.values()):
         if request.route not in clients.STREAMS or request.status != 200:
@@ -201,7 +201,7 @@
 
 
 def _excused(
-    record: records.Record, request: records.Request, arrivals: list
+    record: records.SoakRecord, request: records.Request, arrivals: list
 ) -> bool:
     """Returns whether a request may stay without its whole answer."""
     life = record.lives[request.router][request.life]
@@ -220,7 +220,7 @@
     return not request.first or request.sent > life.told + ACCEPTING_SECONDS
 
 
-def answered(record: records.Record) -> Iterator[Violation]:
+def answered(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that accepted requests are answered."""
     arrived: dict[str, list[records.Arrival]] = {}
     for arrival in list(record.arrivals):
@@ -240,12 +240,12 @@
             )
 
 
-def _used(record: records.Record) -> set[tuple[str, int]]:
+def _used(record: records.SoakRecord) -> set[tuple[str, int]]:
     """Returns routers and numbers of processes that accepted a request."""
     return {(each.router, each.life) for each in list(record.requests.values())}
 
 
-def ends(record: records.Record) -> Iterator[Violation]:
+def ends(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks how routers ended after SIGTERM."""
     used = _used(record)
     for router, lives in record.lives.items():
@@ -273,7 +273,7 @@
 
 
 def _words(
-    record: records.Record,
+    record: records.SoakRecord,
     header: bytes,
     begin: float = -math.inf,
     end: float = math.inf,
@@ -301,7 +301,7 @@
     return found
 
 
-def drain(record: records.Record) -> Iterator[Violation]:
+def drain(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that leaving servers are left alone."""
     words = _words(record, names.LEAVING)
     for arrival, request in _known(record):
@@ -324,7 +324,7 @@
                 )
 
 
-def rest(record: records.Record) -> Iterator[Violation]:
+def rest(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that runners that ask for a rest get it."""
     known = list(_known(record))
     for refused, sent in known:
@@ -357,7 +357,7 @@
 
 
 def _limited_times(
-    record: records.Record, server: str
+    record: records.SoakRecord, server: str
 ) -> Iterator[tuple[float, float]]:
     """Yields from when to when a server named limits without a break."""
     begin = None
@@ -372,7 +372,7 @@
 
 
 def _highest_limit(
-    record: records.Record, server: str, begin: float, end: float
+    record: records.SoakRecord, server: str, begin: float, end: float
 ) -> float:
     """Returns the highest limit that a server named within a time."""
     words = record.limits[server]
@@ -384,7 +384,7 @@
     )
 
 
-def limit(record: records.Record) -> Iterator[Violation]:
+def limit(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that servers get no more than the limits that they name.
 
     Calls of the routers' own count whoever made them.
@@ -405,7 +405,7 @@
 
 
 def _counts(
-    record: records.Record,
+    record: records.SoakRecord,
     request: records.Request,
     arrival: records.Arrival,
     told: dict[tuple[str, str, int], float],
@@ -422,7 +422,7 @@
 
 
 def _overfull(
-    record: records.Record, server: str, came: list[float]
+    record: records.SoakRecord, server: str, came: list[float]
 ) -> Iterator[Violation]:
     for first in came:
         inside = [at for at in came if 0 <= at - first <= LIMIT_WINDOW_SECONDS]
@@ -438,7 +438,7 @@
             )
 
 
-def weights(record: records.Record) -> Iterator[Violation]:
+def weights(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that requests begin on weights that are new enough."""
     for arrival, request in _known(record):
         if not arrival.ran or arrival.resumed or arrival.weights is None:
@@ -464,7 +464,7 @@
                 break
 
 
-def configuration(record: records.Record) -> Iterator[Violation]:
+def configuration(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that requests run by a configuration that may be in force."""
     for arrival, request in _known(record):
         if not in_touch(record, request.router, arrival.at):
@@ -491,7 +491,7 @@
             )
 
 
-def recovery(record: records.Record) -> Iterator[Violation]:
+def recovery(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that everything is served again after the last fault."""
     if record.quiet_from is None:
         return
--- a/pimentoledge/tests/soak/clients.py
+++ b/pimentoledge/tests/soak/clients.py
@@ -51,7 +51,7 @@
         router: str,
         address: str,
         key: str,
-        record: records.Record,
+        record: records.SoakRecord,
         seed: str,
     ):
         self.name = name
--- a/pimentoledge/tests/soak/fleets.py
+++ b/pimentoledge/tests/soak/fleets.py
@@ -64,7 +64,7 @@
         logs: lines of each process, by name of its log.
     """
 
-    def __init__(self, *, record: records.Record):
+    def __init__(self, *, record: records.SoakRecord):
         self.routers: list[Router] = []
         self.logs: dict[str, list[str]] = {}
         self._record = record
--- a/pimentoledge/tests/soak/records.py
+++ b/pimentoledge/tests/soak/records.py
@@ -132,7 +132,7 @@
 
 
 @attrs.define(kw_only=True)
-class Record:
+class SoakRecord:
     """Everything that was seen.
 
     Attributes:
--- a/pimentoledge/tests/soak/reports.py
+++ b/pimentoledge/tests/soak/reports.py
@@ -6,7 +6,7 @@
 import matplotlib
 from matplotlib import pyplot
 
-from pimentoledge.routing import own_answers
+from pimentoledge.routing import router_responses
 from pimentoledge.tests.soak import records
 
 matplotlib.use("Agg")
@@ -22,12 +22,12 @@
     """Returns which of OUTCOMES a request came to."""
     if request.whole and 200 <= (request.status or 0) < 300:
         return "served"
-    if request.status in own_answers.PROMISES:
+    if request.status in router_responses.PROMISES:
         return "refused"
     return "failed"
 
 
-def draw(record: records.Record, began: float, path: pathlib.Path) -> None:
+def draw(record: records.SoakRecord, began: float, path: pathlib.Path) -> None:
     """Writes a picture; its format is by the file's suffix, such as svg.
 
     Args:
--- a/pimentoledge/tests/soak/runs.py
+++ b/pimentoledge/tests/soak/runs.py
@@ -52,7 +52,7 @@
         self.routers = routers
         self.linked = not set(plans.LINK_KINDS).isdisjoint(kinds)
         self.faults = plans.plan(seed=seed, seconds=seconds, kinds=kinds)
-        self.record = records.Record()
+        self.record = records.SoakRecord()
         self.found: dict[tuple[str, str], checks.Violation] = {}
         self.world: worlds.World | None = None
         self._began = 0.0
--- a/pimentoledge/tests/soak/servers.py
+++ b/pimentoledge/tests/soak/servers.py
@@ -23,7 +23,7 @@
         link: the proxy by which routers reach it, or None.
     """
 
-    def __init__(self, *, record: records.Record, **given):
+    def __init__(self, *, record: records.SoakRecord, **given):
         super().__init__(**given)
         self.record = record
         self.link: links.Link | None = None
--- a/pimentoledge/tests/soak/worlds.py
+++ b/pimentoledge/tests/soak/worlds.py
@@ -57,7 +57,7 @@
         linked: whether routers reach servers through proxies.
     """
 
-    def __init__(self, *, record: records.Record, linked: bool = False):
+    def __init__(self, *, record: records.SoakRecord, linked: bool = False):
         self.record = record
         self.linked = linked
         self.platform = stand_in_platforms.StandInPlatform()
--- a/pimentoledge/tests/test_claims.py
+++ b/pimentoledge/tests/test_claims.py
@@ -51,7 +51,7 @@
             agent="s",
             life=life,
             seed=1,
-            limits=claim_shards.Limits(**limits),
+            limits=claim_shards.ClaimBounds(**limits),
         )
         self.calls: list[stores.Read | stores.Write] = []
         self.verdicts: dict[str, list[claim_verdicts.Verdict]] = {}
@@ -83,7 +83,7 @@
         call = self.calls.pop(0)
         answer = self.store.call(call) if effect else None
         if outcome in (DOWN, LOST):
-            answer = stores.Answer(call=call.call, outcome=outcome)
+            answer = stores.StoreAnswer(call=call.call, outcome=outcome)
         self.take(self.claims.answer(answer, now))
         return call
 
@@ -99,7 +99,7 @@
             self.take(self.claims.tick(now))
 
     def finish(self, request: str, now: float, body: bytes = b"done"):
-        answer = claim_records.Answer(
+        answer = claim_records.StoredAnswer(
             status=201, headers=[("x", "y")], body=body
         )
         self.take(self.claims.finished(request, answer=answer, now=now))
--- a/pimentoledge/tests/test_conditional.py
+++ b/pimentoledge/tests/test_conditional.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from pimentoledge.decisions import actions
-from pimentoledge.decisions import conditional
+from pimentoledge.decisions import conditional_updates
 from pimentoledge.decisions import stores
 from pimentoledge.stores import fake_objects
 
@@ -21,9 +21,9 @@
     def change(found):
         names = msgspec.json.decode(found.value) if found else []
         if name in names:
-            return conditional.Change(write=False)
+            return conditional_updates.Change(write=False)
         value = msgspec.json.encode([*names, name])
-        return conditional.Change(write=True, value=value)
+        return conditional_updates.Change(write=True, value=value)
 
     return change
 
@@ -47,7 +47,7 @@
     writers = {}
     now = 0.0
     for name in "abcd":
-        writers[name] = conditional.Update(
+        writers[name] = conditional_updates.ConditionalUpdate(
             path="p", name=name, life="1", generator=random.Random(name)
         )
         queue.extend((name, each) for each in _start(writers[name], name))
@@ -62,7 +62,7 @@
         answer = _call(store, action, faults.pop() if faults else "none")
         found, end = writers[name].handle(answer, now)
         queue.extend((name, each) for each in found)
-        if end is conditional.Ended.DOWN:
+        if end is conditional_updates.UpdateOutcome.DOWN:
             queue.extend((name, each) for each in _start(writers[name], name))
         elif end is not None:
             ended[name] = end
@@ -89,7 +89,7 @@
     act on that though it was.
     """
     store = fake_objects.FakeObjects()
-    writer = conditional.Update(
+    writer = conditional_updates.ConditionalUpdate(
         path="p", name="w", life="1", generator=random.Random(1)
     )
     calls = writer.start(_adding("w"), 0.0)
@@ -102,6 +102,6 @@
         now = writer.next_wake()
         calls = writer.wake(now)
     _, end = writer.handle(_call(store, calls[0], "none"), now)
-    assert end is conditional.Ended.WRITTEN
+    assert end is conditional_updates.UpdateOutcome.WRITTEN
     assert store.counts["writes"] == 1
     assert isinstance(calls[0].call, stores.Read)
--- a/pimentoledge/tests/test_fake_platform.py
+++ b/pimentoledge/tests/test_fake_platform.py
@@ -178,7 +178,9 @@
     client.close()
 
 
-CROSSED = wires.encode(stores.Answer(call="other", outcome=Outcome.WRITTEN))
+CROSSED = wires.encode(
+    stores.StoreAnswer(call="other", outcome=Outcome.WRITTEN)
+)
 
 
 @pytest.mark.parametrize(
--- a/pimentoledge/tests/test_leases.py
+++ b/pimentoledge/tests/test_leases.py
@@ -59,7 +59,7 @@
     """
     mine = lease("b")
     mine.learn(stored(7, "a"), 100.0)
-    mine.told(7, "a", 40.0)
+    mine.merge_peer(7, "a", 40.0)
     mine.wrote(stored(8, "b"), 100.2)
     assert mine.may_order(100.3)
 
@@ -68,10 +68,10 @@
     mine = lease()
     mine.learn(None, 0.0)
     mine.wrote(stored(5, "a"), 0.0)
-    mine.told(6, "b", 0.2)
+    mine.merge_peer(6, "b", 0.2)
     assert not mine.may_order(0.3)
     # What is told late of an older revision changes nothing.
-    mine.told(5, "a", 0.4)
+    mine.merge_peer(5, "a", 0.4)
     assert mine.held_by == "b"
 
 
--- a/pimentoledge/tests/test_limits.py
+++ b/pimentoledge/tests/test_limits.py
@@ -19,7 +19,7 @@
     """Several entries' limits; messages are carried at once unless cut.
 
     Attributes:
-        nodes: Limits by mailbox.
+        nodes: ContractLimits by mailbox.
         cut: mailboxes that no message reaches or leaves.
         decided: error or None, by request that had to wait.
         sent: number of messages.
@@ -31,7 +31,7 @@
         self.decided = {}
         self.sent = 0
         for address in addresses:
-            self.nodes[address] = limits.Limits(
+            self.nodes[address] = limits.ContractLimits(
                 name=address, address=address, policy=policy
             )
             self.nodes[address].entries(addresses, 0.0)
@@ -214,7 +214,7 @@
     first, second = [each for each in ENTRIES if each != owner][:2]
     for number in range(10):
         assert net.take(first, limited, f"r{number}", 1.0) is None
-    restarted = limits.Limits(name=owner, address=owner, seed=1)
+    restarted = limits.ContractLimits(name=owner, address=owner, seed=1)
     restarted.entries(ENTRIES, 1.1)
     net.nodes[owner] = restarted
     down = events.Unreachable(address=owner)
@@ -314,7 +314,9 @@
         self.times = []
         self.silent = False
         for life, address in enumerate(ENTRIES[:3]):
-            node = limits.Limits(name=address, address=address, seed=life)
+            node = limits.ContractLimits(
+                name=address, address=address, seed=life
+            )
             node.entries(ENTRIES[:3], self.now)
             self.nodes[address] = node
 
--- a/pimentoledge/tests/test_membership.py
+++ b/pimentoledge/tests/test_membership.py
@@ -101,10 +101,10 @@
     members = membership.Membership(seed=1)
     heard = [members.answered(_truth(incarnation=each), 0.0) for each in "1121"]
     assert heard == [
-        membership.Heard.CURRENT,
-        membership.Heard.CURRENT,
-        membership.Heard.RESTARTED,
-        membership.Heard.PAST,
+        membership.ReportOrder.CURRENT,
+        membership.ReportOrder.CURRENT,
+        membership.ReportOrder.RESTARTED,
+        membership.ReportOrder.PAST,
     ]
     assert members.incarnation("a") == "2"
 
@@ -194,7 +194,7 @@
 
 
 def test_memory_is_bounded():
-    timing = membership.Timing(servers=10)
+    timing = membership.HoldBackTiming(servers=10)
     members = membership.Membership(seed=1, timing=timing)
     for number in range(100):
         name = f"s{number}"
--- a/pimentoledge/tests/test_placement.py
+++ b/pimentoledge/tests/test_placement.py
@@ -37,7 +37,7 @@
     blocks = prefixes.chain(salt=salt, text=text, block_bytes=_BLOCK_BYTES)
     values = {"model": "m", "weights": "w1", "block_tokens": 16}
     values["prompt_tokens"] = len(text)
-    return placement.Wanted(
+    return placement.PlacementRequest(
         request=request,
         organisation=organisation,
         blocks=blocks,
@@ -333,7 +333,7 @@
     The agents go on counting the dispatches from an entry's address, so each
     new one seemed covered by a report that was older than it.
     """
-    load = loads.Load()
+    load = loads.EstimatedLoad()
     load.sent(100, 1.0)
     load.reported(_truth("a", received=501), 1.1)
     load.sent(4000, 1.2)
--- a/pimentoledge/tests/test_platform_adapter.py
+++ b/pimentoledge/tests/test_platform_adapter.py
@@ -18,16 +18,16 @@
 from pimentoledge.platform import requests
 from pimentoledge.platform import stand_in_platforms
 from pimentoledge.platform import stores
-from pimentoledge.routing import asks
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import calls
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
 from pimentoledge.routing import counters
 from pimentoledge.routing import daemons
 from pimentoledge.routing import http_messages
 from pimentoledge.routing import log_lines
 from pimentoledge.routing import registrations
-from pimentoledge.routing import takers as takers_module
+from pimentoledge.routing import request_types
+from pimentoledge.routing import view_updaters
 
 PACKAGE = pathlib.Path(__file__).parents[1]
 # Fields of the platform's bodies that mean nothing elsewhere.
@@ -121,13 +121,23 @@
         3.0,
     )
     match decoded:
-        case result.Success(ask):
+        case result.Success(client_request):
             pass
-    assert (ask.host, ask.path, ask.key) == ("shop.example", "/a/b", "secret")
-    assert (ask.wait_seconds, ask.resume_after) == (1.5, 12)
-    assert (ask.prompt_tokens, ask.answer_tokens) == (1460, 80)
-    assert [part.tokens for part in ask.parts] == [800, 650, 10]
-    kept = {name.lower() for name, _ in ask.passed_on}
+    assert (client_request.host, client_request.path, client_request.key) == (
+        "shop.example",
+        "/a/b",
+        "secret",
+    )
+    assert (client_request.wait_seconds, client_request.resume_after) == (
+        1.5,
+        12,
+    )
+    assert (client_request.prompt_tokens, client_request.answer_tokens) == (
+        1460,
+        80,
+    )
+    assert [part.tokens for part in client_request.parts] == [800, 650, 10]
+    kept = {name.lower() for name, _ in client_request.passed_on}
     assert b"x-own" in kept and b"request-id" in kept
     assert not kept & {b"authorization", b"connection", b"deadline-ms"}
 
@@ -142,11 +152,11 @@
     match requests.decode_request(
         head(b"Host: h", b"Request-Id: q", b"Hold: forged"), b"xyz", 0.0
     ):
-        case result.Success(ask):
+        case result.Success(client_request):
             pass
     raw = requests.encode_request(
-        ask,
-        asks.Dispatch(
+        client_request,
+        request_types.Dispatch(
             server="i-1",
             organisation="acme",
             seconds_left=0.25,
@@ -187,7 +197,9 @@
     assert decode(421).not_run
     assert not decode(503).not_run
     answer = decode(200, server_load=b"3,1,8", keep_alive=b"timeout=7, max=3")
-    assert answer.load == asks.Load(running=3, waiting=1, slots=8)
+    assert answer.load == request_types.ServerLoad(
+        running=3, waiting=1, slots=8
+    )
     assert answer.idle_seconds == 7
     assert decode(200, server_load=b"x").load is None
 
@@ -222,16 +234,16 @@
         registrations.Stored(name="main", revision=1, value=spec)
     )
     route = built.match("h", "/x")
-    assert route.kind is configurations.Kind.UNSAFE
+    assert route.kind is configurations.Repeatability.UNSAFE
     assert not route.repeatable()
     assert built.by_key is None
-    assert built.limits == configurations.Limits()
+    assert built.limits == configurations.ClientLimits()
 
 
 def test_one_bad_server_does_not_hide_the_others():
-    believed = beliefs.Beliefs(name="x", data_centre="a", born=0.0)
-    takers = takers_module.Takers(
-        believed=believed,
+    view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+    takers = view_updaters.ViewUpdater(
+        view=view,
         lines=log_lines.Lines(counters=counters.Counters()),
     )
     good = {"service": "s", "address": "1.2.3.4:5", "zone": "a"}
@@ -243,7 +255,7 @@
         ],
         [],
     )
-    assert list(believed.servers.by_incarnation) == ["good"]
+    assert list(view.servers.by_incarnation) == ["good"]
 
 
 def test_a_settings_file_is_checked_like_flags(tmp_path):
--- a/pimentoledge/tests/test_quarantine.py
+++ b/pimentoledge/tests/test_quarantine.py
@@ -35,11 +35,13 @@
 
     def answer(self, call):
         if self.down:
-            return stores.Answer(call=call.call, outcome=stores.Outcome.DOWN)
+            return stores.StoreAnswer(
+                call=call.call, outcome=stores.Outcome.DOWN
+            )
         match call:
             case stores.Scan() | stores.Watch():
                 found = list(self.objects.values())
-                return stores.Answer(
+                return stores.StoreAnswer(
                     call=call.call,
                     outcome=stores.Outcome.FOUND,
                     objects=found,
@@ -49,7 +51,7 @@
                 self.writes += 1
                 had = self.objects.get(call.path)
                 if (had.version if had else 0) != call.expected:
-                    return stores.Answer(
+                    return stores.StoreAnswer(
                         call=call.call, outcome=stores.Outcome.CONFLICT
                     )
                 self.objects.pop(call.path, None)
@@ -57,7 +59,7 @@
                     self.objects[call.path] = stores.Object(
                         path=call.path, version=self.writes, value=call.value
                     )
-                return stores.Answer(
+                return stores.StoreAnswer(
                     call=call.call,
                     outcome=stores.Outcome.WRITTEN,
                     version=self.writes,
@@ -161,7 +163,7 @@
     deleted = stores.Object(
         path=quarantine.PREFIX + crash.hex(), version=2, value=None
     )
-    answer = stores.Answer(
+    answer = stores.StoreAnswer(
         call=watch.call,
         outcome=stores.Outcome.FOUND,
         objects=[deleted],
