--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -7,8 +7,8 @@
 import pytest
 
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import rollouts
 from pimentoledge.tests import router_world
 from pimentoledge.tests import test_router_notices
@@ -52,7 +52,7 @@
     )
     world.store.put("config", "main", changed)
     [router] = world.routers
-    await world.until(lambda: router.believed.configuration.version == 2)
+    await world.until(lambda: router.view.configuration.version == 2)
 
 
 @pytest.mark.parametrize(
@@ -74,7 +74,7 @@
             await world.ask(path, body=b"n", headers=headers)
         refused = clocks.now()
         [router] = world.routers
-        other = router.believed.servers.by_incarnation[f"{kind}1"]
+        other = router.view.servers.by_incarnation[f"{kind}1"]
         other.avoid_until = clocks.now() + 60.0
         while clocks.now() < refused + 1.0:
             await world.ask(path, body=b"n", headers=headers)
@@ -90,7 +90,7 @@
 @played(plain=2, runners=1)
 async def test_a_server_that_backs_off_while_it_is_reached_gets_nothing(world):
     [router] = world.routers
-    known = router.believed.servers.by_incarnation
+    known = router.view.servers.by_incarnation
     asked = await world.ask_while_opening("p0", "p1")
     router.notices.take(known["p0"], busy(60.0))
     assert (await asked).status == 200
@@ -101,7 +101,7 @@
 async def test_a_request_is_not_held_while_all_servers_back_off(world):
     await _patient_route(world)
     [router] = world.routers
-    known = router.believed.servers.by_incarnation
+    known = router.view.servers.by_incarnation
     router.notices.take(known["p0"], busy(5.0))
     router.notices.take(known["p1"], busy(2.0))
     waits = set()
@@ -137,7 +137,7 @@
 ):
     await _patient_route(world)
     [router] = world.routers
-    known = router.believed.servers.by_incarnation
+    known = router.view.servers.by_incarnation
     world.servers["p0"].fail = 1
     router.notices.take(known["p1"], busy(60.0))
     began = time.monotonic()
@@ -149,7 +149,7 @@
 async def test_a_request_waits_for_a_server_that_is_back_in_time(world):
     await _patient_route(world)
     [router] = world.routers
-    known = router.believed.servers.by_incarnation["p0"]
+    known = router.view.servers.by_incarnation["p0"]
     router.notices.take(known, busy(0.3))
     assert (await world.ask("/notices/", body=b"n")).status == 200
 
@@ -182,7 +182,7 @@
 ):
     """Weights wait for the end of the time that the runner asked for."""
     [router] = world.routers
-    known = router.believed.servers.by_incarnation["r0"]
+    known = router.view.servers.by_incarnation["r0"]
     runner = world.servers["r0"]
     runner.retry_after = "1"
     runner.refuse_orders = 100
@@ -196,11 +196,11 @@
 
 
 def test_no_runner_is_told_to_load_before_its_retry_after():
-    believed = beliefs.Beliefs(name="b", data_centre="a", born=0.0)
-    believed.want(MODEL, 2, 0.0)
-    backend = believed.servers.put(REGISTRATION)
-    taker(believed.servers).take(backend, busy(60.0))
-    rollout = rollouts.Rollout(believed=believed)
+    view = cluster_views.ClusterView(name="b", data_centre="a", born=0.0)
+    view.want(MODEL, 2, 0.0)
+    backend = view.servers.put(REGISTRATION)
+    taker(view.servers).take(backend, busy(60.0))
+    rollout = rollouts.Rollout(view=view)
     now = clocks.now()
     assert not rollout.due(now)
     [due] = rollout.due(now + 61.0)
@@ -224,7 +224,7 @@
 def test_a_server_that_backs_off_does_not_count_as_down():
     _, backend = server_backed_off()
     now = clocks.now()
-    assert not backend.unreached(now)
+    assert not backend.is_unreachable(now)
     assert not backend.is_leaving()
 
 
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -6,28 +6,28 @@
 import pytest
 
 from pimentoledge import results
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
-from pimentoledge.routing import budgets
+from pimentoledge.routing import cache_sources
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
 from pimentoledge.routing import counters
 from pimentoledge.routing import event_streams
 from pimentoledge.routing import http_messages
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import mirrors
-from pimentoledge.routing import own_answers
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import peer_messages
 from pimentoledge.routing import placements
 from pimentoledge.routing import registrations
+from pimentoledge.routing import request_types
+from pimentoledge.routing import retry_budgets
+from pimentoledge.routing import retry_rules
+from pimentoledge.routing import router_responses
 from pimentoledge.routing import saved_parts
 from pimentoledge.routing import selections
-from pimentoledge.routing import sources
 from pimentoledge.routing import suspects
-from pimentoledge.routing import takers
-from pimentoledge.routing import verdicts
-from pimentoledge.routing import waits
+from pimentoledge.routing import view_updaters
+from pimentoledge.routing import wait_estimates
 from pimentoledge.routing import wanted_weights
 
 
@@ -47,7 +47,7 @@
     return backends.Backend(registration=registration(name, **more))
 
 
-def route(kind=configurations.Kind.UNSAFE, most=1, resumable=False):
+def route(kind=configurations.Repeatability.UNSAFE, most=1, resumable=False):
     return configurations.Route(
         name="r",
         host="h",
@@ -56,7 +56,7 @@
         timeout_seconds=1.0,
         objective_seconds=0.2,
         urgency=0,
-        shares=(configurations.Share(service="s", weight=1),),
+        shares=(configurations.ServiceShare(service="s", weight=1),),
         most_servers=most,
         open=False,
         by_prefix=False,
@@ -69,7 +69,9 @@
     """How often requests may be repeated."""
 
     def budget(self, born=-100.0):
-        return budgets.Budget(ratio=0.2, slack=40, window_seconds=10, born=born)
+        return retry_budgets.Budget(
+            ratio=0.2, slack=40, window_seconds=10, born=born
+        )
 
     def test_all_entries_together_keep_to_the_bound(self):
         """Four entries, each with its part, stay below the common bound."""
@@ -79,7 +81,7 @@
             now = tick / 100
             for entry in entries:
                 if tick % 10 == 0:
-                    entry.asked(now)
+                    entry.note_request(now)
                 spent += entry.take(now, 4)
         assert spent <= 0.2 * 400 + 40
 
@@ -99,31 +101,31 @@
     """What follows from an attempt."""
 
     def test_what_may_have_run_is_sent_nowhere_else(self):
-        history = verdicts.History(sends=1)
-        history.met("i", verdicts.Outcome.BROKE)
-        assert not verdicts.may_go_on(history, route())
-        assert verdicts.final_code(history) is results.Code.SERVICE_FAILED
+        history = retry_rules.AttemptHistory(sends=1)
+        history.note_outcome("i", retry_rules.AttemptOutcome.BROKE)
+        assert not retry_rules.may_retry(history, route())
+        assert retry_rules.final_code(history) is results.Code.SERVICE_FAILED
 
     def test_what_did_not_run_may_go_elsewhere_and_is_refused_truly(self):
-        history = verdicts.History(sends=1)
-        history.met("i", verdicts.Outcome.NOT_RUN)
-        assert verdicts.may_go_on(history, route())
-        code = verdicts.final_code(history)
+        history = retry_rules.AttemptHistory(sends=1)
+        history.note_outcome("i", retry_rules.AttemptOutcome.NOT_RUN)
+        assert retry_rules.may_retry(history, route())
+        code = retry_rules.final_code(history)
         assert results.MEANINGS[code].ran is results.Ran.NOT_RUN
 
     def test_a_repeatable_call_runs_on_no_more_servers_than_allowed(self):
-        safe = route(kind=configurations.Kind.SAFE, most=2)
-        history = verdicts.History(sends=1)
-        history.met("i", verdicts.Outcome.FAILED)
-        assert verdicts.may_go_on(history, safe)
-        history.met("j", verdicts.Outcome.FAILED)
-        assert not verdicts.may_go_on(history, safe)
+        safe = route(kind=configurations.Repeatability.SAFE, most=2)
+        history = retry_rules.AttemptHistory(sends=1)
+        history.note_outcome("i", retry_rules.AttemptOutcome.FAILED)
+        assert retry_rules.may_retry(history, safe)
+        history.note_outcome("j", retry_rules.AttemptOutcome.FAILED)
+        assert not retry_rules.may_retry(history, safe)
 
     def test_a_refusal_after_a_run_is_no_promise(self):
-        history = verdicts.History(sends=2)
-        history.met("i", verdicts.Outcome.BROKE)
-        history.met("j", verdicts.Outcome.NOT_RUN)
-        code = verdicts.final_code(history)
+        history = retry_rules.AttemptHistory(sends=2)
+        history.note_outcome("i", retry_rules.AttemptOutcome.BROKE)
+        history.note_outcome("j", retry_rules.AttemptOutcome.NOT_RUN)
+        code = retry_rules.final_code(history)
         assert results.MEANINGS[code].status == 502
 
 
@@ -223,46 +225,46 @@
 class TestBeliefs:
     """What a router believes, and how old it is."""
 
-    def believed(self):
-        return beliefs.Beliefs(name="x", data_centre="a", born=0.0)
+    def view(self):
+        return cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
 
     def test_of_two_times_at_which_weights_were_named_the_earlier_holds(self):
         """A restarted router would send requests to old weights too long."""
-        believed = self.believed()
-        believed.want("m", 2, 50.0)
-        assert not believed.want("m", 2, 42.0)
-        assert believed.wanted["m"].since == 42.0
-        assert not believed.want("m", 1, 10.0)
-        assert believed.wanted["m"].version == 2
+        view = self.view()
+        view.want("m", 2, 50.0)
+        assert not view.want("m", 2, 42.0)
+        assert view.wanted["m"].since == 42.0
+        assert not view.want("m", 1, 10.0)
+        assert view.wanted["m"].version == 2
 
     def test_requests_don_t_begin_on_weights_that_are_too_old(self):
-        believed = self.believed()
-        old = believed.servers.put(registration("i", weights={"m": 1}))
-        believed.want("m", 2, 100.0)
-        most = believed.bounds.weights_seconds
-        margin = beliefs.WEIGHTS_MARGIN_SECONDS
+        view = self.view()
+        old = view.servers.put(registration("i", weights={"m": 1}))
+        view.want("m", 2, 100.0)
+        most = view.bounds.weights_seconds
+        margin = cluster_views.WEIGHTS_MARGIN_SECONDS
         allow = selections.weights_allow
-        assert allow(believed, "m", old, 100.0 + most - margin - 0.1)
-        assert not allow(believed, "m", old, 100.0 + most - margin + 0.1)
+        assert allow(view, "m", old, 100.0 + most - margin - 0.1)
+        assert not allow(view, "m", old, 100.0 + most - margin + 0.1)
 
     def test_new_weights_empty_what_a_runner_is_believed_to_hold(self):
-        believed = self.believed()
-        held = believed.servers.put(registration("i", weights={"m": 1}))
-        part = asks.Part(name="p", tokens=100)
+        view = self.view()
+        held = view.servers.put(registration("i", weights={"m": 1}))
+        part = request_types.Part(name="p", tokens=100)
         held.note_parts("1", (part,), 1000, 0.0)
-        believed.servers.put(registration("i", weights={"m": 2}))
+        view.servers.put(registration("i", weights={"m": 2}))
         assert held.cached_tokens("1", (part,)) == 0
 
 
 class TestPlacement:
     """Which server a request goes to."""
 
-    SPEEDS = waits.Speeds(
+    SPEEDS = wait_estimates.Speeds(
         base_seconds=0.09, token_seconds=3e-5, fetch_seconds=2e-6
     )
 
     def terms(self, **more):
-        return placements.Terms(data_centre="a", **more)
+        return placements.Criteria(data_centre="a", **more)
 
     def choose(self, *candidates, **more):
         found = placements.choose(
@@ -271,7 +273,7 @@
         match found:
             case placements.Choice():
                 return found.backend.registration.incarnation
-            case placements.NoRoom():
+            case placements.NoCapacity():
                 return None
 
     def test_the_own_data_centre_goes_first_until_it_is_full(self):
@@ -281,7 +283,7 @@
         assert self.choose(here, there) == "t"
 
     def test_a_prompt_goes_where_its_parts_are(self):
-        parts = (asks.Part(name="p", tokens=6000),)
+        parts = (request_types.Part(name="p", tokens=6000),)
         one, two = (backend(n, weights={"m": 1}) for n in ("1", "2"))
         two.note_parts("1", parts, 50000, 0.0)
         found = self.choose(
@@ -290,7 +292,7 @@
         assert found == "2"
 
     def test_parts_of_another_namespace_do_not_count(self):
-        parts = (asks.Part(name="p", tokens=6000),)
+        parts = (request_types.Part(name="p", tokens=6000),)
         one, two = (backend(n, weights={"m": 1}) for n in ("1", "2"))
         two.note_parts("1.walled", parts, 50000, 0.0)
         two.open = 10
@@ -325,7 +327,10 @@
 class TestSources:
     """Where cached parts are, and who reads one that nobody keeps."""
 
-    PARTS = (asks.Part(name="p", tokens=2000), asks.Part(name="q", tokens=4000))
+    PARTS = (
+        request_types.Part(name="p", tokens=2000),
+        request_types.Part(name="q", tokens=4000),
+    )
 
     def runners(self):
         return [
@@ -334,7 +339,7 @@
         ]
 
     def find(self, runners, now=10.0, stored=None, version=1):
-        return sources.find(
+        return cache_sources.find(
             runners=runners,
             stored=stored,
             model="m",
@@ -354,7 +359,7 @@
         next_door.note_parts("1", self.PARTS, 50000, 10.5)
         found = self.find(runners)
         assert (found.best, found.coming) == ((), 6000)
-        terms = placements.Terms(
+        terms = placements.Criteria(
             data_centre="a",
             parts=self.PARTS,
             model="m",
@@ -378,7 +383,7 @@
     def test_its_reader_s_first_event_shows_that_it_was_read(self):
         _, next_door, _ = runners = self.runners()
         next_door.note_parts("1", self.PARTS, 50000, 10.5)
-        next_door.has_read("1", self.PARTS, 10.2)
+        next_door.note_parts_read("1", self.PARTS, 10.2)
         assert self.find(runners, now=10.2).for_runner("a", 0).tokens == 6000
 
     def test_a_runner_with_other_weights_is_no_source(self):
@@ -396,7 +401,9 @@
         assert self.find(runners).best == ()
 
     def test_what_a_kv_cache_server_keeps_is_fetched_from_there(self):
-        stored = sources.Source(address="c", data_centre="a", tokens=6000)
+        stored = cache_sources.CacheSource(
+            address="c", data_centre="a", tokens=6000
+        )
         found = self.find(self.runners(), stored=stored)
         assert found.for_runner("b", 2000).address == "c"
         assert found.for_runner("b", 6000) is None
@@ -415,7 +422,7 @@
         )
 
         def seconds(link_bytes, apart):
-            return sources.transfer_seconds(
+            return cache_sources.transfer_seconds(
                 500, service=service, link_bytes=link_bytes, apart=apart
             )
 
@@ -432,16 +439,16 @@
         for name, when in (("i", 1.0), ("j", 2.0)):
             known.broke("c", name, when)
             assert known.died(name, when + 0.5) == ["c"]
-        assert known.is_barred("c", 3.0)
-        assert not known.is_barred("d", 3.0)
-        assert not known.is_barred("c", 3.0 + suspects.MEMORY_SECONDS)
+        assert known.is_quarantined("c", 3.0)
+        assert not known.is_quarantined("d", 3.0)
+        assert not known.is_quarantined("c", 3.0 + suspects.MEMORY_SECONDS)
 
     def test_a_broken_connection_to_a_server_that_lives_proves_nothing(self):
         """Lost answers must not bar an innocent client's requests."""
         known = suspects.Suspects()
         for number in range(9):
             known.broke("c", f"i{number}", 1.0)
-        assert not known.is_barred("c", 2.0)
+        assert not known.is_quarantined("c", 2.0)
         assert not known.died("i1", 1.0 + suspects.DEATH_SECONDS + 0.1)
 
     def test_a_whole_answer_proves_innocence(self):
@@ -449,7 +456,7 @@
         known.crashed("c", "i", 1.0)
         known.served("c")
         known.crashed("c", "j", 2.0)
-        assert not known.is_barred("c", 3.0)
+        assert not known.is_quarantined("c", 3.0)
 
 
 class TestMirrors:
@@ -457,7 +464,7 @@
 
     def mirror(self):
         seen = []
-        held = mirrors.Mirror(
+        held = object_caches.ObjectCache(
             kind="k",
             take=lambda changed, removed: seen.append(
                 ([each.name for each in changed], removed)
@@ -505,7 +512,7 @@
                 name=name,
                 host=host,
                 path_prefix=prefix,
-                kind=configurations.Kind.SAFE,
+                kind=configurations.Repeatability.SAFE,
                 timeout_seconds=1,
                 objective_seconds=1,
                 urgency=0,
@@ -526,7 +533,7 @@
             ],
             organisations=None,
             services=[],
-            limits=configurations.Limits(),
+            limits=configurations.ClientLimits(),
         )
         assert built.match("h", "/a/b/c/d").name == "long"
         assert built.match("h", "/a/bc").name == "short"
@@ -534,14 +541,14 @@
 
     def test_a_split_follows_its_weights_and_is_the_same_for_a_request(self):
         shares = (
-            configurations.Share(service="x", weight=90),
-            configurations.Share(service="y", weight=10),
+            configurations.ServiceShare(service="x", weight=90),
+            configurations.ServiceShare(service="y", weight=10),
         )
         split = configurations.Route(
             name="r",
             host="h",
             path_prefix="/",
-            kind=configurations.Kind.SAFE,
+            kind=configurations.Repeatability.SAFE,
             timeout_seconds=1,
             objective_seconds=1,
             urgency=0,
@@ -553,11 +560,11 @@
             gap_seconds=None,
         )
         firsts = [
-            selections.service_of(split, f"q{number}")[0]
+            selections.services_of(split, f"q{number}")[0]
             for number in range(2000)
         ]
         assert 0.86 < firsts.count("x") / 2000 < 0.94
-        assert selections.service_of(split, "q1") == selections.service_of(
+        assert selections.services_of(split, "q1") == selections.services_of(
             split, "q1"
         )
 
@@ -574,7 +581,7 @@
         for _ in range(8):
             grey.troubled(10.0)
         good.open = 20
-        terms = placements.Terms(data_centre="a")
+        terms = placements.Criteria(data_centre="a")
 
         def chosen():
             return placements.choose(
@@ -593,24 +600,24 @@
     def test_a_prompt_is_saved_only_for_shared_parts_that_are_not_saved(self):
         """Own parts of every prompt would push the shared ones out."""
         known = saved_parts.SavedParts()
-        parts = (asks.Part(name="p", tokens=2000),)
-        assert known.lacks("c", "3", parts, 1.0)
-        known.was_read("c", "3", parts, 1.0)
-        assert not known.lacks("c", "3", parts, 2.0)
-        assert known.lacks("c", "4", parts, 2.0)
-        assert known.lacks("other", "3", parts, 2.0)
+        parts = (request_types.Part(name="p", tokens=2000),)
+        assert known.unsaved_tokens("c", "3", parts, 1.0)
+        known.note_saved("c", "3", parts, 1.0)
+        assert not known.unsaved_tokens("c", "3", parts, 2.0)
+        assert known.unsaved_tokens("c", "4", parts, 2.0)
+        assert known.unsaved_tokens("other", "3", parts, 2.0)
         late = 2.0 + saved_parts.AGAIN_SECONDS
-        assert known.lacks("c", "3", parts, late)
+        assert known.unsaved_tokens("c", "3", parts, late)
 
     def test_a_part_on_its_way_is_not_saved_again_at_once(self):
         known = saved_parts.SavedParts()
-        parts = (asks.Part(name="p", tokens=2000),)
-        known.will_be_read("c", "3", parts, 1.0)
-        assert not known.lacks("c", "3", parts, 1.5)
+        parts = (request_types.Part(name="p", tokens=2000),)
+        known.note_saving("c", "3", parts, 1.0)
+        assert not known.unsaved_tokens("c", "3", parts, 1.5)
         assert known.tokens("c", "3", parts, 1.5) == 0
         # Its reader failed: nothing came.
         late = 1.1 + saved_parts.SAVING_SECONDS
-        assert known.lacks("c", "3", parts, late)
+        assert known.unsaved_tokens("c", "3", parts, late)
 
     def test_what_another_router_has_saved_is_not_saved_again(self):
         """Each prompt was saved by every router that met it, and own parts too.
@@ -619,23 +626,23 @@
         was saved came two seconds late, and was read again meanwhile.
         """
         older = TestOlderWeights()
-        believed = older.believed(saved=None)
-        believed.wanted["m"] = wanted_weights.Wanted(
+        view = older.view(saved=None)
+        view.wanted["m"] = wanted_weights.WantedWeights(
             wanted_weights.Named(version=1, since=10.0)
         )
-        believed.servers.put(registration("r", weights={"m": 1}))
-        assert older.sent(believed, 10.0).save_to == "10.0.0.1:80"
-        prompt = peer_messages.Prompt(
+        view.servers.put(registration("r", weights={"m": 1}))
+        assert older.sent(view, 10.0).save_to == "10.0.0.1:80"
+        prompt = peer_messages.PromptReport(
             server="r",
             namespace="1",
             parts=[("manual", 4000), ("own-of-another", 300)],
             saved_to="10.0.0.1:80",
         )
-        selections.heard_prompt(believed, prompt, 10.0)
-        assert older.sent(believed, 10.1).save_to is None
+        selections.note_peer_prompt(view, prompt, 10.0)
+        assert older.sent(view, 10.1).save_to is None
         prompt.read = True
-        selections.heard_prompt(believed, prompt, 10.4)
-        assert older.sent(believed, 18.0).save_to is None
+        selections.note_peer_prompt(view, prompt, 10.4)
+        assert older.sent(view, 18.0).save_to is None
 
     def test_all_routers_use_one_kv_cache_server_for_a_prompt(self):
         """One for each data centre would read and keep each part in each."""
@@ -656,42 +663,44 @@
             routes=[],
             organisations=None,
             services=services,
-            limits=configurations.Limits(),
+            limits=configurations.ClientLimits(),
         )
         chosen = {}
         for place in "abc":
-            believed = beliefs.Beliefs(name="x", data_centre=place, born=0.0)
-            believed.configuration = built
+            view = cluster_views.ClusterView(
+                name="x", data_centre=place, born=0.0
+            )
+            view.configuration = built
             for number in range(30):
                 parts = (
-                    asks.Part(name=f"p{number}", tokens=9),
-                    asks.Part(name=f"own-{place}-{number}", tokens=9),
+                    request_types.Part(name=f"p{number}", tokens=9),
+                    request_types.Part(name=f"own-{place}-{number}", tokens=9),
                 )
-                found = selections.cache_server(believed, parts)
+                found = selections.cache_server(view, parts)
                 chosen.setdefault(number, set()).add(found.name)
         assert all(len(found) == 1 for found in chosen.values())
         assert len(set.union(*chosen.values())) == 3
 
     def test_without_a_kv_cache_server_a_prompt_goes_where_its_parts_are(self):
         """Nothing is saved, so a part would be read at each runner."""
-        believed = beliefs.Beliefs(name="x", data_centre="a", born=0.0)
-        believed.configuration = configurations.build(
+        view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+        view.configuration = configurations.build(
             version=1,
             routes=[],
             organisations=None,
             services=[],
-            limits=configurations.Limits(),
+            limits=configurations.ClientLimits(),
         )
-        believed.want("m", 1, 0.0)
+        view.want("m", 1, 0.0)
         for number in range(6):
-            believed.servers.put(registration(str(number), weights={"m": 1}))
-        holder = believed.servers.by_server["4"]
-        ask = TestOlderWeights().ask(10.0)
-        holder.note_parts("1", ask.parts, 50000, 10.4)
+            view.servers.put(registration(str(number), weights={"m": 1}))
+        holder = view.servers.by_server["4"]
+        client_request = TestOlderWeights().ask(10.0)
+        holder.note_parts("1", client_request.parts, 50000, 10.4)
         found = selections.select(
-            believed=believed,
-            ask=ask,
-            route=route(configurations.Kind.STREAM),
+            view=view,
+            client_request=client_request,
+            route=route(configurations.Repeatability.STREAM),
             organisation=None,
             without=set(),
             now=10.0,
@@ -703,7 +712,9 @@
     """Which requests a runner lets in first."""
 
     def sent(self, own, organisation):
-        found = attrs.evolve(route(configurations.Kind.STREAM), urgency=own)
+        found = attrs.evolve(
+            route(configurations.Repeatability.STREAM), urgency=own
+        )
         return selections.urgency_of(
             found,
             None
@@ -734,11 +745,11 @@
 class TestOlderWeights:
     """What may be fetched from caches made under older weights."""
 
-    PARTS = (asks.Part(name="manual", tokens=4000),)
-    OWN = asks.Part(name="own", tokens=100)
+    PARTS = (request_types.Part(name="manual", tokens=4000),)
+    OWN = request_types.Part(name="own", tokens=100)
 
     def ask(self, now):
-        return asks.Ask(
+        return request_types.ClientRequest(
             request="q",
             method=b"POST",
             host="h",
@@ -756,11 +767,11 @@
             arrived=now,
         )
 
-    def sent(self, believed, now):
+    def sent(self, view, now):
         return selections.dispatch(
-            believed=believed,
-            ask=self.ask(now),
-            route=route(configurations.Kind.STREAM),
+            view=view,
+            client_request=self.ask(now),
+            route=route(configurations.Repeatability.STREAM),
             organisation=None,
             backend=backend("r", weights={"m": 1}),
             resume_after=None,
@@ -768,13 +779,13 @@
             now=now,
         )
 
-    def fetched(self, believed, now):
-        sent = self.sent(believed, now)
+    def fetched(self, view, now):
+        sent = self.sent(view, now)
         assert sent.save_to is None
         return sent.fetch_from
 
-    def believed(self, *, saved):
-        found = beliefs.Beliefs(name="x", data_centre="a", born=0.0)
+    def view(self, *, saved):
+        found = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
         found.configuration = configurations.build(
             version=1,
             routes=[],
@@ -790,10 +801,10 @@
                     data_centre="a",
                 )
             ],
-            limits=configurations.Limits(),
+            limits=configurations.ClientLimits(),
         )
         if saved is not None:
-            found.saved.was_read("10.0.0.1:80", "1", self.PARTS, saved)
+            found.saved.note_saved("10.0.0.1:80", "1", self.PARTS, saved)
         found.want("m", 2, 10.0)
         return found
 
@@ -803,7 +814,7 @@
         They may not fetch what a run under changed weights left behind; what
         the KV cache server had before the change was named is sound.
         """
-        assert self.fetched(self.believed(saved=5.0), 11.0) == "10.0.0.1:80"
+        assert self.fetched(self.view(saved=5.0), 11.0) == "10.0.0.1:80"
 
     def test_parts_that_may_have_been_saved_after_are_not(self):
         """A run that goes on under new weights may have saved a mixed part.
@@ -811,23 +822,23 @@
         A request that fetches it answers from other weights' memory.
         """
         for saved in (None, 9.5, 10.6):
-            assert self.fetched(self.believed(saved=saved), 11.0) is None
+            assert self.fetched(self.view(saved=saved), 11.0) is None
 
     def test_parts_that_may_have_yielded_since_are_not(self):
         """A part that yielded may have been saved again, mixed."""
-        believed = self.believed(saved=5.0)
+        view = self.view(saved=5.0)
         late = 5.0 + saved_parts.AGAIN_SECONDS + 0.2
-        believed.wanted["m"] = wanted_weights.Wanted(
+        view.wanted["m"] = wanted_weights.WantedWeights(
             wanted_weights.Named(version=2, since=late - 2.0)
         )
-        assert self.fetched(believed, late) is None
+        assert self.fetched(view, late) is None
 
     def test_a_kv_cache_server_that_went_away_keeps_nothing(self):
         """It returns empty, and a part saved again may be mixed."""
-        believed = self.believed(saved=5.0)
-        believed.saved.lost()
-        assert self.fetched(believed, 11.0) is None
-        assert believed.saved.lacks("10.0.0.1:80", "1", self.PARTS, 11.0)
+        view = self.view(saved=5.0)
+        view.saved.lost()
+        assert self.fetched(view, 11.0) is None
+        assert view.saved.unsaved_tokens("10.0.0.1:80", "1", self.PARTS, 11.0)
 
 
 class TestRetryAfter:
@@ -840,19 +851,21 @@
         0.8 s; the client had 3.4 s left, and got nothing.
         """
         dark = results.Code.CONFIGURATION_INCOMPLETE
-        found = {own_answers.retry_seconds(dark) for _ in range(50)}
+        found = {router_responses.retry_seconds(dark) for _ in range(50)}
         assert len(found) > 25
         assert min(found) >= 0.75
         # Clients with 4 s honour up to a third of what is left to them.
         assert max(found) <= 4 / 3
 
     def test_only_a_promise_says_when_to_come_back(self):
-        assert own_answers.retry_seconds(results.Code.SERVICE_FAILED) is None
-        assert own_answers.retry_seconds(results.Code.NO_SERVER) == 0.3
+        assert (
+            router_responses.retry_seconds(results.Code.SERVICE_FAILED) is None
+        )
+        assert router_responses.retry_seconds(results.Code.NO_SERVER) == 0.3
 
     def test_clients_that_full_servers_refused_do_not_return_together(self):
         full = results.Code.OVERLOADED
-        found = {own_answers.retry_seconds(full) for _ in range(50)}
+        found = {router_responses.retry_seconds(full) for _ in range(50)}
         assert len(found) > 25
         assert min(found) >= 0.4
         assert max(found) <= 1.0
@@ -862,14 +875,14 @@
     """Since when weights count as named."""
 
     def takers(self):
-        believed = beliefs.Beliefs(name="x", data_centre="a", born=0.0)
-        return takers.Takers(
-            believed=believed,
+        view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+        return view_updaters.ViewUpdater(
+            view=view,
             lines=log_lines.Lines(counters=counters.Counters()),
         )
 
     def age(self, taken):
-        return clocks.now() - taken.believed.wanted["m"].since
+        return clocks.now() - taken.view.wanted["m"].since
 
     def named(self, version):
         value = {"model": "m", "version": version}
@@ -889,7 +902,7 @@
 
     def test_a_version_read_at_the_start_may_be_old(self):
         taken = self.takers()
-        taken.believed.born = clocks.now()
+        taken.view.born = clocks.now()
         taken.weights([self.named(2)], [])
-        bound = taken.believed.bounds.weights_seconds
-        assert self.age(taken) >= bound - takers.START_SECONDS
+        bound = taken.view.bounds.weights_seconds
+        assert self.age(taken) >= bound - view_updaters.START_SECONDS
--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -67,8 +67,8 @@
 async def test_a_limit_that_a_cut_held_up_is_no_news(world):
     """Guards against the end of a limit of before a cut, told after it."""
     first, second = await meet(world)
-    limits = second.believed.server_limits
-    first.believed.server_limits.update(
+    limits = second.view.server_limits
+    first.view.server_limits.update(
         "p0", 1.0, sent_at=clocks.now(), received_at=clocks.now()
     )
     told = []
@@ -102,10 +102,10 @@
 async def test_weights_that_a_cut_held_up_count_from_before_it(world):
     """Guards against older weights that are used for longer after a cut."""
     first, second = await meet(world)
-    first.believed.want(MODEL, 2, clocks.now())
+    first.view.want(MODEL, 2, clocks.now())
     now = clocks.now()
     deliver(second, first, first.peers._own_beat(now))
-    [*_, newest] = second.believed.wanted[MODEL].named
+    [*_, newest] = second.view.wanted[MODEL].named
     assert newest.version == 2
     assert newest.since < now - HELD_SECONDS + 0.5
     assert newest.source is wanted_weights.Source.NOT_BEFORE
--- a/pimentoledge/tests/test_router_evidence.py
+++ b/pimentoledge/tests/test_router_evidence.py
@@ -58,11 +58,11 @@
     """
     once = world.servers["p0"]
     [router] = world.routers
-    held = router.believed.servers.by_incarnation["p0"]
+    held = router.view.servers.by_incarnation["p0"]
     for _ in range(12):
         held.troubled(clocks.now())
     held.troubled_at -= 10 * backends.TROUBLE_HALF_SECONDS
-    other = router.believed.servers.by_incarnation["p1"]
+    other = router.view.servers.by_incarnation["p1"]
     other.open = 7
     for _ in range(60):
         await world.ask("/notices/", body=b"n")
@@ -154,8 +154,8 @@
     )
     woke = clocks.now() + 5.0
     assert not first.peers.roster.present(woke)
-    assert not first.peers.pulses.hears_holder(woke)
-    assert first.peers.copies.shares.to_tell(woke) == {}
+    assert not first.peers.holder_heartbeats.holder_is_alive(woke)
+    assert first.peers.replicator.shares.watcher_ages(woke) == {}
 
 
 @played(plain=1)
@@ -176,11 +176,11 @@
     await four_at_once()
     [idle] = router.pool.idle.values()
     assert len(idle) > 1
-    most = selections.most_idle(router.believed, "plain")
+    most = selections.most_idle(router.view, "plain")
     assert most == 25
-    router.believed.members = 100
+    router.view.members = 100
     router.peers.tick = lambda now: None
-    assert selections.most_idle(router.believed, "plain") == 1
+    assert selections.most_idle(router.view, "plain") == 1
     router.pool.close()
     await four_at_once()
     [idle] = router.pool.idle.values()
--- a/pimentoledge/tests/test_router_faults.py
+++ b/pimentoledge/tests/test_router_faults.py
@@ -43,7 +43,7 @@
                     )
                     spec = {**server.entry(), "address": address}
                     world.store.put("servers", "raw", spec)
-                    known = world.routers[0].believed.servers.by_incarnation
+                    known = world.routers[0].view.servers.by_incarnation
                     await world.until(lambda: known)
                     await test(world)
                 finally:
@@ -142,16 +142,16 @@
         case result.Success(chosen):
             router = daemons.Router(chosen=chosen)
     router.tick()
-    assert router.believed.bounds.budget_slack == 20
+    assert router.view.bounds.budget_slack == 20
     path.write_text(usual + 'retry-slack = "50"\n')
     os.utime(path, (1, 1))
     router.tick()
-    assert router.believed.bounds.budget_slack == 50
+    assert router.view.bounds.budget_slack == 50
     path.write_text("not settings")
     os.utime(path, (2, 2))
     with contextlib.suppress(OSError):
         router.tick()
-    assert router.believed.bounds.budget_slack == 50
+    assert router.view.bounds.budget_slack == 50
 
 
 def test_a_store_that_falls_silent_is_given_up_and_asked_anew():
--- a/pimentoledge/tests/test_router_first_events.py
+++ b/pimentoledge/tests/test_router_first_events.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
+from pimentoledge.routing import cache_sources
 from pimentoledge.routing import first_events
 from pimentoledge.routing import placements
 from pimentoledge.routing import registrations
-from pimentoledge.routing import sources
-from pimentoledge.routing import waits
+from pimentoledge.routing import request_types
+from pimentoledge.routing import wait_estimates
 
 
 def runner(name, *, running=0, waiting=0, place="a", slots=32):
@@ -25,12 +25,14 @@
             weights={"m": 1},
         )
     )
-    load = asks.Load(running=running, waiting=waiting, slots=slots)
-    found.told_load(load, 1.0)
+    load = request_types.ServerLoad(
+        running=running, waiting=waiting, slots=slots
+    )
+    found.update_load(load, 1.0)
     return found
 
 
-SPEEDS = waits.Speeds(
+SPEEDS = wait_estimates.Speeds(
     base_seconds=0.09, token_seconds=3e-5, fetch_seconds=2e-6, mean_unread=1500
 )
 
@@ -46,7 +48,7 @@
     free = runner("free", running=18)
     found = placements.choose(
         candidates=[piled, free],
-        terms=placements.Terms(
+        terms=placements.Criteria(
             data_centre="a", model="m", unshared=2000, speeds=SPEEDS
         ),
         now=1.0,
@@ -59,7 +61,9 @@
     assert found.queued(1.0) == 3
     found.unbegun += 2
     assert found.queued(1.0) == 5
-    found.told_load(asks.Load(running=5, waiting=2, slots=32), 2.0)
+    found.update_load(
+        request_types.ServerLoad(running=5, waiting=2, slots=32), 2.0
+    )
     assert found.queued(1.0) == 2
     found.unbegun -= 2
     assert found.queued(1.0) == 0
@@ -74,8 +78,8 @@
 
 def test_what_other_routers_have_there_counts_as_their_own_word():
     found = runner("r")
-    found.others["x"] = backends.Share(open=3, unbegun=2, unread=9000)
-    assert found.busyness(1.0) == 3
+    found.others["x"] = backends.PeerLoad(open=3, unbegun=2, unread=9000)
+    assert found.estimated_requests(1.0) == 3
     assert found.queued(1.0) == 2
     assert found.unread(1500, 1.0, 0.0) == 9000
 
@@ -93,7 +97,7 @@
 def test_the_reading_is_learnt_of_engines_fast_and_slow(token_seconds):
     """Five times as fast and five times as slow as the usual engine."""
     drawn = random.Random(7)
-    known = first_events.FirstEvents()
+    known = first_events.FirstEventFit()
     for _ in range(300):
         tokens = drawn.choice((300, 800, 3000, 7000, 15000))
         usual = 0.06 + token_seconds * tokens
@@ -104,7 +108,7 @@
 
 
 def test_one_stream_that_hung_does_not_spoil_what_was_learnt():
-    known = first_events.FirstEvents()
+    known = first_events.FirstEventFit()
     for _ in range(20):
         known.note(0.09 + 3e-5 * 3000, 3000)
     known.note(30.0, 3000)
@@ -113,7 +117,7 @@
 
 
 def test_streams_of_one_length_leave_the_slope_to_the_first_guess():
-    known = first_events.FirstEvents()
+    known = first_events.FirstEventFit()
     for _ in range(200):
         known.note(0.18, 3000)
     assert known.expected_seconds(3000) == pytest.approx(0.18, rel=0.1)
@@ -123,16 +127,20 @@
 class TestPromptAt:
     """What a runner has to do for a prompt."""
 
-    SOURCES = sources.Sources(
+    SOURCES = cache_sources.Sources(
         best=(
-            sources.Source(address="near", data_centre="a", tokens=2500),
-            sources.Source(address="far", data_centre="b", tokens=6000),
+            cache_sources.CacheSource(
+                address="near", data_centre="a", tokens=2500
+            ),
+            cache_sources.CacheSource(
+                address="far", data_centre="b", tokens=6000
+            ),
         ),
         coming=6000,
     )
 
     def at(self, place, held, found=SOURCES):
-        return waits.prompt_at(
+        return wait_estimates.prompt_at(
             data_centre=place,
             held=held,
             shared=6000,
@@ -155,7 +163,7 @@
         assert (found.to_read, found.fetch_seconds) == (3000, 0.0)
 
     def test_what_another_is_about_to_have_would_be_read_twice(self):
-        found = self.at("a", 2500, sources.Sources(coming=6000))
+        found = self.at("a", 2500, cache_sources.Sources(coming=6000))
         assert found.to_read == 6500
         assert found.twice == 3500
 
@@ -168,8 +176,8 @@
     """
     found = runner("r")
     found.reading, found.unbegun, found.read_since = 20000, 2, 1.0
-    assert waits.ahead_at(found, 800, SPEEDS, 1.0) == 1600
-    assert waits.ahead_at(found, 90000, SPEEDS, 1.0) == 20000
+    assert wait_estimates.ahead_at(found, 800, SPEEDS, 1.0) == 1600
+    assert wait_estimates.ahead_at(found, 90000, SPEEDS, 1.0) == 20000
 
 
 def test_a_runner_elsewhere_is_not_idle_because_nothing_is_known_of_it():
@@ -180,23 +188,25 @@
     """
     here, there = runner("h"), runner("t", place="b")
     here.reading, here.unbegun, here.read_since = 6000, 1, 1.0
-    unknown = waits.first_event(
-        there, waits.Prompt(to_read=3000), SPEEDS, 1.0
+    unknown = wait_estimates.expected_wait(
+        there, wait_estimates.PromptWork(to_read=3000), SPEEDS, 1.0
     ).seconds
     assert (
         unknown
-        < waits.first_event(
-            here, waits.Prompt(to_read=3000), SPEEDS, 1.0
+        < wait_estimates.expected_wait(
+            here, wait_estimates.PromptWork(to_read=3000), SPEEDS, 1.0
         ).seconds
     )
-    mean = waits.Mean(busy=5, queued=3, unread=9000, since=1.0)
-    told = waits.Speeds(
+    mean = wait_estimates.MeanLoad(busy=5, queued=3, unread=9000, since=1.0)
+    told = wait_estimates.Speeds(
         base_seconds=0.09, token_seconds=3e-5, elsewhere={"b": mean}
     )
-    known = waits.first_event(
-        there, waits.Prompt(to_read=3000), told, 1.0
+    known = wait_estimates.expected_wait(
+        there, wait_estimates.PromptWork(to_read=3000), told, 1.0
     ).seconds
     assert (
         known
-        > waits.first_event(here, waits.Prompt(to_read=3000), told, 1.0).seconds
+        > wait_estimates.expected_wait(
+            here, wait_estimates.PromptWork(to_read=3000), told, 1.0
+        ).seconds
     )
--- a/pimentoledge/tests/test_router_fleets.py
+++ b/pimentoledge/tests/test_router_fleets.py
@@ -94,12 +94,12 @@
         return agenda, engine
 
     def run(self, agenda, engine, shared, own, events=2, name="p"):
-        asks = fleet_runs.asks
+        request_types = fleet_runs.request_types
         parts = (
-            asks.Part(name=name, tokens=shared),
-            asks.Part(name=f"own-{id(name)}-{own}", tokens=own),
+            request_types.Part(name=name, tokens=shared),
+            request_types.Part(name=f"own-{id(name)}-{own}", tokens=own),
         )
-        ask = attrs.evolve(
+        client_request = attrs.evolve(
             fleet_runs.Fleet(attrs.evolve(CALM, routers=1, engines=1))._ask(
                 fleet_runs.DRAFT
             ),
@@ -108,8 +108,8 @@
         )
         times = {}
         run = fleet_engines.Run(
-            ask=ask,
-            sent=asks.Dispatch(
+            client_request=client_request,
+            sent=request_types.Dispatch(
                 server="e", organisation=None, seconds_left=9.0, namespace="1"
             ),
             events=events,
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -12,10 +12,10 @@
 from pimentoledge.platform import stores
 from pimentoledge.routing import clocks
 from pimentoledge.routing import counters
+from pimentoledge.routing import hedged_calls
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import mirrors
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import registrations
-from pimentoledge.routing import second_calls
 from pimentoledge.routing import watchers
 from pimentoledge.tests import router_world
 
@@ -27,7 +27,7 @@
 
 def knows(router, server="p0"):
     """Returns whether a router knows that a server leaves, or is gone."""
-    found = router.believed.servers.by_incarnation.get(server)
+    found = router.view.servers.by_incarnation.get(server)
     return found is None or found.registration.leaving
 
 
@@ -98,13 +98,13 @@
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     await world.until(
         lambda: all(
-            each.believed.configuration.version == 9 for each in world.routers
+            each.view.configuration.version == 9 for each in world.routers
         ),
         seconds=2.0,
     )
     await world.until(
         lambda: all(
-            each.believed.wanted[MODEL].version == 2 for each in world.routers
+            each.view.wanted[MODEL].version == 2 for each in world.routers
         ),
         seconds=4.0,
     )
@@ -153,7 +153,9 @@
         seconds=9,
     )
     await world.until(
-        lambda: sum(not each.peers.copies.follows() for each in world.routers)
+        lambda: sum(
+            not each.peers.replicator.follows() for each in world.routers
+        )
         == 2,
         seconds=9,
     )
@@ -234,11 +236,13 @@
     what is gone then has left.
     """
     servers = watchers.Watcher(
-        mirror=mirrors.Mirror(kind="servers", take=lambda changed, gone: None),
+        mirror=object_caches.ObjectCache(
+            kind="servers", take=lambda changed, gone: None
+        ),
         store=None,
         lines=log_lines.Lines(counters=counters.Counters()),
         bound_seconds=lambda: DRAIN_SECONDS,
-        answers=second_calls.Answers(),
+        answers=hedged_calls.AnswerSignal(),
         leads=False,
     )
     servers.mirror.freshen(clocks.now() - away)
@@ -290,14 +294,14 @@
     first, second = world.routers
     await world.until(lambda: second.peers.roster.present(clocks.now()))
     await _all_wait(world)
-    copies = second.peers.copies
+    copies = second.peers.replicator
     mirror = copies.watching["servers"].mirror
     beat = first.peers._own_beat(clocks.now())
     for ahead, age in ((1, -60_000), (0, -120_000)):
         # Ages from the time to come, which nothing else has.
         beat.known = {"servers": (mirror.revision + ahead, age)}
         now = clocks.now()
-        copies.take_known(beat, now)
+        copies.merge_known(beat, now)
         assert (mirror.known_at > now + 1) is (ahead == 0)
 
 
@@ -318,10 +322,10 @@
     first.kinds["servers"].back_at = clocks.now()
     world.store.remove("servers", "p0")
     mirror = second.kinds["servers"].mirror
-    await world.until(lambda: "p0" in first.takers.lapsed)
+    await world.until(lambda: "p0" in first.updater.lapsed)
     await world.until(lambda: "p0" not in mirror.objects)
-    assert "p0" in second.believed.servers.by_incarnation
+    assert "p0" in second.view.servers.by_incarnation
     await world.until(
-        lambda: "p0" not in second.believed.servers.by_incarnation,
+        lambda: "p0" not in second.view.servers.by_incarnation,
         seconds=DRAIN_SECONDS,
     )
--- a/pimentoledge/tests/test_router_limits_path.py
+++ b/pimentoledge/tests/test_router_limits_path.py
@@ -16,8 +16,7 @@
     world.store.put("config", "main", changed)
     await world.until(
         lambda: all(
-            each.believed.configuration.version == version
-            for each in world.routers
+            each.view.configuration.version == version for each in world.routers
         )
     )
     # Rights come to an owner, and fill its pools.
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -6,15 +6,15 @@
 
 from pimentoledge.platform import objects
 from pimentoledge.platform import stores
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import counters
 from pimentoledge.routing import log_lines
 from pimentoledge.routing import registrations
+from pimentoledge.routing import request_types
 from pimentoledge.routing import rollouts
-from pimentoledge.routing import takers as takers_module
+from pimentoledge.routing import view_updaters
 
 ENTRY = {
     "service": "s",
@@ -25,19 +25,21 @@
     "models": [{"name": "m", "version": 1}],
     "born": 1000,
 }
-PART = asks.Part(name="p", tokens=100)
+PART = request_types.Part(name="p", tokens=100)
 
 
 class Taken:
     """A router's beliefs of servers, with what it was told to do."""
 
     def __init__(self):
-        self.believed = beliefs.Beliefs(name="x", data_centre="a", born=0.0)
+        self.view = cluster_views.ClusterView(
+            name="x", data_centre="a", born=0.0
+        )
         self.restarted = []
         self.died = []
         self.lines = log_lines.Lines(counters=counters.Counters())
-        self.takers = takers_module.Takers(
-            believed=self.believed,
+        self.takers = view_updaters.ViewUpdater(
+            view=self.view,
             lines=self.lines,
             restarted=self.restarted.append,
             died=self.died.append,
@@ -47,7 +49,7 @@
     def take(self, name="i", **fields):
         self.revision += 1
         self.takers.servers([stored(name, self.revision, **fields)], [])
-        return self.believed.servers.by_server.get(name)
+        return self.view.servers.by_server.get(name)
 
 
 def stored(name, revision, **fields):
@@ -65,7 +67,9 @@
     taken = Taken()
     before = taken.take()
     before.note_parts("1", (PART,), 1000, 0.0)
-    before.told_load(asks.Load(running=7, waiting=9, slots=8), 1.0)
+    before.update_load(
+        request_types.ServerLoad(running=7, waiting=9, slots=8), 1.0
+    )
     before.failed(1.0)
     after = taken.take(born=2000)
     assert after is not before
@@ -95,8 +99,8 @@
 def test_a_restarted_runner_is_ordered_by_its_own_count_of_orders():
     """An order named a count that a restart had cleared, and was refused."""
     taken = Taken()
-    taken.believed.want("m", 2, 0.0)
-    rollout = rollouts.Rollout(believed=taken.believed)
+    taken.view.want("m", 2, 0.0)
+    rollout = rollouts.Rollout(view=taken.view)
     rollout.of(taken.take()).orders_taken = 5
     after = taken.take(born=2000)
     assert rollout.of(after).orders_taken is None
@@ -104,12 +108,12 @@
 
 def test_a_crash_proven_of_one_life_is_not_the_next_ones():
     taken = Taken()
-    suspects = taken.believed.suspects
+    suspects = taken.view.suspects
     first = taken.take().registration.incarnation
     second = taken.take(born=2000).registration.incarnation
     assert suspects.crashed("content", first, 1.0)
     assert suspects.crashed("content", second, 2.0)
-    assert suspects.is_barred("content", 3.0)
+    assert suspects.is_quarantined("content", 3.0)
 
 
 def test_a_request_may_go_to_the_next_life_of_a_server_that_refused_it():
@@ -124,11 +128,11 @@
     life = backends.Backend(
         registration=objects.registration(stored("i", 1, born=2000))
     )
-    assert not life.is_of_another_life(2000)
-    assert not life.is_of_another_life(None)
-    assert life.is_of_another_life(1000)
+    assert not life.is_other_incarnation(2000)
+    assert not life.is_other_incarnation(None)
+    assert life.is_other_incarnation(1000)
     assert not life.over
-    assert life.is_of_another_life(3000)
+    assert life.is_other_incarnation(3000)
     assert life.over
 
 
@@ -172,7 +176,7 @@
     taken = Taken()
     odd = registrations.Stored(name="odd", revision=1, value=spec)
     taken.takers.servers([odd, stored("good", 2)], [])
-    known = taken.believed.servers.by_server
+    known = taken.view.servers.by_server
     assert "good" in known
     if "odd" in known:
         found = known["odd"].registration
--- a/pimentoledge/tests/test_router_logs.py
+++ b/pimentoledge/tests/test_router_logs.py
@@ -113,7 +113,7 @@
     [router] = world.routers
     with fields_of_lines() as lines:
         world.tell(world.servers["p0"], leaving=True)
-        known = router.believed.servers.by_incarnation["p0"]
+        known = router.view.servers.by_incarnation["p0"]
         await world.until(lambda: known.registration.leaving)
         await asyncio.sleep(watchers.GATHER_SECONDS + 0.05)
     calls = [e for e in lines["store_watched"] if e["kind"] == "servers"]
@@ -132,7 +132,7 @@
     The count of late streams, by what was late, shows it without a search.
     """
     [router] = world.routers
-    routes = router.believed.configuration.routes
+    routes = router.view.configuration.routes
     for host, found in routes.items():
         routes[host] = [
             attrs.evolve(each, objective_seconds=30.0, gap_seconds=1e-6)
--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -7,16 +7,16 @@
 import attrs
 import pytest
 
-from pimentoledge.routing import asks
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import counters
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import notices
 from pimentoledge.routing import registrations
+from pimentoledge.routing import request_types
 from pimentoledge.routing import rollouts
 from pimentoledge.routing import server_limits
+from pimentoledge.routing import server_notices
 from pimentoledge.tests import router_world
 
 played = router_world.played
@@ -51,11 +51,11 @@
         "limit_text": "",
         "passed_on": [],
     }
-    return asks.Answer(**{**fields, **more})
+    return request_types.ServerResponse(**{**fields, **more})
 
 
 def taker(servers):
-    return notices.Notices(
+    return server_notices.ServerNotices(
         servers=servers,
         limits=server_limits.ServerLimits(),
         lines=log_lines.Lines(counters=counters.Counters()),
@@ -94,7 +94,7 @@
         while not server.calls:
             await world.ask(path, body=b"n", headers=headers)
         got = len(server.calls)
-        other = router.believed.servers.by_incarnation[f"{kind}1"]
+        other = router.view.servers.by_incarnation[f"{kind}1"]
         other.avoid_until = clocks.now() + 60.0
         for _ in range(4):
             await world.ask(path, body=b"n", headers=headers)
@@ -108,7 +108,7 @@
     world,
 ):
     [router] = world.routers
-    known = router.believed.servers.by_incarnation
+    known = router.view.servers.by_incarnation
     asked = await world.ask_while_opening("p0", "p1")
     router.notices.take(known["p0"], answer(leaving=True))
     assert (await asked).status == 200
@@ -119,7 +119,7 @@
 async def test_a_report_by_which_its_runner_leaves_ends_requests_to_it(world):
     [router] = world.routers
     runner = world.servers["r0"]
-    known = router.believed.servers.by_incarnation["r0"]
+    known = router.view.servers.by_incarnation["r0"]
     runner.leaving = True
     router.rechecks.doubt(known)
     await world.until(lambda: not router.rechecks.asking)
@@ -130,7 +130,7 @@
 async def test_a_report_that_says_its_runner_leaves_ends_requests_to_it(world):
     """Guards against a leaving that only a report's body tells of."""
     [router] = world.routers
-    known = router.believed.servers.by_incarnation["r0"]
+    known = router.view.servers.by_incarnation["r0"]
     world.servers["r0"].reports_leaving = True
     router.rechecks.doubt(known)
     await world.until(lambda: not router.rechecks.asking)
@@ -142,7 +142,7 @@
     world,
 ):
     [router] = world.routers
-    known = router.believed.servers.by_incarnation
+    known = router.view.servers.by_incarnation
     world.servers["r0"].leaving = True
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     await world.until(lambda: known["r0"].is_leaving())
@@ -199,10 +199,10 @@
 
 
 def test_no_order_goes_to_a_runner_that_said_it_leaves():
-    believed = beliefs.Beliefs(name="b", data_centre="a", born=0.0)
-    believed.want(MODEL, 2, 0.0)
-    leaves = believed.servers.put(REGISTRATION)
-    stays = believed.servers.put(attrs.evolve(REGISTRATION, server="s1"))
-    taker(believed.servers).take(leaves, answer(leaving=True))
-    rollout = rollouts.Rollout(believed=believed)
+    view = cluster_views.ClusterView(name="b", data_centre="a", born=0.0)
+    view.want(MODEL, 2, 0.0)
+    leaves = view.servers.put(REGISTRATION)
+    stays = view.servers.put(attrs.evolve(REGISTRATION, server="s1"))
+    taker(view.servers).take(leaves, answer(leaving=True))
+    rollout = rollouts.Rollout(view=view)
     assert rollout.behind(MODEL) == [stays]
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -239,14 +239,14 @@
     )
     world.store.put("config", "main", moved)
     [router] = world.routers
-    await world.until(lambda: router.believed.configuration.version == 5)
+    await world.until(lambda: router.view.configuration.version == 5)
     assert (await world.ask("/cards/")).status == 404
     assert (await world.ask("/new/", method="GET")).status == 401
     assert (await world.ask("/new/", method="GET", key="fresh")).status == 200
     # An older one that comes late changes nothing.
     world.store.put("config", "main", {**first, "version": 3})
     await asyncio.sleep(0.2)
-    assert router.believed.configuration.version == 5
+    assert router.view.configuration.version == 5
 
 
 @played()
@@ -254,9 +254,7 @@
     world.tell(world.servers["p0"], leaving=True)
     [router] = world.routers
     await world.until(
-        lambda: router.believed.servers.by_incarnation[
-            "p0"
-        ].registration.leaving
+        lambda: router.view.servers.by_incarnation["p0"].registration.leaving
     )
     for _ in range(4):
         assert (await world.ask("/cards/", body=b"c")).status == 200
@@ -343,11 +341,11 @@
     await world.ask("/drafts/", headers=stream_headers())
     [first] = world.ran("runners")
     world.kept.close()
-    await world.until(lambda: router.believed.caches_down)
-    assert not router.believed.saved.saved
+    await world.until(lambda: router.view.caches_down)
+    assert not router.view.saved.saved
     holder = next(
         each
-        for each in router.believed.servers.by_incarnation.values()
+        for each in router.view.servers.by_incarnation.values()
         if each.parts
     )
     holder.trouble = 1.0
@@ -375,11 +373,11 @@
     world.store.objects.down = False
     for name in ("p0", "p1"):
         world.store.remove("servers", name)
-    await world.until(lambda: len(router.takers.lapsed) == 2)
+    await world.until(lambda: len(router.updater.lapsed) == 2)
     assert (await world.ask("/cards/", body=b"c")).status == 200
     world.tell(world.servers["p0"])
-    await world.until(lambda: "p0" not in router.takers.lapsed)
-    known = router.believed.servers.by_incarnation
+    await world.until(lambda: "p0" not in router.updater.lapsed)
+    known = router.view.servers.by_incarnation
     await world.until(lambda: "p1" not in known)
     assert "p0" in known
 
@@ -406,7 +404,7 @@
     and only then the request comes.
     """
     [router] = world.routers
-    router.believed.leaving = True
+    router.view.leaving = True
     client = world.client()
     await client.open()
     await world.until(lambda: router.connections)
@@ -426,8 +424,8 @@
     """
     [router] = world.routers
     dead, slow = world.servers["p0"], world.servers["p1"]
-    router.believed.servers.by_incarnation["p1"].trouble = 1.0
-    router.believed.servers.by_incarnation["p1"].troubled_at = clocks.now()
+    router.view.servers.by_incarnation["p1"].trouble = 1.0
+    router.view.servers.by_incarnation["p1"].troubled_at = clocks.now()
     dead.close()
     slow.work_seconds = 1.5
     got = await world.ask(
@@ -450,7 +448,7 @@
     for server in world.servers.values():
         server.cut_after = 3 if server.service == "runners" else None
     first, second = (
-        router.believed.servers.by_incarnation[name] for name in ("r0", "r1")
+        router.view.servers.by_incarnation[name] for name in ("r0", "r1")
     )
     second.trouble = 1.0
     second.troubled_at = clocks.now()
@@ -476,7 +474,7 @@
     servers = router.kinds["servers"]
     servers.back_at = clocks.now() - 1.4
     world.store.remove("servers", "p0")
-    known = router.believed.servers.by_incarnation
+    known = router.view.servers.by_incarnation
     begun = clocks.now()
     await world.until(lambda: "p0" not in known)
     assert clocks.now() - begun < 1.0
@@ -501,9 +499,7 @@
     stream.send("/drafts/", headers=stream_headers())
     await world.until(lambda: len(router.exchanges) == 2)
     await world.until(lambda: world.servers["r0"].at_work)
-    router.believed.bounds = attrs.evolve(
-        router.believed.bounds, grace_seconds=1.0
-    )
+    router.view.bounds = attrs.evolve(router.view.bounds, grace_seconds=1.0)
     await router.drain()
     assert (await call.read()).status == 504
     router.close()
--- a/pimentoledge/tests/test_router_peers.py
+++ b/pimentoledge/tests/test_router_peers.py
@@ -68,12 +68,10 @@
     )
     world.tell(world.servers["p0"], leaving=True)
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
-    await world.until(lambda: second.believed.configuration.version == 9)
-    await world.until(lambda: second.believed.wanted[MODEL].version == 2)
+    await world.until(lambda: second.view.configuration.version == 9)
+    await world.until(lambda: second.view.wanted[MODEL].version == 2)
     await world.until(
-        lambda: second.believed.servers.by_incarnation[
-            "p0"
-        ].registration.leaving
+        lambda: second.view.servers.by_incarnation["p0"].registration.leaving
     )
     assert (await world.ask("/cards/", 1, body=b"c")).status == 401
 
@@ -86,13 +84,13 @@
     """
     first, second = world.routers
     for router, seconds in ((first, -100.0), (second, 1.0)):
-        named = router.believed.wanted[MODEL].newest
-        router.believed.wanted[MODEL] = wanted_weights.Wanted(
+        named = router.view.wanted[MODEL].newest
+        router.view.wanted[MODEL] = wanted_weights.WantedWeights(
             attrs.evolve(named, since=named.since + seconds)
         )
     await world.until(
-        lambda: second.believed.wanted[MODEL].since
-        < first.believed.wanted[MODEL].since + 1
+        lambda: second.view.wanted[MODEL].since
+        < first.view.wanted[MODEL].since + 1
     )
 
 
@@ -111,17 +109,17 @@
         other_entry = other.incarnation
         world.tell(other, leaving=True)
         await world.until(
-            lambda name=other_entry: first.believed.servers.by_incarnation[
+            lambda name=other_entry: first.view.servers.by_incarnation[
                 name
             ].registration.leaving
         )
         server.lose = 1
         assert (await world.ask("/cards/", body=b"bad")).status == 502
-        first.believed.servers.by_incarnation[incarnation].avoid_until = 0.0
+        first.view.servers.by_incarnation[incarnation].avoid_until = 0.0
         first.peers.server_died(incarnation)
         world.tell(other)
         await world.until(
-            lambda name=other_entry: not first.believed.servers.by_incarnation[
+            lambda name=other_entry: not first.view.servers.by_incarnation[
                 name
             ].registration.leaving
         )
@@ -139,10 +137,12 @@
     first, second = world.routers
     await world.until(lambda: _hear(first, second))
     gone = "tcp://127.0.0.1:9"
-    first.peers.roster.known[gone] = rosters.Peer(met=clocks.now() - 1)
+    first.peers.roster.known[gone] = rosters.Peer(
+        first_seen_at=clocks.now() - 1
+    )
     first.tick()
     assert gone in first.peers.roster.known
-    first.peers.roster.known[gone].met -= rosters.FORGET_SECONDS
+    first.peers.roster.known[gone].first_seen_at -= rosters.FORGET_SECONDS
     first.tick()
     assert gone not in first.peers.roster.known
     assert second.peers.address in first.peers.roster.known
@@ -158,7 +158,7 @@
     seeds = [int(each.rpartition(":")[2]) for each in first.peers.roster.seeds]
     third = await world.add_router("router-2", port, seeds)
     await world.until(
-        lambda: third.believed.ready() and third.believed.servers.by_incarnation
+        lambda: third.view.ready() and third.view.servers.by_incarnation
     )
     assert (await world.ask("/cards/", 2, body=b"c")).status == 200
 
--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -8,13 +8,13 @@
 
 from benches import quota_ways
 from benches import quotas
-from pimentoledge.routing import own_answers
+from pimentoledge.routing import router_responses
 from pimentoledge.routing.quotas import ledgers
 from pimentoledge.routing.quotas import limiters
 from pimentoledge.routing.quotas import messages
 
 LIMIT = ledgers.Limit(version=1, per_second=1000.0, burst=1000.0)
-BOUNDS = ledgers.Bounds(window_seconds=8.0, over=0.1, slack=600.0)
+BOUNDS = ledgers.QuotaBounds(window_seconds=8.0, over=0.1, slack=600.0)
 TOP = BOUNDS.top(LIMIT)
 # Below the limits at most this part may be refused on a calm or a hot day.
 MOST_BELOW = 0.003
@@ -131,7 +131,7 @@
     def ledger(self, shares=(1.0,), filled=True):
         ledger = ledgers.Ledger(bounds=BOUNDS)
         for number, share in enumerate(shares):
-            lease = ledgers.Lease(share=share, until=1e9)
+            lease = ledgers.RightsLease(share=share, until=1e9)
             for slot in ledger.slots:
                 slot.put(f"r{number}", lease, allowance=False, now=0.0)
         if filled:
@@ -171,17 +171,17 @@
         """Guards against a whole allowance at an owner of long ago."""
         ledger = self.ledger(shares=())
         slot = ledger.slots[ledgers.slot_of("acme")]
-        lease = ledgers.Lease(share=1.0, until=5.0)
+        lease = ledgers.RightsLease(share=1.0, until=5.0)
         slot.put("r0", lease, allowance=True, now=0.0)
         ledger.expire(5.0)
-        part = ledgers.Lease(share=0.1, until=1e9)
+        part = ledgers.RightsLease(share=0.1, until=1e9)
         slot.put("r0", part, allowance=False, now=5.0)
         ledger.expire(40.0)
         assert self.spend(ledger, 40.0, 10.0) <= TOP / 10
 
     def test_rights_lapse(self):
         ledger = ledgers.Ledger(bounds=BOUNDS)
-        lease = ledgers.Lease(share=1.0, until=5.0)
+        lease = ledgers.RightsLease(share=1.0, until=5.0)
         for slot in ledger.slots:
             slot.put("r0", lease, allowance=False, now=0.0)
         ledger.expire(5.0)
@@ -191,7 +191,7 @@
         """Guards against a router that spends rights after it stood still."""
         ledger = ledgers.Ledger(bounds=BOUNDS)
         for name, until in (("r0", 5.0), ("r1", 5.0), ("r1", 20.0)):
-            lease = ledgers.Lease(share=0.5, until=until)
+            lease = ledgers.RightsLease(share=0.5, until=until)
             for slot in ledger.slots:
                 slot.put(name, lease, allowance=False, now=0.0)
         assert ledger.acquire("acme", LIMIT, 0.0, 4.9).share == 1.0
@@ -588,7 +588,7 @@
 def test_the_longest_wait_is_spread():
     """Guards against clients told the same longest wait coming together."""
     longest = ledgers.LONGEST_WAIT_SECONDS
-    waits = {own_answers.limit_retry_seconds(longest) for _ in range(20)}
+    waits = {router_responses.limit_retry_seconds(longest) for _ in range(20)}
     assert len(waits) > 10
-    assert own_answers.limit_retry_seconds(0.7) == 0.7
-    assert own_answers.limit_retry_seconds(None) is None
+    assert router_responses.limit_retry_seconds(0.7) == 0.7
+    assert router_responses.limit_retry_seconds(None) is None
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -5,14 +5,14 @@
 
 import pytest
 
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
+from pimentoledge.routing import heartbeat_rings
+from pimentoledge.routing import holder_heartbeats
 from pimentoledge.routing import leases
-from pimentoledge.routing import mirrors
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import peer_messages
-from pimentoledge.routing import pulses
 from pimentoledge.routing import registrations
-from pimentoledge.routing import rings
 from pimentoledge.routing import rosters
 from pimentoledge.routing import watch_shares
 from pimentoledge.tests import router_world
@@ -32,7 +32,7 @@
 
 def links_of(address, members):
     others = {each: where(each) for each in members if each != address}
-    return rings.partners(address, where(address), others)
+    return heartbeat_rings.partners(address, where(address), others)
 
 
 def graph(members):
@@ -61,7 +61,7 @@
     """Whom a router writes to."""
 
     def test_few_routers_write_to_each_other(self):
-        members = addresses(rings.ALL_TO_ALL + 1)
+        members = addresses(heartbeat_rings.ALL_TO_ALL + 1)
         for each, found in graph(members).items():
             assert sorted([*found, each]) == sorted(members)
 
@@ -112,7 +112,7 @@
     def test_a_router_heard_by_others_alone_is_a_member(self):
         """The budget of repeats is shared by all, not by those heard here."""
         roster = self.roster()
-        roster.take_ages(
+        roster.merge_ages(
             {"1": {"tcp://far:1": 4000}, "0": {"tcp://me:1": 0}}, 100.0
         )
         roster.tick(100.0)
@@ -125,11 +125,11 @@
     def test_who_died_is_not_kept_alive_by_hearsay(self):
         """Two routers that tell each other of a third must let it go."""
         one, two = self.roster(), self.roster()
-        one.take_ages({"0": {"tcp://gone:1": 0}}, 100.0)
+        one.merge_ages({"0": {"tcp://gone:1": 0}}, 100.0)
         now = 100.0
         while now < 100.0 + rosters.FORGET_SECONDS + 1:
-            two.take_ages(one.ages(now), now)
-            one.take_ages(two.ages(now), now)
+            two.merge_ages(one.ages(now), now)
+            one.merge_ages(two.ages(now), now)
             one.tick(now)
             two.tick(now)
             now += 0.5
@@ -142,18 +142,18 @@
         It would take a hundredth of the budget of repeats for a quarter.
         """
         roster = self.roster()
-        roster.take_ages({"0": {"tcp://seed:1": 0}}, 100.0)
-        roster.take_count(300, 1000, 100.0)
+        roster.merge_ages({"0": {"tcp://seed:1": 0}}, 100.0)
+        roster.merge_count(300, 1000, 100.0)
         assert roster.count(100.0) == 300
-        roster.take_count(20, 0, 101.0)
+        roster.merge_count(20, 0, 101.0)
         assert roster.count(101.0) == 300
-        assert roster.tell_count(101.0) == (300, 2000)
+        assert roster.count_report(101.0) == (300, 2000)
         assert roster.count(100.0 + rosters.COUNT_SECONDS) == 2
 
     def test_one_that_is_not_heard_is_still_tried(self):
         """Two halves cut apart for minutes must find each other again."""
         roster = self.roster()
-        roster.take_ages({"0": dict.fromkeys(addresses(40), 0)}, 500.0)
+        roster.merge_ages({"0": dict.fromkeys(addresses(40), 0)}, 500.0)
         roster.tick(500.0)
         assert "tcp://seed:1" in roster.partners
 
@@ -162,12 +162,16 @@
     """Signs of life of the router that gives orders."""
 
     def parts(self):
-        believed = beliefs.Beliefs(name="x", data_centre="a", born=0.0)
+        view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
         lease = leases.Lease(holder="me", lease_seconds=3.0, revision=0)
-        return pulses.Pulses(lease=lease, believed=believed), lease, believed
+        return (
+            holder_heartbeats.HolderHeartbeats(lease=lease, view=view),
+            lease,
+            view,
+        )
 
     def beat(self, of, now):
-        return peer_messages.Beat(
+        return peer_messages.Heartbeat(
             data_centre="a",
             counted=(1, 0),
             wanted={},
@@ -179,7 +183,7 @@
             leaving=False,
             pulse=of.newest,
             holding=of.holding,
-            loading=of.to_tell(now),
+            loading=of.loading_servers(now),
         )
 
     def test_an_older_sign_does_not_bring_back_what_has_loaded(self):
@@ -188,7 +192,7 @@
         Signs come over several ways, late ones after newer ones.
         """
         holder, lease, held = self.parts()
-        other, _, believed = self.parts()
+        other, _, view = self.parts()
         registration = registrations.Registration(
             server="r",
             service="s",
@@ -198,20 +202,20 @@
             leaving=False,
             weights={"m": 1},
         )
-        backend = believed.servers.put(registration)
+        backend = view.servers.put(registration)
         held.servers.put(registration).loading_until = 20.9
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
         holder.own(20.0)
         early = self.beat(holder, 20.0)
-        assert other.told(early, 20.0)
+        assert other.merge(early, 20.0)
         assert backend.loading_until == pytest.approx(20.9, abs=0.002)
         held.servers.by_incarnation["r"].loading_until = 0.0
         backend.loaded()
         holder.own(20.5)
-        assert other.told(self.beat(holder, 20.5), 20.5)
-        assert not other.told(early, 20.6)
+        assert other.merge(self.beat(holder, 20.5), 20.5)
+        assert not other.merge(early, 20.6)
         assert backend.usable(20.6)
-        assert other.hears_holder(20.6)
+        assert other.holder_is_alive(20.6)
 
     def test_a_holder_that_lost_the_lease_says_so(self):
         """A successor need not wait for its silence."""
@@ -219,14 +223,14 @@
         other, _, _ = self.parts()
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
         holder.own(20.0)
-        other.told(self.beat(holder, 20.0), 20.0)
+        other.merge(self.beat(holder, 20.0), 20.0)
         lease.learn(
             registrations.Stored(name="", revision=8, value={"holder": "b"}),
             20.2,
         )
         holder.own(20.3)
-        assert other.told(self.beat(holder, 20.3), 20.3)
-        assert not other.hears_holder(20.3)
+        assert other.merge(self.beat(holder, 20.3), 20.3)
+        assert not other.holder_is_alive(20.3)
         before = holder.newest
         holder.own(20.8)
         assert holder.newest == before
@@ -236,8 +240,10 @@
         other, _, _ = self.parts()
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
         holder.own(20.0)
-        other.told(self.beat(holder, 20.0), 20.0)
-        assert not other.hears_holder(20.0 + pulses.SILENT_SECONDS)
+        other.merge(self.beat(holder, 20.0), 20.0)
+        assert not other.holder_is_alive(
+            20.0 + holder_heartbeats.SILENT_SECONDS
+        )
 
 
 class TestWatchShares:
@@ -249,41 +255,43 @@
         return found
 
     def test_the_first_by_rank_watch_for_the_rest(self):
-        members = sorted(addresses(20), key=rings.place)
+        members = sorted(addresses(20), key=heartbeat_rings.place)
         for rank, each in enumerate(members):
             others = [other for other in members if other != each]
             shares = self.shares(others, own=each)
             shares.watches(100.0)
-            assert shares.are_enough(rank, 100.0) is (
+            assert shares.has_enough(rank, 100.0) is (
                 rank >= watch_shares.WATCHERS
             )
 
     def test_the_death_of_one_makes_only_the_next_watch(self):
         """All that follow would call the store at once."""
-        members = sorted(addresses(20), key=rings.place)
+        members = sorted(addresses(20), key=heartbeat_rings.place)
         left = members[1 : watch_shares.WATCHERS]
         watch = [
             each
             for rank, each in enumerate(members)
             if not self.shares(
                 [other for other in left if other != each], own=each
-            ).are_enough(rank, 100.0)
+            ).has_enough(rank, 100.0)
         ]
         assert members[watch_shares.WATCHERS] in watch
         assert len(watch) <= watch_shares.RESERVE
 
     def test_who_hears_of_no_watcher_watches(self):
         shares = self.shares(addresses(3))
-        assert shares.are_enough(15, 100.0)
+        assert shares.has_enough(15, 100.0)
         later = 100.0 + watch_shares.FRESH_SECONDS + 0.1
-        assert not shares.are_enough(15, later)
+        assert not shares.has_enough(15, later)
 
 
 class TestTold:
     """Copies that are kept by what others tell."""
 
     def mirror(self):
-        found = mirrors.Mirror(kind="servers", take=lambda changed, gone: None)
+        found = object_caches.ObjectCache(
+            kind="servers", take=lambda changed, gone: None
+        )
         found.apply(
             registrations.Listing(objects=[self.stored("a", 3)], revision=5)
         )
@@ -348,7 +356,9 @@
     """
     await _all_met(world)
     await world.until(
-        lambda: sum(not each.peers.copies.follows() for each in world.routers)
+        lambda: sum(
+            not each.peers.replicator.follows() for each in world.routers
+        )
         == watch_shares.WATCHERS,
         seconds=9,
     )
@@ -373,7 +383,7 @@
 
     def heard(who, name):
         return all(
-            each.believed.servers.by_incarnation[name].registration.leaving
+            each.view.servers.by_incarnation[name].registration.leaving
             for each in who
         )
 
@@ -412,7 +422,7 @@
     world.tell(world.servers["p0"], leaving=True)
     await world.until(
         lambda: all(
-            each.believed.servers.by_incarnation["p0"].registration.leaving
+            each.view.servers.by_incarnation["p0"].registration.leaving
             for each in routers
             if each is not late
         )
@@ -421,7 +431,7 @@
     world.tell(world.servers["p1"], leaving=True)
     await world.until(
         lambda: all(
-            late.believed.servers.by_incarnation[each].registration.leaving
+            late.view.servers.by_incarnation[each].registration.leaving
             for each in ("p0", "p1")
         ),
         seconds=2,
@@ -447,11 +457,11 @@
     ]
     assert far
     for incarnation in ("p0", "p1"):
-        first.believed.suspects.broke("content", incarnation, clocks.now())
+        first.view.suspects.broke("content", incarnation, clocks.now())
         first.peers.server_died(incarnation)
     await world.until(
         lambda: all(
-            each.believed.suspects.is_barred("content", clocks.now())
+            each.view.suspects.is_quarantined("content", clocks.now())
             for each in far
         )
     )
@@ -461,4 +471,4 @@
 async def test_one_of_many_routers_gives_the_orders(world):
     """Each runner must load once, however many routers see that it is due."""
     await world.roll_out(2)
-    assert world.routers[0].believed.wanted[MODEL].version == 2
+    assert world.routers[0].view.wanted[MODEL].version == 2
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -134,14 +134,14 @@
 ):
     """Guards against routers that ask before their time."""
     decision = ledgers.Decision(granted=False, wait_seconds=wait, share=share)
-    answered = limiters.Answer(decision=decision, owner="o")
+    answered = limiters.AcquireResult(decision=decision, owner="o")
     assert server_permits.wait_seconds(answered) == expected
 
 
 def test_who_waits_for_rights_waits_for_seconds_at_most():
     """Guards against a server that nobody uses once rights are back."""
-    ledger = ledgers.Ledger(bounds=ledgers.Bounds())
-    part = ledgers.Lease(share=0.5, until=1e9)
+    ledger = ledgers.Ledger(bounds=ledgers.QuotaBounds())
+    part = ledgers.RightsLease(share=0.5, until=1e9)
     for slot in ledger.slots:
         slot.put("r0", part, allowance=False, now=0.0)
     limit = ledgers.server_limit(0.2, 0.0)
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -112,7 +112,7 @@
 
 def name_limit(router, server, per_second):
     """Lets a router hear of a server's limit by an answer of it."""
-    backend = router.believed.servers.by_incarnation[server]
+    backend = router.view.servers.by_incarnation[server]
     router.notices.take(backend, limited(per_second), clocks.now())
     return backend
 
@@ -125,8 +125,7 @@
     name_limit(world.routers[0], "p0", 2.0)
     await world.until(
         lambda: all(
-            each.believed.server_limits.get("p0") == 2.0
-            for each in world.routers
+            each.view.server_limits.get("p0") == 2.0 for each in world.routers
         ),
         seconds=1.0,
     )
@@ -137,7 +136,7 @@
     joined = await world.add_router("router-3", router_world.free_port(), ports)
     joined.peers.limit_reports._next_all = float("inf")
     await world.until(
-        lambda: joined.believed.server_limits.get("p0") == 2.0, seconds=2.5
+        lambda: joined.view.server_limits.get("p0") == 2.0, seconds=2.5
     )
 
 
@@ -150,7 +149,7 @@
     limiter.rights.target = lambda slot, now: "tcp://127.0.0.1:9"
     asked = asyncio.ensure_future(world.ask("/notices/", body=b"n"))
     await world.until(lambda: limiter.questions)
-    router.believed.server_limits.advertised.clear()
+    router.view.server_limits.advertised.clear()
     began = clocks.now()
     await asked
     assert clocks.now() - began < 1.0
@@ -164,7 +163,7 @@
     name_limit(first, "p0", 2.0)
     first.peers.limit_reports.pending.clear()
     await world.until(
-        lambda: second.believed.server_limits.get("p0") == 2.0, seconds=3.0
+        lambda: second.view.server_limits.get("p0") == 2.0, seconds=3.0
     )
 
 
@@ -176,9 +175,7 @@
     await load(world, "/notices/", 1.0)
     server.limit = ""
     async with asyncio.timeout(5):
-        while any(
-            each.believed.server_limits.has_any() for each in world.routers
-        ):
+        while any(each.view.server_limits.has_any() for each in world.routers):
             await load(world, "/notices/", 0.2)
     answers = await load(world, "/notices/", 1.0)
     assert {each.status for each in answers} == {200}
@@ -273,7 +270,7 @@
     """Guards against fetches of cached parts that pass a limit by."""
     [router] = world.routers
     name_limit(router, "r0", 1.0)
-    found = selections._unlimited(router.believed, "runners")
+    found = selections._unlimited(router.view, "runners")
     assert [each.registration.incarnation for each in found] == ["r1"]
 
 
@@ -281,10 +278,10 @@
 async def test_what_lay_in_a_socket_while_frozen_is_no_news(world):
     """Guards against a router that thaws and takes an older word for news."""
     [router] = world.routers
-    limits = router.believed.server_limits
+    limits = router.view.server_limits
     now = clocks.now()
     router.pauses.ticked = now - 5.0
-    backend = router.believed.servers.by_incarnation["p0"]
+    backend = router.view.servers.by_incarnation["p0"]
     router.notices.take(backend, limited(2.0), now + 1.0)
     assert limits.advertised["p0"].received_at == now - 5.0
     meanwhile = server_limits.AdvertisedLimit(
--- a/pimentoledge/tests/test_router_silent_peers.py
+++ b/pimentoledge/tests/test_router_silent_peers.py
@@ -37,7 +37,10 @@
 def hear_each_other(world, since):
     """Returns whether all routers have heard all others since a time."""
     return all(
-        sum(peer.heard > since for peer in each.peers.roster.known.values())
+        sum(
+            peer.last_heard_at > since
+            for peer in each.peers.roster.known.values()
+        )
         == len(world.routers) - 1
         for each in world.routers
     )
--- a/pimentoledge/tests/test_router_store.py
+++ b/pimentoledge/tests/test_router_store.py
@@ -5,10 +5,10 @@
 
 from pimentoledge.routing import clocks
 from pimentoledge.routing import counters
+from pimentoledge.routing import hedged_calls
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import mirrors
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import registrations
-from pimentoledge.routing import second_calls
 from pimentoledge.routing import watchers
 
 KINDS = ("configuration", "servers", "weights")
@@ -42,11 +42,13 @@
 @contextlib.asynccontextmanager
 async def following(store):
     """Yields watchers of all kinds, by kind, that follow a store."""
-    answers = second_calls.Answers()
+    answers = hedged_calls.AnswerSignal()
     lines = log_lines.Lines(counters=counters.Counters())
     found = {
         kind: watchers.Watcher(
-            mirror=mirrors.Mirror(kind=kind, take=lambda new, gone: None),
+            mirror=object_caches.ObjectCache(
+                kind=kind, take=lambda new, gone: None
+            ),
             store=store,
             lines=lines,
             bound_seconds=lambda: 2.0,
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -10,23 +10,23 @@
 
 from pimentoledge.nodes import codecs
 from pimentoledge.platform import stores
-from pimentoledge.routing import asks
 from pimentoledge.routing import attempts
 from pimentoledge.routing import backends
-from pimentoledge.routing import beliefs
 from pimentoledge.routing import clocks
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import counters
+from pimentoledge.routing import hedged_calls
 from pimentoledge.routing import log_lines
-from pimentoledge.routing import mirrors
+from pimentoledge.routing import object_caches
 from pimentoledge.routing import peer_messages
 from pimentoledge.routing import peers
 from pimentoledge.routing import registrations
+from pimentoledge.routing import request_types
 from pimentoledge.routing import rollouts
-from pimentoledge.routing import second_calls
 from pimentoledge.routing import selections
 from pimentoledge.routing import server_connections
-from pimentoledge.routing import takers
-from pimentoledge.routing import waits
+from pimentoledge.routing import view_updaters
+from pimentoledge.routing import wait_estimates
 from pimentoledge.routing import wanted_weights
 from pimentoledge.routing import watchers
 from pimentoledge.tests import router_world
@@ -52,57 +52,57 @@
 
 def believed_of(*versions):
     """Returns a router's beliefs of runners with these versions."""
-    believed = beliefs.Beliefs(name="x", data_centre="a", born=0.0)
+    view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
     for number, version in enumerate(versions):
-        believed.servers.put(registration(number, version))
-    return believed
+        view.servers.put(registration(number, version))
+    return view
 
 
 class TestFurtherVersions:
     """Versions that are named before the one before is in place."""
 
-    def allowed(self, believed, server, now):
-        backend = believed.servers.by_server[server]
-        return selections.weights_allow(believed, MODEL, backend, now)
+    def allowed(self, view, server, now):
+        backend = view.servers.by_server[server]
+        return selections.weights_allow(view, MODEL, backend, now)
 
     def test_a_further_version_does_not_prolong_the_use_of_the_first(self):
-        believed = believed_of(1, 2)
-        most = believed.bounds.weights_seconds
-        believed.want(MODEL, 2, 100.0)
-        believed.want(MODEL, 3, 105.0)
-        assert not self.allowed(believed, "r0", 100.0 + most)
-        assert self.allowed(believed, "r1", 100.0 + most)
-        assert not self.allowed(believed, "r1", 105.0 + most)
+        view = believed_of(1, 2)
+        most = view.bounds.weights_seconds
+        view.want(MODEL, 2, 100.0)
+        view.want(MODEL, 3, 105.0)
+        assert not self.allowed(view, "r0", 100.0 + most)
+        assert self.allowed(view, "r1", 100.0 + most)
+        assert not self.allowed(view, "r1", 105.0 + most)
 
     def test_a_version_heard_of_after_a_newer_one_counts_too(self):
-        believed = believed_of(1, 2)
-        most = believed.bounds.weights_seconds
-        believed.want(MODEL, 3, 105.0)
-        believed.want(MODEL, 2, 100.0)
-        assert not self.allowed(believed, "r0", 100.0 + most)
-        assert self.allowed(believed, "r1", 100.0 + most)
+        view = believed_of(1, 2)
+        most = view.bounds.weights_seconds
+        view.want(MODEL, 3, 105.0)
+        view.want(MODEL, 2, 100.0)
+        assert not self.allowed(view, "r0", 100.0 + most)
+        assert self.allowed(view, "r1", 100.0 + most)
 
     def test_of_many_versions_none_is_used_past_its_own_bound(self):
-        believed = believed_of(1)
-        most = believed.bounds.weights_seconds
+        view = believed_of(1)
+        most = view.bounds.weights_seconds
         for version in range(2, 40):
-            believed.want(MODEL, version, 100.0 + 0.1 * version)
+            view.want(MODEL, version, 100.0 + 0.1 * version)
         for version in range(1, 39):
-            believed.servers.put(registration(0, version))
+            view.servers.put(registration(0, version))
             late = 100.0 + 0.1 * (version + 1) + most
-            assert not self.allowed(believed, "r0", late)
+            assert not self.allowed(view, "r0", late)
 
     def test_parts_of_the_first_are_not_fetched_once_runs_may_have_mixed(self):
         older = test_router_decisions.TestOlderWeights()
-        believed = older.believed(saved=None)
-        believed.want("m", 3, 14.0)
-        assert older.fetched(believed, 14.1) is None
+        view = older.view(saved=None)
+        view.want("m", 3, 14.0)
+        assert older.fetched(view, 14.1) is None
 
     def test_parts_saved_between_two_versions_are_not_fetched(self):
         older = test_router_decisions.TestOlderWeights()
-        believed = older.believed(saved=12.0)
-        believed.want("m", 3, 14.0)
-        assert older.fetched(believed, 15.0) is None
+        view = older.view(saved=12.0)
+        view.want("m", 3, 14.0)
+        assert older.fetched(view, 15.0) is None
 
 
 @given(
@@ -120,7 +120,7 @@
         wanted_weights.Named(version=number, since=since)
         for number, since in news
     ]
-    wanted = wanted_weights.Wanted(named[0])
+    wanted = wanted_weights.WantedWeights(named[0])
     for each in named:
         wanted.take(each)
     later = [since for number, since in news if number > version]
@@ -141,75 +141,73 @@
     def started(self):
         """Returns what a router with long bounds believes at its start."""
         now = clocks.now()
-        believed = beliefs.Beliefs(name="x", data_centre="a", born=now)
-        believed.bounds = attrs.evolve(
-            believed.bounds, weights_seconds=self.BOUND
-        )
-        believed.servers.put(registration(0, 1))
-        return believed
-
-    def taken(self, believed):
-        return takers.Takers(
-            believed=believed,
+        view = cluster_views.ClusterView(name="x", data_centre="a", born=now)
+        view.bounds = attrs.evolve(view.bounds, weights_seconds=self.BOUND)
+        view.servers.put(registration(0, 1))
+        return view
+
+    def taken(self, view):
+        return view_updaters.ViewUpdater(
+            view=view,
             lines=log_lines.Lines(counters=counters.Counters()),
         )
 
-    def list_second(self, believed):
+    def list_second(self, view):
         value = {"model": MODEL, "version": 2}
         stored = registrations.Stored(name=MODEL, revision=2, value=value)
-        self.taken(believed).weights([stored], [])
+        self.taken(view).weights([stored], [])
 
     def test_weights_of_unknown_age_are_over_soon_after_the_start(self):
         """Half of a long bound was added to all that had passed before."""
-        believed = self.started()
-        self.list_second(believed)
-        until = believed.begins_until(MODEL, 1)
+        view = self.started()
+        self.list_second(view)
+        until = view.begins_until(MODEL, 1)
         # From then on the users' rules bind a router that has started.
-        assert until <= believed.born + 3.0
+        assert until <= view.born + 3.0
 
     def test_another_router_s_word_goes_before_the_guess_of_a_start(self):
         """Runners were shut out though their weights were still in time."""
-        believed = self.started()
-        self.list_second(believed)
-        believed.want(MODEL, 2, believed.born - 1.0)
-        assert believed.begins_until(MODEL, 1) == believed.born + 11.0
+        view = self.started()
+        self.list_second(view)
+        view.want(MODEL, 2, view.born - 1.0)
+        assert view.begins_until(MODEL, 1) == view.born + 11.0
 
     def test_the_guess_of_a_start_does_not_go_before_another_router_s_word(
         self,
     ):
         """One router that started shut runners out at all others."""
-        believed = self.started()
-        believed.want(MODEL, 2, believed.born - 1.0)
-        believed.want(
+        view = self.started()
+        view.want(MODEL, 2, view.born - 1.0)
+        view.want(
             MODEL,
             2,
-            believed.born - 9.0,
+            view.born - 9.0,
             source=wanted_weights.Source.GUESSED,
         )
-        assert believed.begins_until(MODEL, 1) == believed.born + 11.0
+        assert view.begins_until(MODEL, 1) == view.born + 11.0
 
     def test_the_guess_of_a_start_does_not_go_before_a_bound_that_is_known(
         self,
     ):
-        believed = self.started()
+        view = self.started()
         for since, source in (
             (-1.0, wanted_weights.Source.NOT_BEFORE),
             (-9.0, wanted_weights.Source.GUESSED),
         ):
-            believed.want(MODEL, 2, believed.born + since, source=source)
-        assert believed.begins_until(MODEL, 1) == believed.born + 11.0
+            view.want(MODEL, 2, view.born + since, source=source)
+        assert view.begins_until(MODEL, 1) == view.born + 11.0
 
     def test_of_two_times_before_which_it_was_not_named_the_later_holds(self):
         """Runners were shut out by the one who had looked longest ago."""
-        believed = self.started()
+        view = self.started()
         for since in (-8.0, -1.0, -5.0):
-            believed.want(
+            view.want(
                 MODEL,
                 2,
-                believed.born + since,
+                view.born + since,
                 source=wanted_weights.Source.NOT_BEFORE,
             )
-        assert believed.begins_until(MODEL, 1) == believed.born + 11.0
+        assert view.begins_until(MODEL, 1) == view.born + 11.0
 
 
 @played(routers=2)
@@ -220,8 +218,8 @@
         each.silent_orders = 1000
     await asyncio.sleep(0.8)
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
-    await world.until(lambda: first.believed.wanted[MODEL].version == 2)
-    named = first.believed.wanted[MODEL].since
+    await world.until(lambda: first.view.wanted[MODEL].version == 2)
+    named = first.view.wanted[MODEL].since
     late = await world.add_router(
         "router-2",
         router_world.free_port(),
@@ -230,10 +228,10 @@
             for each in world.routers
         ],
     )
-    await world.until(lambda: late.believed.wanted)
+    await world.until(lambda: late.view.wanted)
     await asyncio.sleep(1.5)
     for each in (first, second, late):
-        assert abs(each.believed.wanted[MODEL].since - named) < 0.2
+        assert abs(each.view.wanted[MODEL].since - named) < 0.2
 
 
 @played(routers=2)
@@ -241,20 +239,16 @@
     """A router that knows the newest alone would use the first for too long."""
     first, second = world.routers
     now = clocks.now()
-    first.believed.want(MODEL, 2, now - 5.0)
-    first.believed.want(MODEL, 3, now - 1.0)
-    second.believed.servers.put(
-        attrs.evolve(registration(0, 1), server="other")
-    )
-    backend = second.believed.servers.by_server["other"]
-    late = now - 5.0 + second.believed.bounds.weights_seconds
+    first.view.want(MODEL, 2, now - 5.0)
+    first.view.want(MODEL, 3, now - 1.0)
+    second.view.servers.put(attrs.evolve(registration(0, 1), server="other"))
+    backend = second.view.servers.by_server["other"]
+    late = now - 5.0 + second.view.bounds.weights_seconds
     await world.until(
-        lambda: not selections.weights_allow(
-            second.believed, MODEL, backend, late
-        ),
+        lambda: not selections.weights_allow(second.view, MODEL, backend, late),
         seconds=2.0,
     )
-    assert second.believed.wanted[MODEL].version == 3
+    assert second.view.wanted[MODEL].version == 3
 
 
 @played(routers=1, runners=1)
@@ -269,10 +263,10 @@
     named = clocks.now()
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     await world.until(
-        lambda: router.believed.wanted[MODEL].version == 2, seconds=6.0
+        lambda: router.view.wanted[MODEL].version == 2, seconds=6.0
     )
     assert clocks.now() - named > 1.0
-    assert router.believed.wanted[MODEL].since <= named + 0.1
+    assert router.view.wanted[MODEL].since <= named + 0.1
 
 
 @played(routers=1, runners=2)
@@ -283,7 +277,7 @@
     runner = world.servers["r0"]
     runner.weights[MODEL] = 2
     world.tell(runner)
-    await world.until(lambda: router.believed.wanted[MODEL].version == 2)
+    await world.until(lambda: router.view.wanted[MODEL].version == 2)
 
 
 @played(routers=1, runners=1)
@@ -293,8 +287,8 @@
     await asyncio.sleep(1.5)
     named = clocks.now()
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
-    await world.until(lambda: router.believed.wanted[MODEL].version == 2)
-    assert router.believed.wanted[MODEL].since >= named - 0.1
+    await world.until(lambda: router.view.wanted[MODEL].version == 2)
+    assert router.view.wanted[MODEL].since >= named - 0.1
 
 
 def _cut_off_from_named_weights(router):
@@ -308,16 +302,16 @@
     Returns the task that asks, and when the newer weights were named.
     """
     [router] = world.routers
-    router.believed.bounds = attrs.evolve(
-        router.believed.bounds, weights_seconds=WEIGHTS_SECONDS
+    router.view.bounds = attrs.evolve(
+        router.view.bounds, weights_seconds=WEIGHTS_SECONDS
     )
     for each in world.servers.values():
         each.silent_orders = 1000
         each.queue_seconds = 2.5
     named = clocks.now()
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
-    await world.until(lambda: router.believed.wanted[MODEL].version == 2)
-    margin = beliefs.WEIGHTS_MARGIN_SECONDS
+    await world.until(lambda: router.view.wanted[MODEL].version == 2)
+    margin = cluster_views.WEIGHTS_MARGIN_SECONDS
     await asyncio.sleep(WEIGHTS_SECONDS - margin - 0.3)
     headers = router_world.stream_headers(**{"Deadline-Ms": "5000"})
     asked = asyncio.ensure_future(world.ask(path, headers=headers))
@@ -381,33 +375,33 @@
 
     def test_runners_that_may_begin_nothing_load_whatever_the_others_do(self):
         """They serve nobody, and wait for their turn to load all the same."""
-        believed = believed_of(*[1] * 9)
-        rollout = rollouts.Rollout(believed=believed)
-        believed.want(MODEL, 2, 0.0)
+        view = believed_of(*[1] * 9)
+        rollout = rollouts.Rollout(view=view)
+        view.want(MODEL, 2, 0.0)
         assert len(self.told(rollout, 1.0)) == 3
-        late = believed.bounds.weights_seconds
+        late = view.bounds.weights_seconds
         assert len(self.told(rollout, late)) == 9
 
     def test_the_runners_with_the_oldest_weights_load_first(self):
         """The least busy went first, and the oldest were used to the bound."""
-        believed = believed_of(2, 2, 2, 2, 2, 2, 1, 1, 1)
-        for each in believed.servers.by_incarnation.values():
+        view = believed_of(2, 2, 2, 2, 2, 2, 1, 1, 1)
+        for each in view.servers.by_incarnation.values():
             each.open = 3 if each.registration.weights[MODEL] == 1 else 0
-        believed.want(MODEL, 2, 0.0)
-        believed.want(MODEL, 3, 2.0)
-        rollout = rollouts.Rollout(believed=believed)
+        view.want(MODEL, 2, 0.0)
+        view.want(MODEL, 3, 2.0)
+        rollout = rollouts.Rollout(view=view)
         assert sorted(self.told(rollout, 2.5)) == ["r6", "r7", "r8"]
 
     def test_a_runner_that_is_down_does_not_hold_up_what_may_begin_nothing(
         self,
     ):
         """With a third down no second load began, and the bound passed."""
-        believed = believed_of(*[1] * 9)
-        late = believed.bounds.weights_seconds
+        view = believed_of(*[1] * 9)
+        late = view.bounds.weights_seconds
         for number in (0, 1, 2):
-            believed.servers.by_server[f"r{number}"].failed(late - 0.1)
-        believed.want(MODEL, 2, 0.0)
-        rollout = rollouts.Rollout(believed=believed)
+            view.servers.by_server[f"r{number}"].failed(late - 0.1)
+        view.want(MODEL, 2, 0.0)
+        rollout = rollouts.Rollout(view=view)
         assert len(self.told(rollout, late)) == 6
         assert len(self.told(rollout, late + backends.FAILED_SECONDS)) == 9
 
@@ -420,16 +414,18 @@
         b"HTTP/1.1 200 OK\r\nRequest-Id: q\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n"
     )
-    believed = believed_of(1)
-    ask = test_router_decisions.TestOlderWeights().ask(0.0)
+    view = believed_of(1)
+    client_request = test_router_decisions.TestOlderWeights().ask(0.0)
     attempt = attempts.Attempt(
-        ask=ask,
-        backend=believed.servers.by_server["r0"],
-        dispatch=asks.Dispatch(server="r0", organisation=None, seconds_left=1),
-        pool=server_connections.Pool(),
+        client_request=client_request,
+        backend=view.servers.by_server["r0"],
+        dispatch=request_types.Dispatch(
+            server="r0", organisation=None, seconds_left=1
+        ),
+        pool=server_connections.ConnectionPool(),
         connection=connection,
         most_idle=None,
-        speeds=waits.Speeds(),
+        speeds=wait_estimates.Speeds(),
     )
     assert attempt.has_begun()
 
@@ -466,16 +462,18 @@
     given = {"sender": "tcp://x", "configuration": 1}
     old = former.encode(FormerBeat(**told), **given)
     assert isinstance(peers.CODEC.decode(old), result.Success)
-    beat = peer_messages.Beat(**told, named={MODEL: [(2, 300, 0)]})
+    beat = peer_messages.Heartbeat(**told, named={MODEL: [(2, 300, 0)]})
     new = peers.CODEC.encode(beat, **given)
     assert isinstance(former.decode(new), result.Success)
 
 
 def test_a_first_version_ever_named_is_shown_by_a_runner_too():
     """Nothing is named in the store until an operator does."""
-    believed = beliefs.Beliefs(name="x", data_centre="a", born=clocks.now())
-    taken = takers.Takers(
-        believed=believed,
+    view = cluster_views.ClusterView(
+        name="x", data_centre="a", born=clocks.now()
+    )
+    taken = view_updaters.ViewUpdater(
+        view=view,
         lines=log_lines.Lines(counters=counters.Counters()),
     )
     entries = [
@@ -492,9 +490,9 @@
         for version in (1, 2)
     ]
     taken.servers(entries, [])
-    late = clocks.now() + believed.bounds.weights_seconds
+    late = clocks.now() + view.bounds.weights_seconds
     assert not selections.weights_allow(
-        believed, MODEL, believed.servers.by_server["r1"], late
+        view, MODEL, view.servers.by_server["r1"], late
     )
 
 
@@ -514,12 +512,12 @@
     _stand_still(2.5)
     await world.until(
         lambda: all(
-            each.believed.wanted[MODEL].version == 2 for each in world.routers
+            each.view.wanted[MODEL].version == 2 for each in world.routers
         )
     )
     await asyncio.sleep(1.0)
     for each in world.routers:
-        assert each.believed.wanted[MODEL].since < named + 0.5
+        assert each.view.wanted[MODEL].since < named + 0.5
 
 
 @played(routers=2, runners=2)
@@ -532,15 +530,15 @@
     now = clocks.now()
     second.pauses.began, second.pauses.ended = now - 5.0, now + 0.8
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
-    await world.until(lambda: second.believed.wanted[MODEL].version == 2)
+    await world.until(lambda: second.view.wanted[MODEL].version == 2)
     await asyncio.sleep(1.0)
-    assert abs(first.believed.wanted[MODEL].since - now) < 0.3
+    assert abs(first.view.wanted[MODEL].since - now) < 0.3
     # The first tells it once more after the pause is over.
     await world.until(
-        lambda: abs(second.believed.wanted[MODEL].since - now) < 0.3,
+        lambda: abs(second.view.wanted[MODEL].since - now) < 0.3,
         seconds=3.0,
     )
-    assert abs(first.believed.wanted[MODEL].since - now) < 0.3
+    assert abs(first.view.wanted[MODEL].since - now) < 0.3
 
 
 @played(routers=1, runners=1)
@@ -550,8 +548,8 @@
     await asyncio.sleep(0.8)
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     _stand_still(2.5)
-    await world.until(lambda: router.believed.wanted[MODEL].version == 2)
-    since = router.believed.wanted[MODEL].since
+    await world.until(lambda: router.view.wanted[MODEL].version == 2)
+    since = router.view.wanted[MODEL].since
     assert clocks.now() - since >= selections.SAFE_FETCH_SECONDS
 
 
@@ -576,7 +574,7 @@
             return self.CHANGES
 
         async def play():
-            mirror = mirrors.Mirror(
+            mirror = object_caches.ObjectCache(
                 kind="versions", take=lambda changed, removed: None
             )
             mirror.revision = 5
@@ -588,7 +586,7 @@
                 store=store,
                 lines=log_lines.Lines(counters=counters.Counters()),
                 bound_seconds=lambda: 8.0,
-                answers=second_calls.Answers(),
+                answers=hedged_calls.AnswerSignal(),
                 leads=False,
             )
             watcher._relist = False
@@ -619,8 +617,8 @@
 ):
     """All counted as too old when the store was back, and callers got 503."""
     [router] = world.routers
-    router.believed.bounds = attrs.evolve(
-        router.believed.bounds, weights_seconds=WEIGHTS_SECONDS
+    router.view.bounds = attrs.evolve(
+        router.view.bounds, weights_seconds=WEIGHTS_SECONDS
     )
     for each in world.servers.values():
         each.load_seconds = 1.0
@@ -628,6 +626,6 @@
     await asyncio.sleep(4.0)
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     world.store.silent = False
-    await world.until(lambda: router.believed.wanted[MODEL].version == 2)
+    await world.until(lambda: router.view.wanted[MODEL].version == 2)
     answer = await world.ask("/lookups/", headers=router_world.stream_headers())
     assert answer.status == 200
--- a/pimentoledge/tests/test_router_work_reports.py
+++ b/pimentoledge/tests/test_router_work_reports.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from pimentoledge.routing import asks
-from pimentoledge.routing import beliefs
+from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
+from pimentoledge.routing import heartbeat_rings
+from pimentoledge.routing import load_reports
 from pimentoledge.routing import peer_messages
 from pimentoledge.routing import registrations
-from pimentoledge.routing import rings
+from pimentoledge.routing import request_types
 from pimentoledge.routing import rosters
-from pimentoledge.routing import work_reports
 
 PARTS = [("manual", 4000), ("own", 900)]
 
@@ -29,10 +29,12 @@
         self.now = 10.0
         names = {f"tcp://r{n}": f"d{n % places}" for n in range(count)}
         for name, place in names.items():
-            believed = beliefs.Beliefs(name=name, data_centre=place, born=0.0)
-            believed.configuration = self.configuration()
+            view = cluster_views.ClusterView(
+                name=name, data_centre=place, born=0.0
+            )
+            view.configuration = self.configuration()
             for server, where in (("h", "d0"), ("t", "d1")):
-                believed.servers.put(
+                view.servers.put(
                     registrations.Registration(
                         server=server,
                         service="s",
@@ -47,10 +49,10 @@
             for other, where in names.items():
                 if other != name:
                     roster.known[other] = rosters.Peer(
-                        heard=10.0, alive=10.0, data_centre=where
+                        last_heard_at=10.0, alive=10.0, data_centre=where
                     )
-            self.routers[name] = work_reports.WorkReports(
-                believed=believed,
+            self.routers[name] = load_reports.LoadReports(
+                view=view,
                 roster=roster,
                 send_all=self.sender(name),
             )
@@ -71,7 +73,7 @@
             routes=[],
             organisations=None,
             services=[service],
-            limits=configurations.Limits(),
+            limits=configurations.ClientLimits(),
         )
 
     def sender(self, sender):
@@ -83,17 +85,19 @@
         return send_all
 
     def server(self, router, name="h"):
-        return self.routers[router].believed.servers.by_server[name]
+        return self.routers[router].view.servers.by_server[name]
 
     def tick(self, seconds=0.1):
         self.now += seconds
         for each in self.routers.values():
             for peer in each.roster.known.values():
-                peer.heard = peer.alive = max(peer.heard, self.now)
+                peer.last_heard_at = peer.alive = max(
+                    peer.last_heard_at, self.now
+                )
             each.tick(self.now)
 
     def place(self, router):
-        return self.routers[router].believed.data_centre
+        return self.routers[router].view.data_centre
 
 
 @pytest.fixture
@@ -113,7 +117,9 @@
     for name in many.routers:
         near = many.place(name) == "d0" and name != "tcp://r0"
         found = many.server(name)
-        assert found.busyness(10.0) == (2 if near or name == "tcp://r0" else 0)
+        assert found.estimated_requests(10.0) == (
+            2 if near or name == "tcp://r0" else 0
+        )
         assert found.outstanding() == (
             9000 if near or name == "tcp://r0" else 0
         )
@@ -125,7 +131,7 @@
     many.tick()
     sender.open, sender.unbegun, sender.reading = 0, 0, 0
     many.tick()
-    assert many.server("tcp://r2").busyness(10.0) == 0
+    assert many.server("tcp://r2").estimated_requests(10.0) == 0
     assert many.server("tcp://r2").outstanding() == 0
 
 
@@ -135,18 +141,20 @@
     sender.open, sender.reading = 5, 20000
     many.tick()
     receiver = many.routers["tcp://r2"]
-    assert many.server("tcp://r2").busyness(10.0) == 5
-    receiver.roster.known["tcp://r0"].heard = -100.0
+    assert many.server("tcp://r2").estimated_requests(10.0) == 5
+    receiver.roster.known["tcp://r0"].last_heard_at = -100.0
     receiver.tick(many.now + 1.0)
-    assert many.server("tcp://r2").busyness(10.0) == 0
+    assert many.server("tcp://r2").estimated_requests(10.0) == 0
 
 
 def test_what_a_server_said_is_passed_on_once(many):
     told = many.server("tcp://r0")
-    told.told_load(asks.Load(running=3, waiting=2, slots=8), many.now)
-    many.tick(work_reports.REPEAT_SECONDS)
+    told.update_load(
+        request_types.ServerLoad(running=3, waiting=2, slots=8), many.now
+    )
+    many.tick(load_reports.REPEAT_SECONDS)
     heard = many.server("tcp://r2")
-    assert heard.load == asks.Load(running=3, waiting=2, slots=8)
+    assert heard.load == request_types.ServerLoad(running=3, waiting=2, slots=8)
     assert heard.load_at == pytest.approx(10.0, abs=0.01)
     assert not heard.load_first_hand
 
@@ -154,9 +162,13 @@
 def test_an_older_word_does_not_go_before_a_newer_one(many):
     newer = many.server("tcp://r2")
     older = many.server("tcp://r0")
-    older.told_load(asks.Load(running=1, waiting=0, slots=8), many.now)
-    newer.told_load(asks.Load(running=7, waiting=0, slots=8), many.now + 0.1)
-    many.tick(work_reports.REPEAT_SECONDS)
+    older.update_load(
+        request_types.ServerLoad(running=1, waiting=0, slots=8), many.now
+    )
+    newer.update_load(
+        request_types.ServerLoad(running=7, waiting=0, slots=8), many.now + 0.1
+    )
+    many.tick(load_reports.REPEAT_SECONDS)
     assert newer.load.running == 7
 
 
@@ -166,12 +178,12 @@
     Each router knew only of its own requests which runner keeps what.
     """
     sender = many.routers["tcp://r0"]
-    sender.believed.prompts_sent.append(
-        peer_messages.Prompt(server="t", namespace="1", parts=PARTS)
+    sender.view.prompts_sent.append(
+        peer_messages.PromptReport(server="t", namespace="1", parts=PARTS)
     )
     many.tick()
     many.tick()
-    parts = (asks.Part(name="manual", tokens=4000),)
+    parts = (request_types.Part(name="manual", tokens=4000),)
     for name in many.routers:
         if name != "tcp://r0":
             found = many.server(name, "t")
@@ -181,8 +193,8 @@
 def test_a_prompt_goes_to_another_data_centre_once(many):
     """Bytes between data centres are dear."""
     sender = many.routers["tcp://r0"]
-    sender.believed.prompts_sent.append(
-        peer_messages.Prompt(server="t", namespace="1", parts=PARTS)
+    sender.view.prompts_sent.append(
+        peer_messages.PromptReport(server="t", namespace="1", parts=PARTS)
     )
     sender.tick(many.now + 0.1)
     far = [
@@ -198,23 +210,23 @@
         if many.place(name) == "d1":
             busy = many.server(name, "t")
             busy.open, busy.unbegun, busy.reading = 1, 1, 3000
-    many.tick(work_reports.REPEAT_SECONDS)
-    many.tick(work_reports.REPEAT_SECONDS)
+    many.tick(load_reports.REPEAT_SECONDS)
+    many.tick(load_reports.REPEAT_SECONDS)
     for name in many.routers:
         if many.place(name) == "d0":
-            mean = many.routers[name].believed.elsewhere["d1"]
+            mean = many.routers[name].view.elsewhere["d1"]
             assert mean.busy >= 10
             assert mean.unread >= 30000
-    assert "d0" not in many.routers["tcp://r0"].believed.elsewhere
+    assert "d0" not in many.routers["tcp://r0"].view.elsewhere
 
 
 def test_what_was_told_of_a_data_centre_that_is_cut_off_is_forgotten(many):
-    many.tick(work_reports.REPEAT_SECONDS)
-    many.tick(work_reports.REPEAT_SECONDS)
+    many.tick(load_reports.REPEAT_SECONDS)
+    many.tick(load_reports.REPEAT_SECONDS)
     alone = many.routers["tcp://r0"]
-    assert alone.believed.elsewhere
-    alone.tick(many.now + work_reports.OLD_SECONDS + 1.0)
-    assert not alone.believed.elsewhere
+    assert alone.view.elsewhere
+    alone.tick(many.now + load_reports.OLD_SECONDS + 1.0)
+    assert not alone.view.elsewhere
 
 
 def test_a_router_without_a_configuration_takes_reports(many):
@@ -224,23 +236,23 @@
     that named a prompt ended in an error, and what it told of load with it.
     """
     started = many.routers["tcp://r2"]
-    started.believed.configuration = None
+    started.view.configuration = None
     sender = many.routers["tcp://r0"]
-    sender.believed.prompts_sent.append(
-        peer_messages.Prompt(server="h", namespace="1", parts=PARTS)
+    sender.view.prompts_sent.append(
+        peer_messages.PromptReport(server="h", namespace="1", parts=PARTS)
     )
     many.server("tcp://r0").open = 2
     many.tick()
-    assert many.server("tcp://r2").busyness(10.0) == 2
+    assert many.server("tcp://r2").estimated_requests(10.0) == 2
 
 
 def test_few_routers_tell_each_other_everything():
-    few = Net(rings.ALL_TO_ALL)
+    few = Net(heartbeat_rings.ALL_TO_ALL)
     sender = few.server("tcp://r0")
     sender.open, sender.reading = 2, 9000
     few.tick()
     for name in few.routers:
-        assert few.server(name).busyness(10.0) == 2
+        assert few.server(name).estimated_requests(10.0) == 2
 
 
 def test_a_report_goes_to_so_many_whatever_the_size_of_the_fleet():
@@ -249,16 +261,16 @@
     sender.open, sender.reading = 2, 9000
     large.routers["tcp://r0"].tick(large.now + 0.1)
     near = [a for _, a in large.sent if large.place(a) == "d0"]
-    assert len(near) == work_reports.MOST_TOLD
+    assert len(near) == load_reports.MOST_TOLD
 
 
 def test_short_answers_that_come_and_go_are_told_only_now_and_then(many):
     """Each change told at once would be a message to each of thirteen."""
-    many.tick(work_reports.REPEAT_SECONDS)
+    many.tick(load_reports.REPEAT_SECONDS)
     many.sent.clear()
     sender = many.server("tcp://r0")
     sender.open, sender.reading = 1, 600
     many.routers["tcp://r0"].tick(many.now + 0.1)
     assert not [each for each in many.sent if each[0] == "tcp://r0"]
-    many.routers["tcp://r0"].tick(many.now + work_reports.REPEAT_SECONDS)
+    many.routers["tcp://r0"].tick(many.now + load_reports.REPEAT_SECONDS)
     assert [each for each in many.sent if each[0] == "tcp://r0"]
--- a/pimentoledge/tests/test_soak_reports.py
+++ b/pimentoledge/tests/test_soak_reports.py
@@ -37,7 +37,7 @@
 
 
 def test_a_run_is_drawn_with_its_faults(tmp_path):
-    record = records.Record()
+    record = records.SoakRecord()
     for number, status in enumerate((200, 200, 503, 502)):
         record.requests[str(number)] = request(number, status=status)
     record.faults.append((101.0, "SIGKILL to router-0"))
--- a/pimentoledge/tests/test_updates.py
+++ b/pimentoledge/tests/test_updates.py
@@ -68,7 +68,7 @@
     def answer(self, outcome=None):
         """Lets the store answer the oldest call, or gives it an outcome."""
         call = self.calls.pop(0)
-        answer = stores.Answer(call=call.call, outcome=outcome)
+        answer = stores.StoreAnswer(call=call.call, outcome=outcome)
         if outcome is None:
             answer = self.store.call(call)
         self.take(self.core.handle(answer, self.now))
@@ -297,7 +297,7 @@
     def serve(desk, fate):
         call = desk.calls.pop(0)
         write = isinstance(call, stores.Write)
-        answer = stores.Answer(call=call.call, outcome=Outcome.DOWN)
+        answer = stores.StoreAnswer(call=call.call, outcome=Outcome.DOWN)
         if fate == "done" or not write and fate != "down":
             answer = effective(call)
         elif fate != "down":
