--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -598,7 +598,7 @@
         client.first = now
         account = client.account
         account.backend.update_load(load, now)
-        account.began(router.view.first_event(MODEL), now)
+        account.note_first_event(router.view.first_event(MODEL), now)
         selections.note_read(
             router.view,
             client.client_request,
@@ -611,14 +611,14 @@
     def _paused(self, client: Client, seconds: float) -> None:
         client.gap = max(client.gap, seconds)
         if client.account is not None:
-            client.account.backend.paused(seconds)
+            client.account.backend.note_event_gap(seconds)
 
     def _whole(self, client: Client, backend) -> None:
         if client.over:
             return
         client.over = True
         client.account.close()
-        backend.served()
+        backend.note_success()
         found = self.outcomes[client.work.name]
         waited = client.first - client.began
         found.firsts.append(waited)
--- a/pimentoledge/routing/attempt_loads.py
+++ b/pimentoledge/routing/attempt_loads.py
@@ -42,7 +42,7 @@
         backend = self.backend
         self._reading = self.dispatch.to_read
         self._ahead = int(
-            wait_estimates.ahead_at(backend, self._reading, speeds, now)
+            wait_estimates.tokens_ahead(backend, self._reading, speeds, now)
         )
         self._sent = now
         if not backend.outstanding():
@@ -50,23 +50,25 @@
         backend.open += 1
         backend.unbegun += 1
         self._unbegun = True
-        backend.reading += self._reading
+        backend.unread_tokens += self._reading
 
-    def began(self, found: first_events.FirstEventFit, now: float) -> None:
+    def note_first_event(
+        self, found: first_events.FirstEventFit, now: float
+    ) -> None:
         """Takes the first event: the server has read the prompt."""
         found.note(now - self._sent, self._reading + self._ahead)
         self.backend.read_since = now
-        self.reads_no_more()
+        self.end_prompt_reading()
 
-    def reads_no_more(self) -> None:
+    def end_prompt_reading(self) -> None:
         """Notes that the server does not, or no longer, read the prompt."""
         self.backend.unbegun -= self._unbegun
         self._unbegun = False
-        self.backend.reading -= self._reading
+        self.backend.unread_tokens -= self._reading
         self._reading = 0
         self.prompt_read = True
 
     def close(self) -> None:
         """Takes the end of the attempt."""
-        self.reads_no_more()
+        self.end_prompt_reading()
         self.backend.open -= 1
--- a/pimentoledge/routing/backends.py
+++ b/pimentoledge/routing/backends.py
@@ -8,26 +8,26 @@
 from pimentoledge.routing import request_types
 
 # How long a server is left alone after it said that it is full.
-FULL_SECONDS = 0.15
+FULL_BACKOFF_SECONDS = 0.15
 # What a server says of its load holds for so long: a prompt of 9,000 tokens is
 # read in 0.3 s.
-TOLD_SECONDS = 0.5
+LOAD_FRESH_SECONDS = 0.5
 # Nothing of it holds after so long: most answers have ended by then.
-OLD_SECONDS = 3.0
+LOAD_EXPIRY_SECONDS = 3.0
 # After a connection that failed; doubles with each further one.
-FAILED_SECONDS = 0.5
-MOST_FAILED_SECONDS = 4.0
+FAILURE_BACKOFF_SECONDS = 0.5
+MAX_FAILURE_BACKOFF_SECONDS = 4.0
 # Weight of the newest request in the share of those that failed.
-TROUBLE_SHARE = 0.15
+FAILURE_RATE_WEIGHT = 0.15
 # A failure counts half as much after so long.
-TROUBLE_HALF_SECONDS = 2.0
+FAILURE_RATE_HALF_LIFE_SECONDS = 2.0
 # Weight of the newest pause in the mean: some 30 events back still count.
-PACE_SHARE = 0.03
+EVENT_GAP_WEIGHT = 0.03
 # Longer pauses tell of changes of weights, not of a runner's speed.
-MOST_PACE_SECONDS = 0.4
+MAX_EVENT_GAP_SECONDS = 0.4
 # Lives that are gone of which it is kept what they said of themselves: an entry
 # that an outage took comes back within seconds.
-MOST_GONE = 1000
+MAX_FORMER_NOTICES = 1000
 
 
 @attrs.define
@@ -79,7 +79,7 @@
         registration: what it last said of itself in the store.
         notice: what it has said of itself in answers to this process.
         open: requests of this process that it has and has not ended.
-        reading: prompt tokens of this process that it has yet to read.
+        unread_tokens: prompt tokens of this process that it has yet to read.
         read_since: since when it reads what is next, as far as is known.
         unbegun: those of them that have no event yet.
         load: what it last said of its load, or None.
@@ -87,24 +87,25 @@
         load_unbegun: `unbegun` of this process when it said so.
         load_at: when it said so.
         load_first_hand: whether it said so to this process.
-        others: what other routers have there, by mailbox.
+        peer_loads: what other routers have there, by mailbox.
         avoid_until: when it is tried again.
         limited_until: until when its limit has no room for this process.
         failures: failures in a row.
-        over: whether something showed that this life has ended.
+        ended: whether something showed that this life has ended.
         loading_until: until when it is believed to load weights.
         parts: parts believed cached, by namespace and name, with tokens; the
             least recently used first.
         part_tokens: sum of them.
-        trouble: share of its last requests that it failed.
-        troubled_at: when that was last so.
-        pace: mean pause between its events, in seconds; 0 if none was seen.
+        failure_rate: share of its last requests that it failed.
+        failure_rate_at: when that was last so.
+        mean_event_gap: mean pause between its events, in seconds; 0 if none
+            was seen.
     """
 
     registration: registrations.Registration
     notice: ServerNotice = attrs.field(factory=ServerNotice)
     open: int = 0
-    reading: int = 0
+    unread_tokens: int = 0
     read_since: float = 0.0
     unbegun: int = 0
     load: request_types.ServerLoad | None = None
@@ -112,19 +113,19 @@
     load_unbegun: int = 0
     load_at: float = 0.0
     load_first_hand: bool = False
-    others: dict[str, PeerLoad] = attrs.field(factory=dict)
+    peer_loads: dict[str, PeerLoad] = attrs.field(factory=dict)
     avoid_until: float = 0.0
     limited_until: float = 0.0
     failures: int = 0
-    over: bool = False
+    ended: bool = False
     loading_until: float = 0.0
     parts: collections.OrderedDict[tuple[str, str], CachedPart] = attrs.field(
         factory=collections.OrderedDict
     )
     part_tokens: int = 0
-    trouble: float = 0.0
-    troubled_at: float = 0.0
-    pace: float = 0.0
+    failure_rate: float = 0.0
+    failure_rate_at: float = 0.0
+    mean_event_gap: float = 0.0
 
     def is_other_incarnation(self, born: int | None) -> bool:
         """Returns whether a server's word is not of this life.
@@ -138,18 +139,20 @@
         own = self.registration.born
         if None in (born, own) or born == own:
             return False
-        self.over = self.over or born > own
+        self.ended = self.ended or born > own
         return True
 
-    def paused(self, seconds: float) -> None:
+    def note_event_gap(self, seconds: float) -> None:
         """Takes the pause between two events of one of its streams."""
-        if seconds > MOST_PACE_SECONDS:
+        if seconds > MAX_EVENT_GAP_SECONDS:
             return
-        if not self.pace:
-            self.pace = seconds
-        self.pace += PACE_SHARE * (seconds - self.pace)
+        if not self.mean_event_gap:
+            self.mean_event_gap = seconds
+        self.mean_event_gap += EVENT_GAP_WEIGHT * (
+            seconds - self.mean_event_gap
+        )
 
-    def loaded(self) -> None:
+    def finish_loading(self) -> None:
         """Takes the end of a load: it holds no part and takes work again."""
         self.forget_parts()
         self.loading_until = 0.0
@@ -163,7 +166,7 @@
 
     def is_leaving(self) -> bool:
         """Returns whether it asks for no new work, or has ended."""
-        return self.over or self.announced_leaving()
+        return self.ended or self.announced_leaving()
 
     def is_backing_off(self, now: float) -> bool:
         """Returns whether it has asked this process for no request yet.
@@ -189,36 +192,38 @@
             and now >= self.loading_until
         )
 
-    def _told_share(self, now: float) -> float:
+    def _load_freshness(self, now: float) -> float:
         """Returns how much of what it last said of its load still holds.
 
         It is told by its answers alone: one that said that many wait there
         is sent nothing, and so would count as full for good.
         """
-        age = now - self.load_at - TOLD_SECONDS
-        return min(1.0, max(0.0, 1 - age / (OLD_SECONDS - TOLD_SECONDS)))
+        age = now - self.load_at - LOAD_FRESH_SECONDS
+        return min(
+            1.0, max(0.0, 1 - age / (LOAD_EXPIRY_SECONDS - LOAD_FRESH_SECONDS))
+        )
 
     def estimated_requests(self, now: float) -> float:
         """Returns how many requests it is believed to have."""
-        known = self.open + sum(each.open for each in self.others.values())
+        known = self.open + sum(each.open for each in self.peer_loads.values())
         if self.load is None:
             return known
         said = self.load.running + self.load.waiting - self.load_open
-        return max(known, said * self._told_share(now) + self.open)
+        return max(known, said * self._load_freshness(now) + self.open)
 
     def queued(self, now: float) -> float:
         """Returns how many requests it is believed to have not yet begun."""
-        others = sum(each.unbegun for each in self.others.values())
+        others = sum(each.unbegun for each in self.peer_loads.values())
         known = self.unbegun + others
         if self.load is None:
             return known
         said = self.load.waiting - self.load_unbegun
-        return max(known, said * self._told_share(now) + self.unbegun)
+        return max(known, said * self._load_freshness(now) + self.unbegun)
 
     def outstanding(self) -> int:
         """Returns the prompt tokens of requests without an event yet."""
-        others = self.others.values()
-        return self.reading + sum(each.unread for each in others)
+        others = self.peer_loads.values()
+        return self.unread_tokens + sum(each.unread for each in others)
 
     def unread(self, mean: float, now: float, token_seconds: float) -> int:
         """Returns how many prompt tokens it is believed to have yet to read.
@@ -235,7 +240,7 @@
         if known and token_seconds:
             read = (now - self.read_since) / token_seconds
             known = max(0, known - int(read))
-        others = self.others.values()
+        others = self.peer_loads.values()
         unbegun = self.unbegun + sum(each.unbegun for each in others)
         return known + int(mean * max(0, self.queued(now) - unbegun))
 
@@ -255,38 +260,38 @@
 
     def back_off_full(self, now: float) -> None:
         """Leaves it alone for a moment."""
-        self.avoid_until = max(self.avoid_until, now + FULL_SECONDS)
+        self.avoid_until = max(self.avoid_until, now + FULL_BACKOFF_SECONDS)
 
-    def failed(self, now: float) -> None:
+    def note_connection_failure(self, now: float) -> None:
         """Leaves it alone, longer with each failure in a row."""
-        self.troubled(now)
-        pause = FAILED_SECONDS * 2**self.failures
+        self.note_request_failure(now)
+        pause = FAILURE_BACKOFF_SECONDS * 2**self.failures
         self.failures = min(self.failures + 1, 4)
-        self.avoid_until = now + min(pause, MOST_FAILED_SECONDS)
+        self.avoid_until = now + min(pause, MAX_FAILURE_BACKOFF_SECONDS)
 
     def is_unreachable(self, now: float) -> bool:
         """Returns whether no connection to it could be opened just now."""
         return self.failures > 0 and now < self.avoid_until
 
-    def served(self) -> None:
+    def note_success(self) -> None:
         """Takes an answer as proof that it works."""
         self.failures = 0
-        self.trouble -= TROUBLE_SHARE * self.trouble
+        self.failure_rate -= FAILURE_RATE_WEIGHT * self.failure_rate
 
-    def troubled(self, now: float) -> None:
+    def note_request_failure(self, now: float) -> None:
         """Takes a request that failed; a status check would tell nothing."""
-        self.trouble = self.trouble_by(now)
-        self.trouble += TROUBLE_SHARE * (1 - self.trouble)
-        self.troubled_at = now
+        self.failure_rate = self.decayed_failure_rate(now)
+        self.failure_rate += FAILURE_RATE_WEIGHT * (1 - self.failure_rate)
+        self.failure_rate_at = now
 
-    def trouble_by(self, now: float) -> float:
+    def decayed_failure_rate(self, now: float) -> float:
         """Returns its trouble; old evidence counts less.
 
         One that failed gets no requests while others are free, so nothing
         else would ever show that it has recovered.
         """
-        return self.trouble * 0.5 ** (
-            (now - self.troubled_at) / TROUBLE_HALF_SECONDS
+        return self.failure_rate * 0.5 ** (
+            (now - self.failure_rate_at) / FAILURE_RATE_HALF_LIFE_SECONDS
         )
 
     def cached_tokens(
@@ -380,7 +385,7 @@
             self.by_service.setdefault(registration.service, []).append(found)
         found.registration = registration
         if before.weights != registration.weights:
-            found.loaded()
+            found.finish_loading()
         return found
 
     def _add(self, registration: registrations.Registration) -> Backend:
@@ -399,9 +404,9 @@
         if found is not None:
             del self.by_incarnation[found.registration.incarnation]
             self.by_service[found.registration.service].remove(found)
-            found.over = True
+            found.ended = True
             self._gone[found.registration.incarnation] = found.notice
-            while len(self._gone) > MOST_GONE:
+            while len(self._gone) > MAX_FORMER_NOTICES:
                 self._gone.popitem(last=False)
         return found
 
--- a/pimentoledge/routing/cache_sources.py
+++ b/pimentoledge/routing/cache_sources.py
@@ -13,13 +13,13 @@
 # one as long. Asked for sooner, they would be missed and read again.
 READY_SECONDS = 0.6
 # Between data centres a transfer takes so many times as long (users' pages).
-ELSEWHERE_TIMES = 2.0
+REMOTE_TRANSFER_FACTOR = 2.0
 # For how long a transfer counts into how busy a link is of late.
-LATE_SECONDS = 2.0
+LINK_WINDOW_SECONDS = 2.0
 # Where the configuration doesn't tell a link's speed or a token's memory: as
 # on the engines of the users' first pages.
-USUAL_LINK_BYTES = 340e9 / 8
-USUAL_TOKEN_BYTES = 131072
+DEFAULT_LINK_BYTES = 340e9 / 8
+DEFAULT_TOKEN_BYTES = 131072
 
 
 @attrs.frozen(kw_only=True)
@@ -47,20 +47,23 @@
     def __init__(self):
         self.carried: dict[str, tuple[float, float]] = {}
 
-    def carries(self, address: str, seconds: float, now: float) -> None:
+    def note_transfer(self, address: str, seconds: float, now: float) -> None:
         """Takes a transfer that was asked for."""
-        self.carried[address] = (self._late(address, now) + seconds, now)
+        self.carried[address] = (
+            self._decayed_seconds(address, now) + seconds,
+            now,
+        )
 
     def busy_share(self, address: str, now: float) -> float:
         """Returns which part of the last seconds a link was busy.
 
         Over 1, what it was asked to carry piles up.
         """
-        return self._late(address, now) / LATE_SECONDS
+        return self._decayed_seconds(address, now) / LINK_WINDOW_SECONDS
 
-    def _late(self, address: str, now: float) -> float:
+    def _decayed_seconds(self, address: str, now: float) -> float:
         seconds, when = self.carried.get(address, (0.0, now))
-        return seconds * math.exp(-max(0.0, now - when) / LATE_SECONDS)
+        return seconds * math.exp(-max(0.0, now - when) / LINK_WINDOW_SECONDS)
 
 
 def transfer_seconds(
@@ -78,10 +81,10 @@
         link_bytes: bytes in a second of the link at the other end, or None.
         apart: whether the ends are in two data centres.
     """
-    size = (service and service.token_bytes) or USUAL_TOKEN_BYTES
-    own = (service and service.link_bytes) or USUAL_LINK_BYTES
+    size = (service and service.token_bytes) or DEFAULT_TOKEN_BYTES
+    own = (service and service.link_bytes) or DEFAULT_LINK_BYTES
     seconds = tokens * size / min(own, link_bytes or own)
-    return seconds * ELSEWHERE_TIMES if apart else seconds
+    return seconds * REMOTE_TRANSFER_FACTOR if apart else seconds
 
 
 @attrs.frozen(kw_only=True)
@@ -90,12 +93,12 @@
 
     Attributes:
         best: the servers to fetch from: of each data centre that with most.
-        coming: tokens of the first parts that some runner keeps or is about
-            to have read.
+        pending_tokens: tokens of the first parts that some runner keeps or is
+            about to have read.
     """
 
     best: tuple[CacheSource, ...] = ()
-    coming: int = 0
+    pending_tokens: int = 0
 
     def for_runner(self, data_centre: str, held: int) -> CacheSource | None:
         """Returns where a runner should fetch from, or None.
@@ -157,4 +160,4 @@
     found = list(best.values())
     if stored is not None:
         found.append(stored)
-    return Sources(best=tuple(found), coming=coming)
+    return Sources(best=tuple(found), pending_tokens=coming)
--- a/pimentoledge/routing/capacity_checks.py
+++ b/pimentoledge/routing/capacity_checks.py
@@ -22,11 +22,11 @@
 # A first event that is expected later than so many times its objective is not
 # worth what it takes from others. Where more come than can be read, as many
 # are let in as make the wait as long as this: beyond 1 all would be late.
-MOST_OBJECTIVES = 1.0
+MAX_WAIT_OBJECTIVES = 1.0
 # But a wait for others of so many times the objective is borne: a prompt that
 # takes longer to read than its objective would else be shut out everywhere,
 # and where reading was guessed too slow, nothing would show it.
-BORNE_OBJECTIVES = 0.3
+TOLERATED_QUEUE_OBJECTIVES = 0.3
 
 
 class Shortage(enum.StrEnum):
@@ -83,7 +83,10 @@
     held = (busy + 1) * need.mean_tokens
     if need.memory is not None and held > share * need.memory:
         return Shortage.MEMORY
-    late = first_seconds > MOST_OBJECTIVES * need.objective_seconds
-    if late and wait_seconds > BORNE_OBJECTIVES * need.objective_seconds:
+    late = first_seconds > MAX_WAIT_OBJECTIVES * need.objective_seconds
+    if (
+        late
+        and wait_seconds > TOLERATED_QUEUE_OBJECTIVES * need.objective_seconds
+    ):
         return Shortage.TIME
     return None
--- a/pimentoledge/routing/decision_fields.py
+++ b/pimentoledge/routing/decision_fields.py
@@ -25,7 +25,9 @@
         "servers_age": _age(view.known_at("servers"), now),
         "cost": round(choice.candidate.cost, 1),
         "first_ms": round(1000 * choice.candidate.first_seconds, 1),
-        "second": None if choice.second is None else round(choice.second, 1),
+        "second": None
+        if choice.second_cost is None
+        else round(choice.second_cost, 1),
         "busy": round(backend.estimated_requests(now), 1),
         "load_age": _age(backend.load_at, now),
     }
--- a/pimentoledge/routing/delays.py
+++ b/pimentoledge/routing/delays.py
@@ -7,13 +7,13 @@
 import attrs
 
 # A delay that is so much longer than the shortest one of late counts.
-HELD_SECONDS = 0.25
+MIN_EXCESS_SECONDS = 0.25
 # Two clocks drift apart by some 30 ms within this.
 WINDOW_SECONDS = 300.0
 
 
 @attrs.define(kw_only=True)
-class Shortest:
+class ShortestDelay:
     """The shortest delay of one life of a router, plus its clock's distance.
 
     Attributes:
@@ -37,9 +37,11 @@
     """
 
     def __init__(self):
-        self.shortest: dict[str, Shortest] = {}
+        self.shortest: dict[str, ShortestDelay] = {}
 
-    def held(self, sender: str, clock: tuple[int, int], now: float) -> float:
+    def excess_seconds(
+        self, sender: str, clock: tuple[int, int], now: float
+    ) -> float:
         """Returns for how many seconds a message was held up; 0 if it wasn't.
 
         Args:
@@ -55,7 +57,7 @@
         known = self.shortest.get(sender)
         if known is None or known.born != born:
             self._forget(now)
-            self.shortest[sender] = Shortest(
+            self.shortest[sender] = ShortestDelay(
                 born=born, before=delay, least=delay, since=now
             )
             return 0.0
@@ -63,7 +65,7 @@
             known.before, known.least, known.since = known.least, delay, now
         known.least = min(known.least, delay)
         held = delay - min(known.before, known.least)
-        return held if held >= HELD_SECONDS else 0.0
+        return held if held >= MIN_EXCESS_SECONDS else 0.0
 
     def _forget(self, now: float) -> None:
         """Forgets routers that have sent nothing for two windows."""
--- a/pimentoledge/routing/exchanges.py
+++ b/pimentoledge/routing/exchanges.py
@@ -200,7 +200,7 @@
         pending = self.history.pending
         backend = self.view.servers.by_incarnation.get(pending)
         if backend is not None and not self.answer.head_sent:
-            backend.troubled(clocks.now())
+            backend.note_request_failure(clocks.now())
 
     def _accept(
         self, client_request: request_types.ClientRequest
@@ -360,7 +360,7 @@
         incarnation = backend.registration.incarnation
         self.history.note_outcome(incarnation, outcome)
         if outcome is retry_rules.AttemptOutcome.BROKE:
-            backend.troubled(clocks.now())
+            backend.note_request_failure(clocks.now())
             self.view.suspects.broke(self.content, incarnation, clocks.now())
 
     def _may_send(self, backend: backends.Backend) -> bool:
@@ -427,7 +427,7 @@
         try:
             connection = await self.pool.acquire(address)
         except server_connections.CannotConnectError as error:
-            backend.failed(clocks.now())
+            backend.note_connection_failure(clocks.now())
             self.died(backend.registration.incarnation)
             raise attempts.BrokenError(
                 retry_rules.AttemptOutcome.UNSENT, str(error)
@@ -462,7 +462,7 @@
             dispatch=self._dispatch(backend),
             pool=self.pool,
             connection=connection,
-            most_idle=selections.most_idle(
+            most_idle=selections.max_idle_connections(
                 self.view, backend.registration.service
             ),
             speeds=selections.speeds_of(
@@ -540,7 +540,7 @@
         found = answer.server
         if found is not None and found != backend.registration.server:
             # Another life, or another service's server, has the address.
-            backend.over = True
+            backend.ended = True
             self._log(
                 "server_over",
                 server=backend.registration.incarnation,
@@ -591,14 +591,14 @@
         says no more of it than a request's own deadline does.
         """
         if status >= 500 and status != GATEWAY_TIMEOUT:
-            backend.troubled(clocks.now())
+            backend.note_request_failure(clocks.now())
             self.view.suspects.served(self.content)
         else:
             self._served(backend)
 
     def _served(self, backend: backends.Backend) -> None:
         """Takes a whole answer as proof that server and content are sound."""
-        backend.served()
+        backend.note_success()
         self.view.suspects.served(self.content)
 
     def _refused_by(
@@ -631,7 +631,7 @@
             for event in splitter.feed(piece):
                 pause = self.answer.pass_event(event, answer)
                 if pause is not None:
-                    attempt.backend.paused(pause)
+                    attempt.backend.note_event_gap(pause)
             await self.answer.client.drained()
         if splitter.rest:
             raise _broke("ended within an event")
@@ -669,7 +669,7 @@
         if attempt.account.prompt_read:
             return
         known = self.view.first_event(self.client_request.model)
-        attempt.account.began(known, clocks.now())
+        attempt.account.note_first_event(known, clocks.now())
         selections.note_read(
             self.view,
             self.client_request,
--- a/pimentoledge/routing/first_events.py
+++ b/pimentoledge/routing/first_events.py
@@ -4,7 +4,7 @@
 
 # What a stream weighs after one more: some fifty back still count, ten to
 # twenty seconds at a router that begins a few streams a second.
-KEPT = 0.98
+DECAY = 0.98
 # First guesses: engines read 32 to 157 tokens in a ms, between steps of 4 to 7
 # ms; a prompt that is all kept has its first event after some 0.09 s.
 FIRST_BASE_SECONDS = 0.09
@@ -13,10 +13,10 @@
 GUESS_WEIGHT = 2.0
 GUESS_TOKENS = 10000.0
 # Engines five times as fast, and five times as slow, as any that was measured.
-LEAST_TOKEN_SECONDS = 1e-6
-MOST_TOKEN_SECONDS = 2.5e-4
+MIN_TOKEN_SECONDS = 1e-6
+MAX_TOKEN_SECONDS = 2.5e-4
 # One first event counts for so many times what was expected at most.
-MOST_TIMES = 4.0
+MAX_OUTLIER_FACTOR = 4.0
 
 
 @attrs.define(kw_only=True)
@@ -62,13 +62,13 @@
             first_seconds: from sending the request until it came.
             tokens: that the runner was believed to read before it.
         """
-        most = MOST_TIMES * self.expected_seconds(tokens)
+        most = MAX_OUTLIER_FACTOR * self.expected_seconds(tokens)
         found = min(first_seconds, most)
-        self.weight = KEPT * self.weight + 1
-        self.tokens = KEPT * self.tokens + tokens
-        self.seconds = KEPT * self.seconds + found
-        self.squares = KEPT * self.squares + tokens * tokens
-        self.products = KEPT * self.products + tokens * found
+        self.weight = DECAY * self.weight + 1
+        self.tokens = DECAY * self.tokens + tokens
+        self.seconds = DECAY * self.seconds + found
+        self.squares = DECAY * self.squares + tokens * tokens
+        self.products = DECAY * self.products + tokens * found
 
     def _line(self) -> tuple[float, float]:
         """Returns the line's value at no tokens, and its slope."""
@@ -81,5 +81,5 @@
         slope = (weight * products - tokens * seconds) / (
             weight * squares - tokens**2
         )
-        slope = min(MOST_TOKEN_SECONDS, max(LEAST_TOKEN_SECONDS, slope))
+        slope = min(MAX_TOKEN_SECONDS, max(MIN_TOKEN_SECONDS, slope))
         return max(0.0, (seconds - slope * tokens) / weight), slope
--- a/pimentoledge/routing/load_reports.py
+++ b/pimentoledge/routing/load_reports.py
@@ -170,7 +170,7 @@
     def _has(self) -> Has:
         servers = self.view.servers.by_incarnation
         return {
-            name: (each.open, each.unbegun, each.reading)
+            name: (each.open, each.unbegun, each.unread_tokens)
             for name, each in servers.items()
             if each.open
         }
@@ -271,10 +271,10 @@
         what is next.
         """
         before = backend.outstanding()
-        backend.others.pop(sender, None)
+        backend.peer_loads.pop(sender, None)
         if share is not None:
             open_, unbegun, unread = share
-            backend.others[sender] = backends.PeerLoad(
+            backend.peer_loads[sender] = backends.PeerLoad(
                 open=open_, unbegun=unbegun, unread=unread
             )
         if not before or backend.outstanding() < before:
@@ -313,7 +313,7 @@
         for name in self.heard.pop(sender, ()):
             backend = servers.get(name)
             if backend is not None:
-                backend.others.pop(sender, None)
+                backend.peer_loads.pop(sender, None)
 
 
 def _differ(before: Has, has: Has) -> bool:
--- a/pimentoledge/routing/memory_estimates.py
+++ b/pimentoledge/routing/memory_estimates.py
@@ -5,7 +5,7 @@
 from pimentoledge.routing import request_types
 
 # Weight of the newest request in the mean: some fifty back still count.
-SHARE = 0.02
+NEWEST_WEIGHT = 0.02
 
 
 def unshared_tokens(client_request: request_types.ClientRequest) -> int:
@@ -28,7 +28,7 @@
 
     tokens: float | None = None
 
-    def known(self) -> float:
+    def mean(self) -> float:
         """Returns the mean; 0 before the first request."""
         return self.tokens or 0.0
 
@@ -36,4 +36,4 @@
         """Takes a request."""
         if self.tokens is None:
             self.tokens = float(tokens)
-        self.tokens += SHARE * (tokens - self.tokens)
+        self.tokens += NEWEST_WEIGHT * (tokens - self.tokens)
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -340,7 +340,7 @@
         self, sender: str, clock: tuple[int, int], now: float
     ) -> float:
         """Returns as of when what a message tells is known to hold."""
-        held = self.delays.held(sender, clock, now)
+        held = self.delays.excess_seconds(sender, clock, now)
         if held and sender not in self._held_up:
             self._held_up.add(sender)
             self.lines.write("held_up", router=sender, seconds=round(held, 2))
--- a/pimentoledge/routing/placements.py
+++ b/pimentoledge/routing/placements.py
@@ -12,24 +12,24 @@
 from pimentoledge.routing import wait_estimates
 
 # Another data centre: its bytes are dear, so it is worth a queue.
-ELSEWHERE_MS = 120.0
+REMOTE_DATA_CENTRE_MS = 120.0
 # Requests that begin on older weights lose a part of their worth.
 OLDER_WEIGHTS_MS = 150.0
 # Keeps requests that share a prompt together when all else is alike.
-HOME_MS = 6.0
+TIE_BREAK_MS = 6.0
 # A token of a shared part that is read by a second runner: it is paid for, and
 # weighs more than the wait.
-READ_TWICE_MS = 0.1
+DUPLICATE_READ_MS = 0.1
 # A long prompt read at a runner that is slower by its own measure again: its
 # chunks stretch the pauses of all streams there. At 1.3 times the pace of the
 # others, four chunks between two events take 230 to 250 ms.
-SLOWNESS_MS = 0.08
+SLOW_RUNNER_MS = 0.08
 # Prompts shorter than a chunk don't stretch pauses.
 CHUNK_TOKENS = 1024
 # A server that failed all of its last requests, by their share.
-TROUBLE_MS = 400.0
+FAILURE_RATE_MS = 400.0
 # Part of an engine's memory that is believed to stay cached.
-KEPT_SHARE = 0.7
+CACHED_SHARE = 0.7
 
 
 @attrs.frozen(kw_only=True)
@@ -40,26 +40,27 @@
         data_centre: this router's.
         parts: the shared parts of the prompt.
         unshared: tokens that no other request shares.
-        need: what the request needs of a runner, or None where requests are
+        demand: what the request needs of a runner, or None where requests are
             not read before they begin.
         model: the model asked for, or "".
         newest: newest version of its weights, or None.
         isolated_by: organisation that shares no cached part, or "".
         sources: what can be fetched, under the newest weights.
         speeds: what first events have shown.
-        near: whether servers of the own data centre go before all others.
+        local_first: whether servers of the own data centre go before all
+            others.
     """
 
     data_centre: str
     parts: tuple[request_types.Part, ...] = ()
     unshared: int = 0
-    need: capacity_checks.Demand | None = None
+    demand: capacity_checks.Demand | None = None
     model: str = ""
     newest: int | None = None
     isolated_by: str = ""
     sources: cache_sources.Sources = cache_sources.Sources()
     speeds: wait_estimates.Speeds = wait_estimates.Speeds()
-    near: bool = False
+    local_first: bool = False
 
 
 def namespace(version: int, isolated_by: str) -> str:
@@ -83,19 +84,19 @@
     Attributes:
         backend: the server.
         first_seconds: expected time to the first event.
-        loses_ms: what else is lost there, as a wait that would be worth it.
+        penalty_ms: what else is lost there, as a wait that would be worth it.
         shortage: what it has too little of, or None.
     """
 
     backend: backends.Backend
     first_seconds: float
-    loses_ms: float
+    penalty_ms: float
     shortage: capacity_checks.Shortage | None
 
     @property
     def cost(self) -> float:
         """The expected wait, in ms, with what it loses."""
-        return 1000 * self.first_seconds + self.loses_ms
+        return 1000 * self.first_seconds + self.penalty_ms
 
 
 @attrs.frozen(kw_only=True)
@@ -104,13 +105,13 @@
 
     Attributes:
         candidate: the server's.
-        second: cost of the next best, or None if no other had room.
+        second_cost: cost of the next best, or None if no other had room.
         usable: how many could have been chosen.
         declared: how many were declared and not yet tried.
     """
 
     candidate: ServerCandidate
-    second: float | None
+    second_cost: float | None
     usable: int
     declared: int
 
@@ -139,7 +140,7 @@
 ) -> Choice | NoCapacity:
     """Returns the server with room that costs least, if any."""
     usable = [each for each in candidates if each.usable(now)]
-    paces = [each.pace for each in usable if each.pace]
+    paces = [each.mean_event_gap for each in usable if each.mean_event_gap]
     best = min(paces, default=0.0)
     offers = [evaluate(each, terms, now, best) for each in usable]
     free = [each for each in offers if each.shortage is None]
@@ -148,13 +149,13 @@
         return NoCapacity(shortage=dict(lacks))
     free.sort(
         key=lambda each: (
-            terms.near and _is_elsewhere(each.backend, terms),
+            terms.local_first and _is_elsewhere(each.backend, terms),
             each.cost,
         )
     )
     return Choice(
         candidate=free[0],
-        second=free[1].cost if len(free) > 1 else None,
+        second_cost=free[1].cost if len(free) > 1 else None,
         usable=len(usable),
         declared=len(candidates),
     )
@@ -180,24 +181,24 @@
     """
     version = weights_of(backend, terms.model)
     older = _is_older(version, terms)
-    prompt = _prompt_at(backend, terms, version, older)
+    prompt = _prompt_work(backend, terms, version, older)
     first = wait_estimates.expected_wait(backend, prompt, terms.speeds, now)
-    losses = TROUBLE_MS * backend.trouble_by(now)
-    if terms.unshared > CHUNK_TOKENS and backend.pace and best_pace:
-        slower = backend.pace / best_pace - 1
-        losses += SLOWNESS_MS * terms.unshared * slower
+    losses = FAILURE_RATE_MS * backend.decayed_failure_rate(now)
+    if terms.unshared > CHUNK_TOKENS and backend.mean_event_gap and best_pace:
+        slower = backend.mean_event_gap / best_pace - 1
+        losses += SLOW_RUNNER_MS * terms.unshared * slower
     if _is_elsewhere(backend, terms):
-        losses += ELSEWHERE_MS
+        losses += REMOTE_DATA_CENTRE_MS
     if older:
         losses += OLDER_WEIGHTS_MS
-    losses += READ_TWICE_MS * prompt.twice
+    losses += DUPLICATE_READ_MS * prompt.duplicate_tokens
     # What waits there waits as long for this one as this one for it.
     losses += 1000 * first.reader_seconds
     lacks = None
-    if terms.need is not None:
+    if terms.demand is not None:
         lacks = capacity_checks.shortage(
             backend.registration.slots,
-            terms.need,
+            terms.demand,
             busy=first.busy,
             first_seconds=first.seconds,
             wait_seconds=first.others_seconds,
@@ -205,7 +206,7 @@
     return ServerCandidate(
         backend=backend,
         first_seconds=first.seconds,
-        loses_ms=losses + _drawn_ms(backend, terms),
+        penalty_ms=losses + _tie_break_ms(backend, terms),
         shortage=lacks,
     )
 
@@ -215,7 +216,7 @@
     return None not in (version, terms.newest) and version < terms.newest
 
 
-def _prompt_at(
+def _prompt_work(
     backend: backends.Backend,
     terms: Criteria,
     version: int | None,
@@ -227,7 +228,7 @@
     found = namespace(version, terms.isolated_by)
     held = backend.cached_tokens(found, terms.parts)
     shared = sum(part.tokens for part in terms.parts)
-    prompt = wait_estimates.prompt_at(
+    prompt = wait_estimates.prompt_work(
         data_centre=backend.registration.data_centre,
         held=held,
         shared=shared,
@@ -237,11 +238,11 @@
     )
     if older:
         # Nothing of older weights is fetched, so it would be read again.
-        return attrs.evolve(prompt, twice=shared - held)
+        return attrs.evolve(prompt, duplicate_tokens=shared - held)
     return prompt
 
 
-def _drawn_ms(backend: backends.Backend, terms: Criteria) -> float:
+def _tie_break_ms(backend: backends.Backend, terms: Criteria) -> float:
     """Returns what decides where all else is alike.
 
     Requests that share a prompt stay together, and routers that see the same
@@ -250,4 +251,4 @@
     if not terms.parts:
         return 0.0
     name = terms.parts[-1].name + backend.registration.incarnation
-    return HOME_MS * xxhash.xxh3_64_intdigest(name.encode()) / 2**64
+    return TIE_BREAK_MS * xxhash.xxh3_64_intdigest(name.encode()) / 2**64
--- a/pimentoledge/routing/rechecks.py
+++ b/pimentoledge/routing/rechecks.py
@@ -78,7 +78,7 @@
         backend.registration = attrs.evolve(
             backend.registration, weights=found.weights
         )
-        backend.loaded()
+        backend.finish_loading()
         self.lines.write(
             "server_reported",
             server=backend.registration.incarnation,
--- a/pimentoledge/routing/rollouts.py
+++ b/pimentoledge/routing/rollouts.py
@@ -201,7 +201,7 @@
         runners = [
             each
             for each in self.view.servers.by_incarnation.values()
-            if model in each.registration.weights and not each.over
+            if model in each.registration.weights and not each.ended
         ]
         down = [
             each
@@ -239,7 +239,7 @@
                 # The store has not told yet that the runner has them.
                 progress.ends = now + AGAIN_SECONDS
             case OrderVerdict.WRONG_SERVER:
-                due.backend.over = True
+                due.backend.ended = True
             case (
                 OrderVerdict.UNREACHED
                 | OrderVerdict.REFUSED
--- a/pimentoledge/routing/selections.py
+++ b/pimentoledge/routing/selections.py
@@ -12,20 +12,20 @@
 from pimentoledge.routing import request_types
 from pimentoledge.routing import wait_estimates
 
-MOST_URGENCY = 9
+MAX_URGENCY = 9
 # Urgencies of routes that are told apart within an organisation's.
-ROUTE_URGENCIES = 3
+URGENCIES_PER_ORGANISATION = 3
 # Part of a server's connections that all routers together may leave idle.
-IDLE_SHARE = 0.5
+IDLE_CONNECTION_SHARE = 0.5
 # Fewer tokens are read sooner than fetched from another runner.
-LEAST_FETCH_TOKENS = 256
+MIN_FETCH_TOKENS = 256
 # From so busy a link of a KV cache server on, a prompt is saved only if the
 # server lacks so many tokens of its shared parts for each token of its own,
 # which are carried and kept for nobody. Otherwise a link of 340 Gbit/s is given
 # more than it carries, what is saved comes two seconds late, and three in four
 # parts asked for meanwhile are read again.
-BUSY_SHARE = 1.0
-SAVE_SHARE = 2.0
+BUSY_LINK_SHARE = 1.0
+MIN_UNSAVED_RATIO = 2.0
 # No runner has loaded weights so soon after they were named: a load takes
 # 0.55 s and more. Until then any part of older weights may be fetched, which
 # saves a quarter of what is read again: 139,742 to 104,606 tokens over five
@@ -35,10 +35,10 @@
 # have been saved after they were named. Parts saved before are fetched all
 # through a change: 250,606 to 197,000 tokens read again over four changes,
 # 386,527 to 360,000 over three, two plays each.
-HEARD_LATE_SECONDS = 1.0
+NOTICE_DELAY_SECONDS = 1.0
 
 
-def services_of(route: configurations.Route, request: str) -> list[str]:
+def ordered_services(route: configurations.Route, request: str) -> list[str]:
     """Returns a route's services, the request's own first.
 
     The split is by the request's id, so no state is needed.
@@ -67,14 +67,14 @@
 ) -> placements.Choice | placements.NoCapacity:
     """Returns the server to send a request to, if one has room."""
     found = placements.NoCapacity(shortage={})
-    for name in services_of(route, client_request.request):
+    for name in ordered_services(route, client_request.request):
         candidates = [
             each
             for each in view.servers.of_service(name)
             if each.registration.incarnation not in without
             and weights_allow(view, client_request.model, each, now)
         ]
-        terms = _terms(view, client_request, route, organisation, name, now)
+        terms = _criteria(view, client_request, route, organisation, name, now)
         found = placements.choose(candidates=candidates, terms=terms, now=now)
         if isinstance(found, placements.Choice):
             return found
@@ -92,7 +92,7 @@
     return view.may_begin(model, version, now)
 
 
-def _terms(
+def _criteria(
     view: cluster_views.ClusterView,
     client_request: request_types.ClientRequest,
     route: configurations.Route,
@@ -113,8 +113,8 @@
             view, client_request, organisation, service_name, now
         ),
         speeds=speeds_of(view, client_request.model, service_name),
-        need=_need(view, client_request, route, service),
-        near=bool(client_request.model) and not view.reaches_all,
+        demand=_need(view, client_request, route, service),
+        local_first=bool(client_request.model) and not view.reaches_all,
     )
 
 
@@ -134,7 +134,7 @@
             link_bytes=None,
             apart=False,
         ),
-        mean_unread=view.mean_unshared(model).known(),
+        mean_unread=view.mean_unshared(model).mean(),
         elsewhere=view.elsewhere,
     )
 
@@ -149,7 +149,7 @@
         return None
     return capacity_checks.Demand(
         urgent=route.urgency == request_types.MOST_URGENT,
-        mean_tokens=view.mean_unshared(client_request.model).known(),
+        mean_tokens=view.mean_unshared(client_request.model).mean(),
         memory=None if service is None else service.cache_tokens,
         objective_seconds=route.objective_seconds,
     )
@@ -163,7 +163,7 @@
     now: float,
 ) -> cache_sources.Sources:
     wanted = view.wanted.get(client_request.model)
-    if wanted is None or client_request.shared_tokens() < LEAST_FETCH_TOKENS:
+    if wanted is None or client_request.shared_tokens() < MIN_FETCH_TOKENS:
         return cache_sources.Sources()
     return sources_of(
         view,
@@ -323,8 +323,8 @@
         address, namespace, client_request.shared, now
     )
     least = 1
-    if view.links.busy_share(address, now) > BUSY_SHARE:
-        least = SAVE_SHARE * client_request.unshared_tokens()
+    if view.links.busy_share(address, now) > BUSY_LINK_SHARE:
+        least = MIN_UNSAVED_RATIO * client_request.unshared_tokens()
     return address if lacks and lacks >= least else None
 
 
@@ -348,7 +348,7 @@
     """
     if now - since < SAFE_FETCH_SECONDS:
         return True
-    moment = since - HEARD_LATE_SECONDS
+    moment = since - NOTICE_DELAY_SECONDS
     return view.saved.saved_before(address, namespace, parts, moment, now)
 
 
@@ -362,11 +362,11 @@
     With the organisation's alone, as most of them have the same, long prompts
     were as urgent as the short ones that someone waits for at the counter.
     """
-    own = min(route.urgency, ROUTE_URGENCIES - 1)
+    own = min(route.urgency, URGENCIES_PER_ORGANISATION - 1)
     if organisation is None or organisation.urgency is None:
-        return min(own, MOST_URGENCY)
-    urgency = ROUTE_URGENCIES * organisation.urgency + own
-    return min(urgency, MOST_URGENCY)
+        return min(own, MAX_URGENCY)
+    urgency = URGENCIES_PER_ORGANISATION * organisation.urgency + own
+    return min(urgency, MAX_URGENCY)
 
 
 def cache_server(
@@ -392,7 +392,9 @@
     )
 
 
-def most_idle(view: cluster_views.ClusterView, service_name: str) -> int | None:
+def max_idle_connections(
+    view: cluster_views.ClusterView, service_name: str
+) -> int | None:
     """Returns how many connections to a server may wait for a request.
 
     A server counts the connections of all routers and resets those beyond its
@@ -402,7 +404,9 @@
     service = view.configuration.services.get(service_name)
     if service is None or not service.max_connections:
         return None
-    part = IDLE_SHARE * service.max_connections / max(1, view.members)
+    part = (
+        IDLE_CONNECTION_SHARE * service.max_connections / max(1, view.members)
+    )
     return max(1, int(part))
 
 
@@ -416,7 +420,7 @@
     """Notes which parts a server will hold, for this router and the others."""
     if sent.namespace is None or len(client_request.parts) < 2:
         return
-    _tell(view, client_request, backend, sent, read=False, now=now)
+    _report_prompt(view, client_request, backend, sent, read=False, now=now)
 
 
 def note_read(
@@ -432,10 +436,10 @@
     backend.note_parts_read(sent.namespace, client_request.parts, now)
     if sent.save_to is None:
         return
-    _tell(view, client_request, backend, sent, read=True, now=now)
+    _report_prompt(view, client_request, backend, sent, read=True, now=now)
 
 
-def _tell(
+def _report_prompt(
     view: cluster_views.ClusterView,
     client_request: request_types.ClientRequest,
     backend: backends.Backend,
@@ -480,7 +484,7 @@
     backend = view.servers.by_incarnation.get(prompt.server)
     if backend is None:
         return
-    _keep(view, backend, prompt.namespace, parts, now)
+    _note_cached(view, backend, prompt.namespace, parts, now)
     if prompt.saved_to:
         _note_saving(view, backend, prompt, parts, now)
 
@@ -506,10 +510,10 @@
                 link_bytes=each.link_bytes,
                 apart=each.data_centre != place,
             )
-            view.links.carries(address, seconds, now)
+            view.links.note_transfer(address, seconds, now)
 
 
-def _keep(
+def _note_cached(
     view: cluster_views.ClusterView,
     backend: backends.Backend,
     namespace: str,
@@ -518,6 +522,6 @@
 ) -> None:
     service = view.configuration.services.get(backend.registration.service)
     tokens = 0 if service is None else service.cache_tokens or 0
-    most = int(tokens * placements.KEPT_SHARE)
+    most = int(tokens * placements.CACHED_SHARE)
     ready_at = now + cache_sources.READY_SECONDS
     backend.note_parts(namespace, parts, most, ready_at)
--- a/pimentoledge/routing/wait_estimates.py
+++ b/pimentoledge/routing/wait_estimates.py
@@ -22,13 +22,13 @@
     Attributes:
         to_read: tokens that it must read.
         fetch_seconds: to fetch what another server keeps.
-        twice: of what it must read, tokens that another runner keeps or is
-            about to have read.
+        duplicate_tokens: of what it must read, tokens that another runner
+            keeps or is about to have read.
     """
 
     to_read: int = 0
     fetch_seconds: float = 0.0
-    twice: int = 0
+    duplicate_tokens: int = 0
 
 
 @attrs.frozen(kw_only=True)
@@ -69,7 +69,7 @@
     elsewhere: dict[str, MeanLoad] = attrs.field(factory=dict)
 
 
-def prompt_at(
+def prompt_work(
     *,
     data_centre: str,
     held: int,
@@ -92,13 +92,13 @@
     seconds = 0.0
     if source is not None:
         apart = source.data_centre != data_centre
-        times = cache_sources.ELSEWHERE_TIMES if apart else 1.0
+        times = cache_sources.REMOTE_TRANSFER_FACTOR if apart else 1.0
         seconds = speeds.fetch_seconds * times * (source.tokens - held)
         held = source.tokens
     return PromptWork(
         to_read=unshared + shared - held,
         fetch_seconds=seconds,
-        twice=max(0, sources.coming - held),
+        duplicate_tokens=max(0, sources.pending_tokens - held),
     )
 
 
@@ -134,11 +134,11 @@
 ) -> ExpectedWait:
     """Returns the expected time until a first event."""
     slots = max(1, backend.registration.slots)
-    busy = busy_at(backend, speeds, now)
+    busy = estimated_busy(backend, speeds, now)
     shared = SHARED_STEP_SLOTS / max(SHARED_STEP_SLOTS, slots)
     steps = SHARED_STEP_SECONDS * min(busy, slots) * shared
     queued = QUEUE_SECONDS * max(0, busy + 1 - slots) * QUEUE_SLOTS / slots
-    ahead = ahead_at(backend, prompt.to_read, speeds, now)
+    ahead = tokens_ahead(backend, prompt.to_read, speeds, now)
     own = speeds.base_seconds + prompt.fetch_seconds
     return ExpectedWait(
         busy=busy,
@@ -148,13 +148,15 @@
     )
 
 
-def busy_at(backend: backends.Backend, speeds: Speeds, now: float) -> float:
+def estimated_busy(
+    backend: backends.Backend, speeds: Speeds, now: float
+) -> float:
     """Returns how many requests a server is believed to have."""
     mean = speeds.elsewhere.get(backend.registration.data_centre)
     return max(backend.estimated_requests(now), mean.busy if mean else 0)
 
 
-def ahead_at(
+def tokens_ahead(
     backend: backends.Backend, to_read: int, speeds: Speeds, now: float
 ) -> float:
     """Returns how many tokens of others a server reads before a prompt.
--- a/pimentoledge/tests/test_rollouts.py
+++ b/pimentoledge/tests/test_rollouts.py
@@ -72,7 +72,7 @@
 def test_runners_that_leave_or_are_over_are_left_alone():
     view, rollout = world(3)
     view.servers.put(registration(0, leaving=True))
-    view.servers.by_incarnation["r1"].over = True
+    view.servers.by_incarnation["r1"].ended = True
     told = {each.backend.registration.incarnation for each in rollout.due(1.0)}
     assert told == {"r2"}
 
@@ -95,17 +95,17 @@
     """
     view, rollout = world(9)
     for number in (1, 2, 3):
-        view.servers.by_incarnation[f"r{number}"].failed(1.0)
+        view.servers.by_incarnation[f"r{number}"].note_connection_failure(1.0)
     due = rollout.due(1.1)
     assert len(due) == 1
     assert due[0].backend.registration.incarnation not in ("r1", "r2", "r3")
     tell(rollout, due, rollouts.OrderVerdict.TAKEN, 1.1)
     assert not rollout.due(1.2)
-    assert len(rollout.due(1.0 + backends.MOST_FAILED_SECONDS)) == 3
+    assert len(rollout.due(1.0 + backends.MAX_FAILURE_BACKOFF_SECONDS)) == 3
 
 
 def test_a_runner_known_to_be_over_is_not_among_those_a_share_is_of():
     view, rollout = world(9)
     for number in range(5):
-        view.servers.by_incarnation[f"r{number}"].over = True
+        view.servers.by_incarnation[f"r{number}"].ended = True
     assert len(rollout.due(1.0)) == 1
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -210,8 +210,8 @@
 def test_nothing_but_time_ends_what_a_server_asked_for():
     servers, backend = server_backed_off()
     now = clocks.now()
-    backend.served()
-    backend.loaded()
+    backend.note_success()
+    backend.finish_loading()
     taker(servers).take(backend, answer())
     taker(servers).take(backend, busy(1.0))
     servers.put(attrs.evolve(REGISTRATION, slots=9))
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -303,12 +303,12 @@
 
     def test_a_server_that_failed_is_left_alone_and_tried_again(self):
         only = backend("o")
-        only.failed(10.0)
+        only.note_connection_failure(10.0)
         assert self.choose(only) is None
-        assert only.usable(10.0 + backends.FAILED_SECONDS)
+        assert only.usable(10.0 + backends.FAILURE_BACKOFF_SECONDS)
         for _ in range(9):
-            only.failed(20.0)
-        assert only.avoid_until <= 20.0 + backends.MOST_FAILED_SECONDS
+            only.note_connection_failure(20.0)
+        assert only.avoid_until <= 20.0 + backends.MAX_FAILURE_BACKOFF_SECONDS
 
     def test_long_prompts_avoid_runners_that_are_slow_by_their_own_pace(self):
         """Four chunks of a long prompt stretch a slow runner's pauses.
@@ -317,8 +317,8 @@
         """
         slow, quick = backend("s", slots=48), backend("q", slots=48)
         for _ in range(200):
-            slow.paused(0.052)
-            quick.paused(0.040)
+            slow.note_event_gap(0.052)
+            quick.note_event_gap(0.040)
         quick.open = 8
         assert self.choose(slow, quick, unshared=3000) == "q"
         assert self.choose(slow, quick, unshared=600) == "s"
@@ -358,7 +358,7 @@
         here, next_door, _ = runners = self.runners()
         next_door.note_parts("1", self.PARTS, 50000, 10.5)
         found = self.find(runners)
-        assert (found.best, found.coming) == ((), 6000)
+        assert (found.best, found.pending_tokens) == ((), 6000)
         terms = placements.Criteria(
             data_centre="a",
             parts=self.PARTS,
@@ -397,7 +397,7 @@
         """A fetch from a dead runner costs some hundred ms."""
         _, next_door, _ = runners = self.runners()
         next_door.note_parts("1", self.PARTS, 50000, 9.0)
-        next_door.failed(10.0)
+        next_door.note_connection_failure(10.0)
         assert self.find(runners).best == ()
 
     def test_what_a_kv_cache_server_keeps_is_fetched_from_there(self):
@@ -560,13 +560,13 @@
             gap_seconds=None,
         )
         firsts = [
-            selections.services_of(split, f"q{number}")[0]
+            selections.ordered_services(split, f"q{number}")[0]
             for number in range(2000)
         ]
         assert 0.86 < firsts.count("x") / 2000 < 0.94
-        assert selections.services_of(split, "q1") == selections.services_of(
+        assert selections.ordered_services(
             split, "q1"
-        )
+        ) == selections.ordered_services(split, "q1")
 
 
 class TestTrouble:
@@ -579,7 +579,7 @@
         """
         grey, good = backend("g", slots=48), backend("o", slots=48)
         for _ in range(8):
-            grey.troubled(10.0)
+            grey.note_request_failure(10.0)
         good.open = 20
         terms = placements.Criteria(data_centre="a")
 
@@ -590,7 +590,7 @@
 
         assert chosen() is good
         for _ in range(40):
-            grey.served()
+            grey.note_success()
         assert chosen() is grey
 
 
@@ -736,7 +736,7 @@
 
     @given(strategies.integers(0, 20), strategies.integers(0, 20))
     def test_it_is_never_beyond_what_a_runner_takes(self, own, organisation):
-        assert 0 <= self.sent(own, organisation) <= selections.MOST_URGENCY
+        assert 0 <= self.sent(own, organisation) <= selections.MAX_URGENCY
 
     def test_without_an_organisation_the_route_s_holds(self):
         assert [self.sent(own, None) for own in (0, 1, 2)] == [0, 1, 2]
--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -39,27 +39,27 @@
 
     def test_only_what_is_later_than_usual_was_held_up(self):
         found = delays.Delays()
-        assert found.held("r", (1, 70_000), 10.0) == 0.0
-        assert found.held("r", (1, 71_000), 11.002) == 0.0
-        assert found.held("r", (1, 72_000), 16.0) == 4.0
-        assert found.held("r", (1, 77_000), 17.1) == 0.0
+        assert found.excess_seconds("r", (1, 70_000), 10.0) == 0.0
+        assert found.excess_seconds("r", (1, 71_000), 11.002) == 0.0
+        assert found.excess_seconds("r", (1, 72_000), 16.0) == 4.0
+        assert found.excess_seconds("r", (1, 77_000), 17.1) == 0.0
 
     def test_a_new_life_may_have_another_clock(self):
         found = delays.Delays()
-        found.held("r", (1, 70_000), 10.0)
-        assert found.held("r", (2, 1_000), 11.0) == 0.0
-        assert found.held("r", (2, 2_000), 13.0) == 1.0
+        found.excess_seconds("r", (1, 70_000), 10.0)
+        assert found.excess_seconds("r", (2, 1_000), 11.0) == 0.0
+        assert found.excess_seconds("r", (2, 2_000), 13.0) == 1.0
 
     def test_clocks_that_drift_apart_hold_nothing_up(self):
         found = delays.Delays()
         for second in range(0, 20_000, 10):
             sent = int(1000 * second * (1 - 1e-4)) + 1
-            assert found.held("r", (1, sent), float(second)) == 0.0
+            assert found.excess_seconds("r", (1, sent), float(second)) == 0.0
 
     def test_who_is_gone_is_forgotten(self):
         found = delays.Delays()
-        found.held("r", (1, 70_000), 10.0)
-        found.held("s", (1, 70_000), 1000.0)
+        found.excess_seconds("r", (1, 70_000), 10.0)
+        found.excess_seconds("s", (1, 70_000), 1000.0)
         assert list(found.shortest) == ["s"]
 
 
--- a/pimentoledge/tests/test_router_evidence.py
+++ b/pimentoledge/tests/test_router_evidence.py
@@ -60,14 +60,14 @@
     [router] = world.routers
     held = router.view.servers.by_incarnation["p0"]
     for _ in range(12):
-        held.troubled(clocks.now())
-    held.troubled_at -= 10 * backends.TROUBLE_HALF_SECONDS
+        held.note_request_failure(clocks.now())
+    held.failure_rate_at -= 10 * backends.FAILURE_RATE_HALF_LIFE_SECONDS
     other = router.view.servers.by_incarnation["p1"]
     other.open = 7
     for _ in range(60):
         await world.ask("/notices/", body=b"n")
     assert sum(call.ran for call in once.calls) > 20
-    assert held.trouble_by(clocks.now()) < 0.01
+    assert held.decayed_failure_rate(clocks.now()) < 0.01
 
 
 def test_a_flapping_server_costs_a_few_requests_each_turn():
@@ -87,9 +87,9 @@
                 continue
             tries[up] += 1
             if up:
-                server.served()
+                server.note_success()
             else:
-                server.failed(now)
+                server.note_connection_failure(now)
         assert tries[False] <= 4
         assert tries[True] >= 40
 
@@ -101,8 +101,8 @@
     for step in range(6000):
         if server.usable(step / 100):
             tries += 1
-            server.failed(step / 100)
-    assert tries <= 4 + 60 / backends.MOST_FAILED_SECONDS
+            server.note_connection_failure(step / 100)
+    assert tries <= 4 + 60 / backends.MAX_FAILURE_BACKOFF_SECONDS
 
 
 @played(plain=2)
@@ -176,11 +176,11 @@
     await four_at_once()
     [idle] = router.pool.idle.values()
     assert len(idle) > 1
-    most = selections.most_idle(router.view, "plain")
+    most = selections.max_idle_connections(router.view, "plain")
     assert most == 25
     router.view.members = 100
     router.peers.tick = lambda now: None
-    assert selections.most_idle(router.view, "plain") == 1
+    assert selections.max_idle_connections(router.view, "plain") == 1
     router.pool.close()
     await four_at_once()
     [idle] = router.pool.idle.values()
--- a/pimentoledge/tests/test_router_first_events.py
+++ b/pimentoledge/tests/test_router_first_events.py
@@ -71,14 +71,14 @@
 
 def test_requests_of_routers_that_do_not_report_show_in_what_waits():
     found = runner("r", waiting=3)
-    found.unbegun, found.reading = 1, 4000
+    found.unbegun, found.unread_tokens = 1, 4000
     found.load_unbegun = 1
     assert found.unread(1500, 1.0, 0.0) == 4000 + 2 * 1500
 
 
 def test_what_other_routers_have_there_counts_as_their_own_word():
     found = runner("r")
-    found.others["x"] = backends.PeerLoad(open=3, unbegun=2, unread=9000)
+    found.peer_loads["x"] = backends.PeerLoad(open=3, unbegun=2, unread=9000)
     assert found.estimated_requests(1.0) == 3
     assert found.queued(1.0) == 2
     assert found.unread(1500, 1.0, 0.0) == 9000
@@ -87,7 +87,7 @@
 def test_of_what_is_next_a_part_is_read_already():
     """A router kept away from runners that were nearly done."""
     found = runner("r")
-    found.reading, found.read_since = 9000, 1.0
+    found.unread_tokens, found.read_since = 9000, 1.0
     assert found.unread(0.0, 1.0, 3e-5) == 9000
     assert found.unread(0.0, 1.12, 3e-5) == pytest.approx(5000, abs=2)
     assert found.unread(0.0, 9.0, 3e-5) == 0
@@ -136,11 +136,11 @@
                 address="far", data_centre="b", tokens=6000
             ),
         ),
-        coming=6000,
+        pending_tokens=6000,
     )
 
     def at(self, place, held, found=SOURCES):
-        return wait_estimates.prompt_at(
+        return wait_estimates.prompt_work(
             data_centre=place,
             held=held,
             shared=6000,
@@ -153,7 +153,7 @@
         found = self.at("a", 0)
         assert found.to_read == 3000
         assert found.fetch_seconds == pytest.approx(2 * 6000 * 2e-6)
-        assert found.twice == 0
+        assert found.duplicate_tokens == 0
 
     def test_a_fetch_within_the_data_centre_takes_half(self):
         assert self.at("b", 0).fetch_seconds == pytest.approx(6000 * 2e-6)
@@ -163,9 +163,9 @@
         assert (found.to_read, found.fetch_seconds) == (3000, 0.0)
 
     def test_what_another_is_about_to_have_would_be_read_twice(self):
-        found = self.at("a", 2500, cache_sources.Sources(coming=6000))
+        found = self.at("a", 2500, cache_sources.Sources(pending_tokens=6000))
         assert found.to_read == 6500
-        assert found.twice == 3500
+        assert found.duplicate_tokens == 3500
 
 
 def test_a_short_prompt_waits_little_for_a_long_one():
@@ -175,9 +175,9 @@
     much of each other as it has itself.
     """
     found = runner("r")
-    found.reading, found.unbegun, found.read_since = 20000, 2, 1.0
-    assert wait_estimates.ahead_at(found, 800, SPEEDS, 1.0) == 1600
-    assert wait_estimates.ahead_at(found, 90000, SPEEDS, 1.0) == 20000
+    found.unread_tokens, found.unbegun, found.read_since = 20000, 2, 1.0
+    assert wait_estimates.tokens_ahead(found, 800, SPEEDS, 1.0) == 1600
+    assert wait_estimates.tokens_ahead(found, 90000, SPEEDS, 1.0) == 20000
 
 
 def test_a_runner_elsewhere_is_not_idle_because_nothing_is_known_of_it():
@@ -187,7 +187,7 @@
     nothing, so their runners seemed free: prompts piled up there unseen.
     """
     here, there = runner("h"), runner("t", place="b")
-    here.reading, here.unbegun, here.read_since = 6000, 1, 1.0
+    here.unread_tokens, here.unbegun, here.read_since = 6000, 1, 1.0
     unknown = wait_estimates.expected_wait(
         there, wait_estimates.PromptWork(to_read=3000), SPEEDS, 1.0
     ).seconds
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -70,15 +70,15 @@
     before.update_load(
         request_types.ServerLoad(running=7, waiting=9, slots=8), 1.0
     )
-    before.failed(1.0)
+    before.note_connection_failure(1.0)
     after = taken.take(born=2000)
     assert after is not before
-    assert before.over
-    assert not after.over
+    assert before.ended
+    assert not after.ended
     assert after.cached_tokens("1", (PART,)) == 0
     assert after.load is None
     assert after.usable(1.0)
-    assert after.trouble == 0.0
+    assert after.failure_rate == 0.0
     assert taken.restarted == ["1.2.3.4:5"]
     assert taken.died == ["i@1000"]
 
@@ -93,7 +93,7 @@
     )
     assert present.registration.born == 2000
     assert present.registration.weights == {"m": 1}
-    assert not present.over
+    assert not present.ended
 
 
 def test_a_restarted_runner_is_ordered_by_its_own_count_of_orders():
@@ -131,9 +131,9 @@
     assert not life.is_other_incarnation(2000)
     assert not life.is_other_incarnation(None)
     assert life.is_other_incarnation(1000)
-    assert not life.over
+    assert not life.ended
     assert life.is_other_incarnation(3000)
-    assert life.over
+    assert life.ended
 
 
 def test_without_a_time_of_birth_the_id_is_the_life():
@@ -219,7 +219,7 @@
     taken = Taken()
     before = taken.take()
     assert taken.take(state=7) is None
-    assert before.over
+    assert before.ended
 
 
 @given(body=ANYTHING)
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -348,8 +348,8 @@
         for each in router.view.servers.by_incarnation.values()
         if each.parts
     )
-    holder.trouble = 1.0
-    holder.troubled_at = clocks.now()
+    holder.failure_rate = 1.0
+    holder.failure_rate_at = clocks.now()
     await world.ask("/drafts/", headers=stream_headers())
     second = next(call for call in world.ran("runners") if call is not first)
     assert "kv-save" not in second.headers
@@ -424,8 +424,8 @@
     """
     [router] = world.routers
     dead, slow = world.servers["p0"], world.servers["p1"]
-    router.view.servers.by_incarnation["p1"].trouble = 1.0
-    router.view.servers.by_incarnation["p1"].troubled_at = clocks.now()
+    router.view.servers.by_incarnation["p1"].failure_rate = 1.0
+    router.view.servers.by_incarnation["p1"].failure_rate_at = clocks.now()
     dead.close()
     slow.work_seconds = 1.5
     got = await world.ask(
@@ -450,11 +450,11 @@
     first, second = (
         router.view.servers.by_incarnation[name] for name in ("r0", "r1")
     )
-    second.trouble = 1.0
-    second.troubled_at = clocks.now()
+    second.failure_rate = 1.0
+    second.failure_rate_at = clocks.now()
     world.servers["r1"].cut_after = None
     world.servers["r1"].fail = 9
-    first.trouble = 0.0
+    first.failure_rate = 0.0
     got = await world.ask("/lookups/", headers=stream_headers())
     assert not got.whole
     assert _numbers(got.body) == ["1", "2", "3"]
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -210,7 +210,7 @@
         assert other.merge(early, 20.0)
         assert backend.loading_until == pytest.approx(20.9, abs=0.002)
         held.servers.by_incarnation["r"].loading_until = 0.0
-        backend.loaded()
+        backend.finish_loading()
         holder.own(20.5)
         assert other.merge(self.beat(holder, 20.5), 20.5)
         assert not other.merge(early, 20.6)
--- a/pimentoledge/tests/test_router_rooms.py
+++ b/pimentoledge/tests/test_router_rooms.py
@@ -180,9 +180,9 @@
     """
     view = world((2, 0), memory=None)
     runner = view.servers.by_server["r0"]
-    runner.reading, runner.unbegun, runner.read_since = 100_000, 8, 1.0
+    runner.unread_tokens, runner.unbegun, runner.read_since = 100_000, 8, 1.0
     assert select(view) == {capacity_checks.Shortage.TIME: 1}
-    runner.reading, runner.unbegun = 10_000, 1
+    runner.unread_tokens, runner.unbegun = 10_000, 1
     assert select(view) == "r0"
 
 
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -399,11 +399,16 @@
         view = believed_of(*[1] * 9)
         late = view.bounds.weights_seconds
         for number in (0, 1, 2):
-            view.servers.by_server[f"r{number}"].failed(late - 0.1)
+            view.servers.by_server[f"r{number}"].note_connection_failure(
+                late - 0.1
+            )
         view.want(MODEL, 2, 0.0)
         rollout = rollouts.Rollout(view=view)
         assert len(self.told(rollout, late)) == 6
-        assert len(self.told(rollout, late + backends.FAILED_SECONDS)) == 9
+        assert (
+            len(self.told(rollout, late + backends.FAILURE_BACKOFF_SECONDS))
+            == 9
+        )
 
 
 def test_an_answer_that_has_arrived_is_not_withdrawn():
--- a/pimentoledge/tests/test_router_work_reports.py
+++ b/pimentoledge/tests/test_router_work_reports.py
@@ -112,7 +112,7 @@
     them took for idle what the others had just filled.
     """
     sender = many.server("tcp://r0")
-    sender.open, sender.unbegun, sender.reading = 2, 1, 9000
+    sender.open, sender.unbegun, sender.unread_tokens = 2, 1, 9000
     many.tick()
     for name in many.routers:
         near = many.place(name) == "d0" and name != "tcp://r0"
@@ -127,9 +127,9 @@
 
 def test_what_has_ended_counts_no_more(many):
     sender = many.server("tcp://r0")
-    sender.open, sender.unbegun, sender.reading = 1, 1, 9000
+    sender.open, sender.unbegun, sender.unread_tokens = 1, 1, 9000
     many.tick()
-    sender.open, sender.unbegun, sender.reading = 0, 0, 0
+    sender.open, sender.unbegun, sender.unread_tokens = 0, 0, 0
     many.tick()
     assert many.server("tcp://r2").estimated_requests(10.0) == 0
     assert many.server("tcp://r2").outstanding() == 0
@@ -138,7 +138,7 @@
 def test_what_a_router_had_is_forgotten_when_it_falls_silent(many):
     """A router that died would have kept its runners busy for ever."""
     sender = many.server("tcp://r0")
-    sender.open, sender.reading = 5, 20000
+    sender.open, sender.unread_tokens = 5, 20000
     many.tick()
     receiver = many.routers["tcp://r2"]
     assert many.server("tcp://r2").estimated_requests(10.0) == 5
@@ -209,7 +209,7 @@
     for name in many.routers:
         if many.place(name) == "d1":
             busy = many.server(name, "t")
-            busy.open, busy.unbegun, busy.reading = 1, 1, 3000
+            busy.open, busy.unbegun, busy.unread_tokens = 1, 1, 3000
     many.tick(load_reports.REPEAT_SECONDS)
     many.tick(load_reports.REPEAT_SECONDS)
     for name in many.routers:
@@ -249,7 +249,7 @@
 def test_few_routers_tell_each_other_everything():
     few = Net(heartbeat_rings.ALL_TO_ALL)
     sender = few.server("tcp://r0")
-    sender.open, sender.reading = 2, 9000
+    sender.open, sender.unread_tokens = 2, 9000
     few.tick()
     for name in few.routers:
         assert few.server(name).estimated_requests(10.0) == 2
@@ -258,7 +258,7 @@
 def test_a_report_goes_to_so_many_whatever_the_size_of_the_fleet():
     large = Net(200)
     sender = large.server("tcp://r0")
-    sender.open, sender.reading = 2, 9000
+    sender.open, sender.unread_tokens = 2, 9000
     large.routers["tcp://r0"].tick(large.now + 0.1)
     near = [a for _, a in large.sent if large.place(a) == "d0"]
     assert len(near) == load_reports.MOST_TOLD
@@ -269,7 +269,7 @@
     many.tick(load_reports.REPEAT_SECONDS)
     many.sent.clear()
     sender = many.server("tcp://r0")
-    sender.open, sender.reading = 1, 600
+    sender.open, sender.unread_tokens = 1, 600
     many.routers["tcp://r0"].tick(many.now + 0.1)
     assert not [each for each in many.sent if each[0] == "tcp://r0"]
     many.routers["tcp://r0"].tick(many.now + load_reports.REPEAT_SECONDS)
