--- a/pimentoledge/routing/attempt_loads.py
+++ b/pimentoledge/routing/attempt_loads.py
@@ -1,4 +1,4 @@
-"""What one attempt adds to what its server is believed to have."""
+"""Accounts for the load of one attempt at its server."""
 
 from pimentoledge.routing import backends
 from pimentoledge.routing import first_events
@@ -7,13 +7,13 @@
 
 
 class AttemptLoad:
-    """Counts an attempt at its server while it is open.
+    """Adds an attempt to the load of its server while it is open.
 
     Attributes:
-        client_request: the request.
+        client_request: the client's request.
         backend: the server.
-        dispatch: what is sent besides the request.
-        prompt_read: whether the server has read the prompt.
+        dispatch: routing data sent along with the request.
+        prompt_read: whether the prefill has finished or was given up.
     """
 
     def __init__(
@@ -33,10 +33,10 @@
         self._sent = 0.0
 
     def start(self, speeds: wait_estimates.Speeds, now: float) -> None:
-        """Takes that the request is being sent.
+        """Adds the attempt to the server's load when its request is sent.
 
         Args:
-            speeds: what first events have shown.
+            speeds: speeds estimated from first events.
             now: the time.
         """
         backend = self.backend
@@ -53,15 +53,15 @@
         backend.unread_tokens += self._reading
 
     def note_first_event(
-        self, found: first_events.FirstEventFit, now: float
+        self, fit: first_events.FirstEventFit, now: float
     ) -> None:
-        """Takes the first event: the server has read the prompt."""
-        found.note(now - self._sent, self._reading + self._ahead)
+        """Records the first event: the server has prefilled the prompt."""
+        fit.note(now - self._sent, self._reading + self._ahead)
         self.backend.read_since = now
         self.end_prompt_reading()
 
     def end_prompt_reading(self) -> None:
-        """Notes that the server does not, or no longer, read the prompt."""
+        """Removes the prompt from the server's unfinished prefill."""
         self.backend.unbegun -= self._unbegun
         self._unbegun = False
         self.backend.unread_tokens -= self._reading
@@ -69,6 +69,6 @@
         self.prompt_read = True
 
     def close(self) -> None:
-        """Takes the end of the attempt."""
+        """Removes the ended attempt from the server's load."""
         self.end_prompt_reading()
         self.backend.open -= 1
--- a/pimentoledge/routing/backends.py
+++ b/pimentoledge/routing/backends.py
@@ -1,4 +1,4 @@
-"""What this process believes of each backend server, and why."""
+"""The router's view of each backend server: load, health and cached parts."""
 
 import collections
 
@@ -7,36 +7,37 @@
 from pimentoledge.routing import registrations
 from pimentoledge.routing import request_types
 
-# How long a server is left alone after it said that it is full.
+# Backoff after a server reported that it is full.
 FULL_BACKOFF_SECONDS = 0.15
-# What a server says of its load holds for so long: a prompt of 9,000 tokens is
-# read in 0.3 s.
+# A load report counts in full for this long: a prompt of 9,000 tokens is
+# prefilled in 0.3 s.
 LOAD_FRESH_SECONDS = 0.5
-# Nothing of it holds after so long: most answers have ended by then.
+# A load report is ignored after this time: most responses have ended by then.
 LOAD_EXPIRY_SECONDS = 3.0
-# After a connection that failed; doubles with each further one.
+# Backoff after a failed connection; doubles with each further failure.
 FAILURE_BACKOFF_SECONDS = 0.5
 MAX_FAILURE_BACKOFF_SECONDS = 4.0
-# Weight of the newest request in the share of those that failed.
+# Weight of the newest request in the moving failure rate.
 FAILURE_RATE_WEIGHT = 0.15
-# A failure counts half as much after so long.
+# Half-life of the failure rate while no request is sent.
 FAILURE_RATE_HALF_LIFE_SECONDS = 2.0
-# Weight of the newest pause in the mean: some 30 events back still count.
+# Weight of the newest event gap in the moving mean, an effective window of
+# about 30 events.
 EVENT_GAP_WEIGHT = 0.03
-# Longer pauses tell of changes of weights, not of a runner's speed.
+# Longer gaps are caused by changes of weights, not by a runner's speed.
 MAX_EVENT_GAP_SECONDS = 0.4
-# Lives that are gone of which it is kept what they said of themselves: an entry
-# that an outage took comes back within seconds.
+# Removed incarnations whose notices are kept: an entry that an outage removed
+# is registered again within seconds.
 MAX_FORMER_NOTICES = 1000
 
 
 @attrs.define
 class CachedPart:
-    """A part that a server is believed to keep.
+    """A prompt part that a server is assumed to have cached.
 
     Attributes:
-        tokens: its length.
-        ready_at: when it will have been read there, and can be fetched.
+        tokens: length of the part.
+        ready_at: time at which it is prefilled there and can be fetched.
     """
 
     tokens: int
@@ -45,12 +46,12 @@
 
 @attrs.frozen(kw_only=True)
 class PeerLoad:
-    """What another router has at a server, by its last report.
+    """Another router's load at a server, from its last report.
 
     Attributes:
         open: requests that have not ended.
-        unbegun: those of them that have no event yet.
-        unread: prompt tokens of theirs that the server has yet to read.
+        unbegun: open requests without a first event.
+        unread: prompt tokens of these that the server has not prefilled yet.
     """
 
     open: int
@@ -60,11 +61,11 @@
 
 @attrs.define(kw_only=True)
 class ServerNotice:
-    """What one life of a server has said of itself in answers.
+    """What one incarnation of a server has announced in its responses.
 
     Attributes:
-        leaving: whether it leaves; it never takes that back.
-        retry_at: until when it asked this process for no request, or 0.
+        leaving: whether it is leaving; this is never revoked.
+        retry_at: end of the backoff that it requested of this process, or 0.
     """
 
     leaving: bool = False
@@ -73,33 +74,34 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Backend:
-    """One life of a backend server.
+    """One incarnation of a backend server.
 
     Attributes:
-        registration: what it last said of itself in the store.
-        notice: what it has said of itself in answers to this process.
-        open: requests of this process that it has and has not ended.
-        unread_tokens: prompt tokens of this process that it has yet to read.
-        read_since: since when it reads what is next, as far as is known.
-        unbegun: those of them that have no event yet.
-        load: what it last said of its load, or None.
-        load_open: `open` of this process when it said so.
-        load_unbegun: `unbegun` of this process when it said so.
-        load_at: when it said so.
-        load_first_hand: whether it said so to this process.
-        peer_loads: what other routers have there, by mailbox.
-        avoid_until: when it is tried again.
-        limited_until: until when its limit has no room for this process.
-        failures: failures in a row.
-        ended: whether something showed that this life has ended.
-        loading_until: until when it is believed to load weights.
-        parts: parts believed cached, by namespace and name, with tokens; the
-            least recently used first.
-        part_tokens: sum of them.
-        failure_rate: share of its last requests that it failed.
-        failure_rate_at: when that was last so.
-        mean_event_gap: mean pause between its events, in seconds; 0 if none
-            was seen.
+        registration: its last registration in the store.
+        notice: what it has announced in its responses to this process.
+        open: requests of this process that it has not ended.
+        unread_tokens: prompt tokens of this process that it has not prefilled
+            yet.
+        read_since: start of the prefill in progress, as far as known.
+        unbegun: open requests of this process without a first event.
+        load: its last load report, or None.
+        load_open: `open` at the time of the load report.
+        load_unbegun: `unbegun` at the time of the load report.
+        load_at: time of the load report.
+        load_first_hand: whether the report was sent to this process.
+        peer_loads: load of the other routers, by mailbox.
+        avoid_until: end of the backoff after a failure or a full server.
+        limited_until: time until which its rate limit is used up for this
+            process.
+        failures: consecutive failed connections.
+        ended: whether this incarnation is known to have ended.
+        loading_until: time until which it is assumed to load weights.
+        parts: parts assumed to be cached, by namespace and name; the least
+            recently used first.
+        part_tokens: total length of `parts`.
+        failure_rate: moving failure rate of its requests.
+        failure_rate_at: time of the last failure.
+        mean_event_gap: mean time between its events, in seconds; 0 if unknown.
     """
 
     registration: registrations.Registration
@@ -128,13 +130,13 @@
     mean_event_gap: float = 0.0
 
     def is_other_incarnation(self, born: int | None) -> bool:
-        """Returns whether a server's word is not of this life.
+        """Returns whether a message is from another incarnation of the server.
 
-        A later life's word shows that this one is over; the store tells of
-        the later one.
+        A message from a later incarnation also marks this one as ended; the
+        later one is added when its registration arrives from the store.
 
         Args:
-            born: when the life began that the word is of, or None.
+            born: start of the incarnation that sent the message, or None.
         """
         own = self.registration.born
         if None in (born, own) or born == own:
@@ -143,7 +145,7 @@
         return True
 
     def note_event_gap(self, seconds: float) -> None:
-        """Takes the pause between two events of one of its streams."""
+        """Adds the gap between two events of one of its streams to the mean."""
         if seconds > MAX_EVENT_GAP_SECONDS:
             return
         if not self.mean_event_gap:
@@ -153,34 +155,34 @@
         )
 
     def finish_loading(self) -> None:
-        """Takes the end of a load: it holds no part and takes work again."""
+        """Marks the end of a load of weights, which empties its cache."""
         self.forget_parts()
         self.loading_until = 0.0
 
     def announced_leaving(self) -> bool:
-        """Returns whether it has said that it leaves, here or in the store.
+        """Returns whether its leaving was announced, here or in the store.
 
-        The store may be behind: its entry doesn't take back an answer.
+        The store may be out of date, so its entry doesn't override a response.
         """
         return self.registration.leaving or self.notice.leaving
 
     def is_leaving(self) -> bool:
-        """Returns whether it asks for no new work, or has ended."""
+        """Returns whether it accepts no new work, or has ended."""
         return self.ended or self.announced_leaving()
 
     def is_backing_off(self, now: float) -> bool:
-        """Returns whether it has asked this process for no request yet.
+        """Returns whether a backoff that it requested is in effect.
 
-        Others may be served there meanwhile, so it doesn't count as down.
+        It may serve other clients meanwhile, so it doesn't count as down.
         """
         return now < self.notice.retry_at
 
     def is_unavailable(self, now: float) -> bool:
-        """Returns whether it backs off, or its limit is used up."""
+        """Returns whether it requested a backoff or its limit is used up."""
         return self.is_backing_off(now) or now < self.limited_until
 
     def available_at(self) -> float:
-        """Returns when it may be tried again, as far as is known."""
+        """Returns the earliest time at which it may be tried again."""
         return max(self.avoid_until, self.notice.retry_at, self.limited_until)
 
     def usable(self, now: float) -> bool:
@@ -193,10 +195,11 @@
         )
 
     def _load_freshness(self, now: float) -> float:
-        """Returns how much of what it last said of its load still holds.
+        """Returns the weight of the last load report, from 1 to 0.
 
-        It is told by its answers alone: one that said that many wait there
-        is sent nothing, and so would count as full for good.
+        Load reports come only with responses. A server that reported a long
+        queue gets no requests, so without the decay it would count as full
+        forever.
         """
         age = now - self.load_at - LOAD_FRESH_SECONDS
         return min(
@@ -204,44 +207,45 @@
         )
 
     def estimated_requests(self, now: float) -> float:
-        """Returns how many requests it is believed to have."""
+        """Returns the estimated number of requests at the server."""
         known = self.open + sum(each.open for each in self.peer_loads.values())
         if self.load is None:
             return known
-        said = self.load.running + self.load.waiting - self.load_open
-        return max(known, said * self._load_freshness(now) + self.open)
+        reported = self.load.running + self.load.waiting - self.load_open
+        return max(known, reported * self._load_freshness(now) + self.open)
 
     def queued(self, now: float) -> float:
-        """Returns how many requests it is believed to have not yet begun."""
-        others = sum(each.unbegun for each in self.peer_loads.values())
-        known = self.unbegun + others
+        """Returns the estimated number of requests without a first event."""
+        peers = sum(each.unbegun for each in self.peer_loads.values())
+        known = self.unbegun + peers
         if self.load is None:
             return known
-        said = self.load.waiting - self.load_unbegun
-        return max(known, said * self._load_freshness(now) + self.unbegun)
+        reported = self.load.waiting - self.load_unbegun
+        return max(known, reported * self._load_freshness(now) + self.unbegun)
 
     def outstanding(self) -> int:
-        """Returns the prompt tokens of requests without an event yet."""
-        others = self.peer_loads.values()
-        return self.unread_tokens + sum(each.unread for each in others)
+        """Returns the prompt tokens of known requests without a first event."""
+        peers = self.peer_loads.values()
+        return self.unread_tokens + sum(each.unread for each in peers)
 
     def unread(self, mean: float, now: float, token_seconds: float) -> int:
-        """Returns how many prompt tokens it is believed to have yet to read.
+        """Returns the estimated prompt tokens that it has not prefilled yet.
 
-        Of what is next it has read a part already. Requests of routers that
-        don't report here show in what it says waits.
+        The prefill in progress is counted as partly done. Requests of routers
+        that don't report to this one are estimated from the server's reported
+        queue.
 
         Args:
-            mean: tokens that such a request is to have read.
+            mean: mean prompt tokens of such a request to prefill.
             now: the time.
-            token_seconds: in which it reads a token; 0 if that isn't known.
+            token_seconds: prefill time per token; 0 if unknown.
         """
         known = self.outstanding()
         if known and token_seconds:
             read = (now - self.read_since) / token_seconds
             known = max(0, known - int(read))
-        others = self.peer_loads.values()
-        unbegun = self.unbegun + sum(each.unbegun for each in others)
+        peers = self.peer_loads.values()
+        unbegun = self.unbegun + sum(each.unbegun for each in peers)
         return known + int(mean * max(0, self.queued(now) - unbegun))
 
     def update_load(
@@ -251,7 +255,7 @@
         *,
         first_hand: bool = True,
     ) -> None:
-        """Takes what it says of its load, to this process or to another."""
+        """Stores a load report, received directly or through another router."""
         self.load = load
         self.load_first_hand = first_hand
         self.load_open = self.open
@@ -259,36 +263,39 @@
         self.load_at = now
 
     def back_off_full(self, now: float) -> None:
-        """Leaves it alone for a moment."""
+        """Starts a short backoff because the server is full."""
         self.avoid_until = max(self.avoid_until, now + FULL_BACKOFF_SECONDS)
 
     def note_connection_failure(self, now: float) -> None:
-        """Leaves it alone, longer with each failure in a row."""
+        """Starts a backoff, longer with each consecutive failure."""
         self.note_request_failure(now)
-        pause = FAILURE_BACKOFF_SECONDS * 2**self.failures
+        backoff = FAILURE_BACKOFF_SECONDS * 2**self.failures
         self.failures = min(self.failures + 1, 4)
-        self.avoid_until = now + min(pause, MAX_FAILURE_BACKOFF_SECONDS)
+        self.avoid_until = now + min(backoff, MAX_FAILURE_BACKOFF_SECONDS)
 
     def is_unreachable(self, now: float) -> bool:
-        """Returns whether no connection to it could be opened just now."""
+        """Returns whether it is in backoff after a failed connection."""
         return self.failures > 0 and now < self.avoid_until
 
     def note_success(self) -> None:
-        """Takes an answer as proof that it works."""
+        """Resets the failure backoff and lowers the failure rate."""
         self.failures = 0
         self.failure_rate -= FAILURE_RATE_WEIGHT * self.failure_rate
 
     def note_request_failure(self, now: float) -> None:
-        """Takes a request that failed; a status check would tell nothing."""
+        """Raises the failure rate after a failed request.
+
+        Status checks don't count: a server may pass them and fail requests.
+        """
         self.failure_rate = self.decayed_failure_rate(now)
         self.failure_rate += FAILURE_RATE_WEIGHT * (1 - self.failure_rate)
         self.failure_rate_at = now
 
     def decayed_failure_rate(self, now: float) -> float:
-        """Returns its trouble; old evidence counts less.
+        """Returns the failure rate, decayed by the time since the last failure.
 
-        One that failed gets no requests while others are free, so nothing
-        else would ever show that it has recovered.
+        A failed server gets no requests while others are free, so without the
+        decay its recovery would never be detected.
         """
         return self.failure_rate * 0.5 ** (
             (now - self.failure_rate_at) / FAILURE_RATE_HALF_LIFE_SECONDS
@@ -297,33 +304,34 @@
     def cached_tokens(
         self, namespace: str, parts: tuple, ready_by: float | None = None
     ) -> int:
-        """Returns how many of a prompt's first tokens it holds.
+        """Returns the number of a prompt's leading tokens that it has cached.
 
         Args:
-            namespace: under which they are found.
+            namespace: cache namespace of the parts.
             parts: the prompt's parts.
-            ready_by: counts only those that can be fetched by then, or None.
+            ready_by: if given, counts only parts that can be fetched by then.
         """
         total = 0
         for part in parts:
-            held = self.parts.get((namespace, part.name))
-            if held is None:
+            cached = self.parts.get((namespace, part.name))
+            if cached is None:
                 break
-            if ready_by is not None and held.ready_at > ready_by:
+            if ready_by is not None and cached.ready_at > ready_by:
                 break
             total += part.tokens
         return total
 
     def note_parts(
-        self, namespace: str, parts: tuple, most: int, ready_at: float
+        self, namespace: str, parts: tuple, max_tokens: int, ready_at: float
     ) -> None:
-        """Notes that it will hold these parts of a prompt.
+        """Records the parts of a prompt that it will have cached.
 
         Args:
-            namespace: under which they are found.
-            parts: the parts.
-            most: tokens of parts that it is believed to keep.
-            ready_at: when it will have read them.
+            namespace: cache namespace of the parts.
+            parts: the prompt's parts.
+            max_tokens: capacity for cached parts; the least recently used are
+                evicted beyond it.
+            ready_at: time at which it will have prefilled them.
         """
         for part in parts:
             key = (namespace, part.name)
@@ -332,83 +340,86 @@
                 continue
             self.parts[key] = CachedPart(part.tokens, ready_at)
             self.part_tokens += part.tokens
-        while self.part_tokens > most and self.parts:
-            _, held = self.parts.popitem(last=False)
-            self.part_tokens -= held.tokens
+        while self.part_tokens > max_tokens and self.parts:
+            _, evicted = self.parts.popitem(last=False)
+            self.part_tokens -= evicted.tokens
 
     def note_parts_read(self, namespace: str, parts: tuple, now: float) -> None:
-        """Notes that it has read these parts."""
+        """Marks these parts as prefilled and ready to fetch."""
         for part in parts:
-            held = self.parts.get((namespace, part.name))
-            if held is not None:
-                held.ready_at = min(held.ready_at, now)
+            cached = self.parts.get((namespace, part.name))
+            if cached is not None:
+                cached.ready_at = min(cached.ready_at, now)
 
     def forget_parts(self) -> None:
-        """Notes that it holds nothing."""
+        """Clears the parts that it is assumed to have cached."""
         self.parts.clear()
         self.part_tokens = 0
 
 
 class Backends:
-    """All backend servers that are declared.
+    """All declared backend servers.
 
     Attributes:
-        by_incarnation: every one of them, by its present life.
-        by_server: the same, by the server's id.
-        by_service: the same, by service.
+        by_incarnation: the servers by their current incarnation.
+        by_server: the servers by id.
+        by_service: the servers by service.
     """
 
     def __init__(self):
         self.by_incarnation: dict[str, Backend] = {}
         self.by_server: dict[str, Backend] = {}
         self.by_service: dict[str, list[Backend]] = {}
-        self._gone: collections.OrderedDict[str, ServerNotice] = (
+        self._former_notices: collections.OrderedDict[str, ServerNotice] = (
             collections.OrderedDict()
         )
 
     def put(self, registration: registrations.Registration) -> Backend:
-        """Takes a registration, new or changed; returns the present life.
+        """Applies a registration and returns the server's current incarnation.
 
-        A former life's late word changes nothing.
+        A late registration of a former incarnation is ignored.
         """
-        found = self.by_server.get(registration.server)
-        if found is None:
+        backend = self.by_server.get(registration.server)
+        if backend is None:
             return self._add(registration)
-        before = found.registration
+        before = backend.registration
         if registration.is_older_than(before):
-            return found
+            return backend
         if registration.incarnation != before.incarnation:
             self.remove(registration.server)
             return self._add(registration)
         if registration.service != before.service:
-            self.by_service[before.service].remove(found)
-            self.by_service.setdefault(registration.service, []).append(found)
-        found.registration = registration
+            self.by_service[before.service].remove(backend)
+            self.by_service.setdefault(registration.service, []).append(backend)
+        backend.registration = registration
         if before.weights != registration.weights:
-            found.finish_loading()
-        return found
+            backend.finish_loading()
+        return backend
 
     def _add(self, registration: registrations.Registration) -> Backend:
         notice = (
-            self._gone.pop(registration.incarnation, None) or ServerNotice()
+            self._former_notices.pop(registration.incarnation, None)
+            or ServerNotice()
         )
-        found = Backend(registration=registration, notice=notice)
-        self.by_incarnation[registration.incarnation] = found
-        self.by_server[registration.server] = found
-        self.by_service.setdefault(registration.service, []).append(found)
-        return found
+        backend = Backend(registration=registration, notice=notice)
+        self.by_incarnation[registration.incarnation] = backend
+        self.by_server[registration.server] = backend
+        self.by_service.setdefault(registration.service, []).append(backend)
+        return backend
 
     def remove(self, server: str) -> Backend | None:
-        """Takes away a server that is no longer declared."""
-        found = self.by_server.pop(server, None)
-        if found is not None:
-            del self.by_incarnation[found.registration.incarnation]
-            self.by_service[found.registration.service].remove(found)
-            found.ended = True
-            self._gone[found.registration.incarnation] = found.notice
-            while len(self._gone) > MAX_FORMER_NOTICES:
-                self._gone.popitem(last=False)
-        return found
+        """Removes a server that is no longer declared and returns it."""
+        backend = self.by_server.pop(server, None)
+        if backend is not None:
+            del self.by_incarnation[backend.registration.incarnation]
+            self.by_service[backend.registration.service].remove(backend)
+            backend.ended = True
+            self._former_notices[backend.registration.incarnation] = (
+                backend.notice
+            )
+            while len(self._former_notices) > MAX_FORMER_NOTICES:
+                self._former_notices.popitem(last=False)
+        return backend
 
     def of_service(self, service: str) -> list[Backend]:
         """Returns the servers of a service."""
--- a/pimentoledge/routing/cache_sources.py
+++ b/pimentoledge/routing/cache_sources.py
@@ -1,4 +1,4 @@
-"""Where cached parts can be fetched from, and how long that takes."""
+"""Finds servers to fetch cached parts from and estimates transfer times."""
 
 import math
 
@@ -8,28 +8,29 @@
 from pimentoledge.routing import configurations
 from pimentoledge.routing import request_types
 
-# After another router sent a prompt to a runner, until its parts can be fetched
-# from there: the time to the first event of a prompt of 9,000 tokens behind
-# one as long. Asked for sooner, they would be missed and read again.
+# Delay from dispatching a prompt to a runner until its parts can be fetched
+# from there: the time to the first event of a prompt of 9,000 tokens queued
+# behind one as long. An earlier fetch would miss, and the parts would be
+# prefilled again.
 READY_SECONDS = 0.6
-# Between data centres a transfer takes so many times as long (users' pages).
+# A transfer between data centres takes this many times as long.
 REMOTE_TRANSFER_FACTOR = 2.0
-# For how long a transfer counts into how busy a link is of late.
+# Time constant of the moving link utilization.
 LINK_WINDOW_SECONDS = 2.0
-# Where the configuration doesn't tell a link's speed or a token's memory: as
-# on the engines of the users' first pages.
+# Defaults for a link's speed in bytes a second and a token's memory in bytes,
+# used if the configuration doesn't set them.
 DEFAULT_LINK_BYTES = 340e9 / 8
 DEFAULT_TOKEN_BYTES = 131072
 
 
 @attrs.frozen(kw_only=True)
 class CacheSource:
-    """A server that keeps the first parts of a prompt.
+    """A server that has cached the first parts of a prompt.
 
     Attributes:
-        address: of it.
-        data_centre: where it is.
-        tokens: how much of the prompt it keeps.
+        address: address of the server.
+        data_centre: data centre of the server.
+        tokens: number of the prompt's leading tokens that it has cached.
     """
 
     address: str
@@ -38,26 +39,27 @@
 
 
 class Links:
-    """How busy the links of KV cache servers are with what is saved.
+    """Utilization of the links of KV cache servers by saved parts.
 
     Attributes:
-        carried: seconds of transfers of late, by address, and as of when.
+        carried: decayed seconds of recent transfers and the time of their last
+            update, by address.
     """
 
     def __init__(self):
         self.carried: dict[str, tuple[float, float]] = {}
 
     def note_transfer(self, address: str, seconds: float, now: float) -> None:
-        """Takes a transfer that was asked for."""
+        """Adds a requested transfer to a link's utilization."""
         self.carried[address] = (
             self._decayed_seconds(address, now) + seconds,
             now,
         )
 
     def busy_share(self, address: str, now: float) -> float:
-        """Returns which part of the last seconds a link was busy.
+        """Returns the recent utilization of a link.
 
-        Over 1, what it was asked to carry piles up.
+        Over 1, transfers are requested faster than the link completes them.
         """
         return self._decayed_seconds(address, now) / LINK_WINDOW_SECONDS
 
@@ -71,45 +73,47 @@
     *,
     service: configurations.Service | None,
     link_bytes: float | None,
-    apart: bool,
+    remote: bool,
 ) -> float:
-    """Returns how long a transfer of cached parts takes, but for queues.
+    """Returns the time to transfer cached parts, without queueing.
 
     Args:
-        tokens: of the parts.
+        tokens: number of tokens of the parts.
         service: the runners' service.
-        link_bytes: bytes in a second of the link at the other end, or None.
-        apart: whether the ends are in two data centres.
+        link_bytes: speed of the link at the other end in bytes a second, or
+            None.
+        remote: whether the ends are in different data centres.
     """
     size = (service and service.token_bytes) or DEFAULT_TOKEN_BYTES
     own = (service and service.link_bytes) or DEFAULT_LINK_BYTES
     seconds = tokens * size / min(own, link_bytes or own)
-    return seconds * REMOTE_TRANSFER_FACTOR if apart else seconds
+    return seconds * REMOTE_TRANSFER_FACTOR if remote else seconds
 
 
 @attrs.frozen(kw_only=True)
 class Sources:
-    """What can be fetched of a prompt.
+    """The servers that a prompt's cached parts can be fetched from.
 
     Attributes:
-        best: the servers to fetch from: of each data centre that with most.
-        pending_tokens: tokens of the first parts that some runner keeps or is
-            about to have read.
+        best: the runner with the most cached tokens in each data centre, and
+            the KV cache server if there is one.
+        pending_tokens: leading tokens that some runner has cached or will have
+            prefilled soon.
     """
 
     best: tuple[CacheSource, ...] = ()
     pending_tokens: int = 0
 
-    def for_runner(self, data_centre: str, held: int) -> CacheSource | None:
-        """Returns where a runner should fetch from, or None.
+    def for_runner(self, data_centre: str, cached: int) -> CacheSource | None:
+        """Returns the source that a runner should fetch from, or None.
 
         Args:
-            data_centre: the runner's.
-            held: how much of the prompt it keeps itself.
+            data_centre: the runner's data centre.
+            cached: leading tokens of the prompt that it has cached itself.
         """
-        found = [each for each in self.best if each.tokens > held]
+        useful = [each for each in self.best if each.tokens > cached]
         return max(
-            found,
+            useful,
             key=lambda each: (each.tokens, each.data_centre == data_centre),
             default=None,
         )
@@ -125,39 +129,39 @@
     parts: tuple[request_types.Part, ...],
     now: float,
 ) -> Sources:
-    """Returns what can be fetched of a prompt under weights.
+    """Returns where a prompt's parts can be fetched for a version of weights.
 
-    A runner is a source only while it has the same weights: what its runs
-    leave under the namespace after a change would be made on others.
+    A runner is a source only while it has the same weights: after a change, its
+    runs would add parts of other weights to the namespace.
 
     Args:
-        runners: all of the service.
-        stored: the KV cache server with what it keeps, or None.
+        runners: all runners of the service.
+        stored: the KV cache server and its cached tokens, or None.
         model: the model.
-        version: the weights.
-        namespace: under which the parts are found.
-        parts: the shared parts.
+        version: version of the weights.
+        namespace: cache namespace of the parts.
+        parts: the prompt's shared parts.
         now: the time.
     """
     best: dict[str, CacheSource] = {}
-    coming = 0
+    pending = 0
     for each in runners:
-        held = each.cached_tokens(namespace, parts)
-        if not held or each.registration.weights.get(model) != version:
+        cached = each.cached_tokens(namespace, parts)
+        if not cached or each.registration.weights.get(model) != version:
             continue
         if not each.usable(now):
             continue
-        coming = max(coming, held)
+        pending = max(pending, cached)
         ready = each.cached_tokens(namespace, parts, ready_by=now)
-        place = each.registration.data_centre
-        known = best.get(place)
+        data_centre = each.registration.data_centre
+        known = best.get(data_centre)
         if ready and (known is None or ready > known.tokens):
-            best[place] = CacheSource(
+            best[data_centre] = CacheSource(
                 address=each.registration.address,
-                data_centre=place,
+                data_centre=data_centre,
                 tokens=ready,
             )
-    found = list(best.values())
+    sources = list(best.values())
     if stored is not None:
-        found.append(stored)
-    return Sources(best=tuple(found), pending_tokens=coming)
+        sources.append(stored)
+    return Sources(best=tuple(sources), pending_tokens=pending)
--- a/pimentoledge/routing/capacity_checks.py
+++ b/pimentoledge/routing/capacity_checks.py
@@ -1,36 +1,37 @@
-"""Whether a runner should get one more request."""
+"""Checks whether a runner has capacity for one more request."""
 
 import enum
 
 import attrs
 
-# Part of a runner's slots that less urgent requests may fill. What reads long
-# prompts slows all answers of its runner: with every slot open to them, short
-# answers take ten times as long, keep their slots, and nothing ends in time.
-# With a quarter of 60 runners dark and more asked than the rest can read, this
-# and the bound on time brought the short answers in time from 37 to 84 of 100,
-# and prompts of 9,000 tokens from 37 to 53 (played once each).
+# Share of a runner's slots that less urgent requests may use. Prefilling long
+# prompts slows all responses of a runner: with every slot open to them, short
+# responses take ten times as long, occupy their slots, and nothing ends in
+# time. With a quarter of 60 runners unreachable and more load than the rest can
+# prefill, this and MAX_WAIT_OBJECTIVES raise the short responses in time from
+# 37 to 84 of 100, and those of prompts of 9,000 tokens from 37 to 53.
 LESS_URGENT_SLOTS = 0.7
 # The same for the most urgent.
 URGENT_SLOTS = 1.0
-# Part of a runner's memory that the requests it has may take. Beyond it
-# cached parts yield to what runs, so each prompt is read whole, takes longer,
-# and more pile up: the congestion then outlasts its cause.
+# Share of a runner's memory that its requests may use. Beyond it cached parts
+# are evicted for running requests, so each prompt is prefilled in full, takes
+# longer, and requests pile up: the congestion then outlasts its cause.
 MEMORY_SHARE = 0.9
 # The same for the most urgent requests, so that the others are refused first.
 URGENT_MEMORY_SHARE = 1.5
-# A first event that is expected later than so many times its objective is not
-# worth what it takes from others. Where more come than can be read, as many
-# are let in as make the wait as long as this: beyond 1 all would be late.
+# Longest expected time to the first event, as a multiple of its objective.
+# Under overload, requests are admitted until the wait reaches this limit, so
+# with a value over 1 all of them would be late.
 MAX_WAIT_OBJECTIVES = 1.0
-# But a wait for others of so many times the objective is borne: a prompt that
-# takes longer to read than its objective would else be shut out everywhere,
-# and where reading was guessed too slow, nothing would show it.
+# A wait for other requests of up to this multiple of the objective is always
+# accepted. Otherwise a prompt whose own prefill exceeds its objective would be
+# refused everywhere, and an underestimated prefill speed would never be
+# corrected because no request would be sent.
 TOLERATED_QUEUE_OBJECTIVES = 0.3
 
 
 class Shortage(enum.StrEnum):
-    """What a runner has too little of for one more request."""
+    """The resource that a runner lacks for one more request."""
 
     SLOTS = "slots"
     MEMORY = "memory"
@@ -43,9 +44,9 @@
 
     Attributes:
         urgent: whether its route is among the most urgent.
-        mean_tokens: what the requests that a runner has hold, in the mean.
-        memory: tokens of a runner's memory, or None if that isn't known.
-        objective_seconds: time within which its first event is worth most.
+        mean_tokens: mean memory use of a runner's requests, in tokens.
+        memory: size of a runner's memory in tokens, or None if unknown.
+        objective_seconds: target time to the first event.
     """
 
     urgent: bool
@@ -56,37 +57,37 @@
 
 def shortage(
     slots: int,
-    need: Demand,
+    demand: Demand,
     *,
     busy: float,
     first_seconds: float,
     wait_seconds: float,
 ) -> Shortage | None:
-    """Returns what a runner lacks for one more request, or None.
+    """Returns the resource that a runner lacks for one more request, or None.
 
-    A runner without requests lacks nothing: else a long prompt would be shut
-    out everywhere.
+    An idle runner always has capacity: otherwise a long prompt would be refused
+    everywhere.
 
     Args:
-        slots: the runner's.
-        need: what the request needs.
-        busy: requests that the runner has.
-        first_seconds: its expected time to the first event there.
-        wait_seconds: for how long of that it would wait for others.
+        slots: number of the runner's slots.
+        demand: what the request needs.
+        busy: number of requests at the runner.
+        first_seconds: expected time to the first event there.
+        wait_seconds: the share of that time spent waiting for other requests.
     """
     if not busy:
         return None
-    part = URGENT_SLOTS if need.urgent else LESS_URGENT_SLOTS
-    if busy + 1 > part * slots:
+    slot_share = URGENT_SLOTS if demand.urgent else LESS_URGENT_SLOTS
+    if busy + 1 > slot_share * slots:
         return Shortage.SLOTS
-    share = URGENT_MEMORY_SHARE if need.urgent else MEMORY_SHARE
-    held = (busy + 1) * need.mean_tokens
-    if need.memory is not None and held > share * need.memory:
+    memory_share = URGENT_MEMORY_SHARE if demand.urgent else MEMORY_SHARE
+    used = (busy + 1) * demand.mean_tokens
+    if demand.memory is not None and used > memory_share * demand.memory:
         return Shortage.MEMORY
-    late = first_seconds > MAX_WAIT_OBJECTIVES * need.objective_seconds
+    late = first_seconds > MAX_WAIT_OBJECTIVES * demand.objective_seconds
     if (
         late
-        and wait_seconds > TOLERATED_QUEUE_OBJECTIVES * need.objective_seconds
+        and wait_seconds > TOLERATED_QUEUE_OBJECTIVES * demand.objective_seconds
     ):
         return Shortage.TIME
     return None
--- a/pimentoledge/routing/first_events.py
+++ b/pimentoledge/routing/first_events.py
@@ -1,38 +1,40 @@
-"""How long the tokens that a runner has yet to read keep a first event."""
+"""Estimates the time to a first event from the tokens to prefill."""
 
 import attrs
 
-# What a stream weighs after one more: some fifty back still count, ten to
-# twenty seconds at a router that begins a few streams a second.
+# Factor applied to a stream's weight by each later one: an effective window of
+# about 50 streams, or 10 to 20 seconds at a few streams a second.
 DECAY = 0.98
-# First guesses: engines read 32 to 157 tokens in a ms, between steps of 4 to 7
-# ms; a prompt that is all kept has its first event after some 0.09 s.
+# Initial estimates: engines prefill 32 to 157 tokens a ms, between decode steps
+# of 4 to 7 ms; a fully cached prompt has its first event after about 0.09 s.
 FIRST_BASE_SECONDS = 0.09
 FIRST_TOKEN_SECONDS = 3e-5
-# Streams that the first guess counts for, at none and at so many tokens.
+# Weight of the initial estimate in streams, at zero and at GUESS_TOKENS tokens.
 GUESS_WEIGHT = 2.0
 GUESS_TOKENS = 10000.0
-# Engines five times as fast, and five times as slow, as any that was measured.
+# Bounds of the estimate: five times as fast and five times as slow as any known
+# engine.
 MIN_TOKEN_SECONDS = 1e-6
 MAX_TOKEN_SECONDS = 2.5e-4
-# One first event counts for so many times what was expected at most.
+# A first event is capped at this multiple of the expected time, so that one
+# stalled stream does not distort the estimate.
 MAX_OUTLIER_FACTOR = 4.0
 
 
 @attrs.define(kw_only=True)
 class FirstEventFit:
-    """A line through first events, by the tokens to read before each.
+    """A linear fit of time to first event against tokens to prefill.
 
-    Least squares, in which older streams count less and a first guess always
-    counts a little: without it a few streams of one length would leave the
-    line's slope to chance.
+    Uses weighted least squares with exponential decay of older streams. The
+    initial estimate keeps a constant weight: without it, a few streams of the
+    same length would leave the slope undetermined.
 
     Attributes:
         weight: sum of the streams' weights.
-        tokens: sum of the tokens to read, weighted.
-        seconds: sum of the times to the first event, weighted.
-        squares: sum of the tokens' squares, weighted.
-        products: sum of tokens times seconds, weighted.
+        tokens: weighted sum of the tokens to prefill.
+        seconds: weighted sum of the times to the first event.
+        squares: weighted sum of the squared tokens.
+        products: weighted sum of tokens times seconds.
     """
 
     weight: float = 0.0
@@ -43,41 +45,43 @@
 
     @property
     def token_seconds(self) -> float:
-        """Seconds for each token that is to be read before a first event."""
+        """Time for each token to prefill before a first event, in seconds."""
         return self._line()[1]
 
     def expected_seconds(self, tokens: int) -> float:
-        """Returns the expected time to a first event.
+        """Returns the expected time to a first event, in seconds.
 
         Args:
-            tokens: that the runner reads before it.
+            tokens: tokens that the runner prefills before it.
         """
-        base, each = self._line()
-        return base + each * tokens
+        base, slope = self._line()
+        return base + slope * tokens
 
     def note(self, first_seconds: float, tokens: int) -> None:
-        """Takes a first event.
+        """Adds a first event to the fit.
 
         Args:
-            first_seconds: from sending the request until it came.
-            tokens: that the runner was believed to read before it.
+            first_seconds: time from sending the request to its first event.
+            tokens: estimated tokens that the runner prefilled before it.
         """
-        most = MAX_OUTLIER_FACTOR * self.expected_seconds(tokens)
-        found = min(first_seconds, most)
+        max_seconds = MAX_OUTLIER_FACTOR * self.expected_seconds(tokens)
+        capped = min(first_seconds, max_seconds)
         self.weight = DECAY * self.weight + 1
         self.tokens = DECAY * self.tokens + tokens
-        self.seconds = DECAY * self.seconds + found
+        self.seconds = DECAY * self.seconds + capped
         self.squares = DECAY * self.squares + tokens * tokens
-        self.products = DECAY * self.products + tokens * found
+        self.products = DECAY * self.products + tokens * capped
 
     def _line(self) -> tuple[float, float]:
-        """Returns the line's value at no tokens, and its slope."""
-        far = FIRST_BASE_SECONDS + GUESS_TOKENS * FIRST_TOKEN_SECONDS
+        """Returns the time at zero tokens and the time per token."""
+        guess_seconds = FIRST_BASE_SECONDS + GUESS_TOKENS * FIRST_TOKEN_SECONDS
         weight = self.weight + 2 * GUESS_WEIGHT
         tokens = self.tokens + GUESS_WEIGHT * GUESS_TOKENS
-        seconds = self.seconds + GUESS_WEIGHT * (FIRST_BASE_SECONDS + far)
+        seconds = self.seconds + GUESS_WEIGHT * (
+            FIRST_BASE_SECONDS + guess_seconds
+        )
         squares = self.squares + GUESS_WEIGHT * GUESS_TOKENS**2
-        products = self.products + GUESS_WEIGHT * GUESS_TOKENS * far
+        products = self.products + GUESS_WEIGHT * GUESS_TOKENS * guess_seconds
         slope = (weight * products - tokens * seconds) / (
             weight * squares - tokens**2
         )
--- a/pimentoledge/routing/memory_estimates.py
+++ b/pimentoledge/routing/memory_estimates.py
@@ -1,15 +1,16 @@
-"""What requests hold of a runner's memory."""
+"""Estimates of the runner memory that requests use."""
 
 import attrs
 
 from pimentoledge.routing import request_types
 
-# Weight of the newest request in the mean: some fifty back still count.
+# Weight of the newest request in the moving mean, an effective window of about
+# 50 requests.
 NEWEST_WEIGHT = 0.02
 
 
 def unshared_tokens(client_request: request_types.ClientRequest) -> int:
-    """Returns the tokens of a request that no other request shares."""
+    """Returns the prompt and answer tokens that no other request shares."""
     return (
         max(0, client_request.unshared_tokens()) + client_request.answer_tokens
     )
@@ -17,10 +18,10 @@
 
 @attrs.define(kw_only=True)
 class MeanTokens:
-    """The mean of what a model's requests don't share.
+    """A moving mean of the unshared tokens of a model's requests.
 
-    A runner tells how many requests it has and not what they hold; those of
-    the other routers are taken to be like this one's.
+    Runners report their number of requests but not their sizes, so requests of
+    other routers are assumed to be the same size as this router's.
 
     Attributes:
         tokens: the mean, or None before the first request.
@@ -33,7 +34,7 @@
         return self.tokens or 0.0
 
     def note(self, tokens: int) -> None:
-        """Takes a request."""
+        """Adds the unshared tokens of a request to the mean."""
         if self.tokens is None:
             self.tokens = float(tokens)
         self.tokens += NEWEST_WEIGHT * (tokens - self.tokens)
--- a/pimentoledge/routing/placements.py
+++ b/pimentoledge/routing/placements.py
@@ -1,4 +1,4 @@
-"""Which server a request is sent to."""
+"""Ranks backend servers for a request by cost."""
 
 import collections
 
@@ -11,44 +11,48 @@
 from pimentoledge.routing import request_types
 from pimentoledge.routing import wait_estimates
 
-# Another data centre: its bytes are dear, so it is worth a queue.
+# Penalty for another data centre: traffic between data centres is expensive, so
+# a local queue is preferable.
 REMOTE_DATA_CENTRE_MS = 120.0
-# Requests that begin on older weights lose a part of their worth.
+# Penalty for starting on older weights, whose answers are worth less.
 OLDER_WEIGHTS_MS = 150.0
-# Keeps requests that share a prompt together when all else is alike.
+# Largest tie-breaker, which keeps requests that share a prompt together when
+# the other costs are equal.
 TIE_BREAK_MS = 6.0
-# A token of a shared part that is read by a second runner: it is paid for, and
-# weighs more than the wait.
+# Penalty per token of a shared part that a second runner would prefill: the
+# repeated work is paid for and costs more than the wait.
 DUPLICATE_READ_MS = 0.1
-# A long prompt read at a runner that is slower by its own measure again: its
-# chunks stretch the pauses of all streams there. At 1.3 times the pace of the
-# others, four chunks between two events take 230 to 250 ms.
+# Penalty per prompt token for each multiple of the fastest runner's event gap
+# by which a runner is slower: the chunks of a long prompt lengthen the gaps of
+# all streams there. With event gaps 1.3 times those of the others, four chunks
+# between two events take 230 to 250 ms.
 SLOW_RUNNER_MS = 0.08
-# Prompts shorter than a chunk don't stretch pauses.
+# Prompts shorter than a chunk don't lengthen event gaps.
 CHUNK_TOKENS = 1024
-# A server that failed all of its last requests, by their share.
+# Penalty for a server that failed all of its recent requests; scaled by its
+# failure rate.
 FAILURE_RATE_MS = 400.0
-# Part of an engine's memory that is believed to stay cached.
+# Share of an engine's memory that is assumed to hold cached parts.
 CACHED_SHARE = 0.7
 
 
 @attrs.frozen(kw_only=True)
 class Criteria:
-    """What a choice takes into account besides the servers.
+    """The inputs of a placement decision besides the servers.
 
     Attributes:
-        data_centre: this router's.
+        data_centre: this router's data centre.
         parts: the shared parts of the prompt.
-        unshared: tokens that no other request shares.
-        demand: what the request needs of a runner, or None where requests are
-            not read before they begin.
-        model: the model asked for, or "".
+        unshared: prompt tokens that no other request shares.
+        demand: what the request needs of a runner, or None for services
+            without a prefill phase.
+        model: the requested model, or "".
         newest: newest version of its weights, or None.
-        isolated_by: organisation that shares no cached part, or "".
-        sources: what can be fetched, under the newest weights.
-        speeds: what first events have shown.
-        local_first: whether servers of the own data centre go before all
-            others.
+        isolated_by: organisation that shares no cached parts, or "".
+        sources: where cached parts of the newest weights can be fetched.
+        speeds: speeds estimated from first events.
+        local_first: whether servers of this router's data centre are preferred
+            to all others regardless of cost.
     """
 
     data_centre: str
@@ -66,26 +70,27 @@
 def namespace(version: int, isolated_by: str) -> str:
     """Returns the namespace of cached parts.
 
-    Parts made under other weights, or for an organisation that shares none,
-    must never be found: neither the engine nor the KV cache server checks.
+    Separate namespaces isolate parts of other weights and of organisations that
+    share none, because neither the engine nor the KV cache server checks
+    either.
     """
     return f"{version}.{isolated_by}" if isolated_by else str(version)
 
 
 def weights_of(backend: backends.Backend, model: str) -> int | None:
-    """Returns the version of a model's weights that a server has."""
+    """Returns the version of a model's weights that a server has loaded."""
     return backend.registration.weights.get(model)
 
 
 @attrs.frozen(kw_only=True)
 class ServerCandidate:
-    """What a server offers a request.
+    """The cost of placing a request on a server.
 
     Attributes:
         backend: the server.
         first_seconds: expected time to the first event.
-        penalty_ms: what else is lost there, as a wait that would be worth it.
-        shortage: what it has too little of, or None.
+        penalty_ms: other costs, as the equivalent wait in ms.
+        shortage: the resource that the server has too little of, or None.
     """
 
     backend: backends.Backend
@@ -95,19 +100,19 @@
 
     @property
     def cost(self) -> float:
-        """The expected wait, in ms, with what it loses."""
+        """The expected wait plus the penalties, in ms."""
         return 1000 * self.first_seconds + self.penalty_ms
 
 
 @attrs.frozen(kw_only=True)
 class Choice:
-    """The server chosen for a request, and against what.
+    """The server chosen for a request and the alternatives.
 
     Attributes:
-        candidate: the server's.
-        second_cost: cost of the next best, or None if no other had room.
-        usable: how many could have been chosen.
-        declared: how many were declared and not yet tried.
+        candidate: the chosen candidate.
+        second_cost: cost of the next best, or None if no other had capacity.
+        usable: number of servers that accept new work.
+        declared: number of declared servers that were not tried yet.
     """
 
     candidate: ServerCandidate
@@ -117,16 +122,16 @@
 
     @property
     def backend(self) -> backends.Backend:
-        """The server."""
+        """The chosen server."""
         return self.candidate.backend
 
 
 @attrs.frozen(kw_only=True)
 class NoCapacity:
-    """That no server should get a request now.
+    """No server has capacity for the request.
 
     Attributes:
-        shortage: what usable servers have too little of, with how many lack it.
+        shortage: number of usable servers short of each resource.
     """
 
     shortage: dict[capacity_checks.Shortage, int]
@@ -135,21 +140,21 @@
 def choose(
     *,
     candidates: list[backends.Backend],
-    terms: Criteria,
+    criteria: Criteria,
     now: float,
 ) -> Choice | NoCapacity:
-    """Returns the server with room that costs least, if any."""
+    """Returns the cheapest server with capacity, or the shortages if none."""
     usable = [each for each in candidates if each.usable(now)]
-    paces = [each.mean_event_gap for each in usable if each.mean_event_gap]
-    best = min(paces, default=0.0)
-    offers = [evaluate(each, terms, now, best) for each in usable]
-    free = [each for each in offers if each.shortage is None]
+    gaps = [each.mean_event_gap for each in usable if each.mean_event_gap]
+    min_gap = min(gaps, default=0.0)
+    evaluated = [evaluate(each, criteria, now, min_gap) for each in usable]
+    free = [each for each in evaluated if each.shortage is None]
     if not free:
-        lacks = collections.Counter(each.shortage for each in offers)
-        return NoCapacity(shortage=dict(lacks))
+        shortages = collections.Counter(each.shortage for each in evaluated)
+        return NoCapacity(shortage=dict(shortages))
     free.sort(
         key=lambda each: (
-            terms.local_first and _is_elsewhere(each.backend, terms),
+            criteria.local_first and _is_remote(each.backend, criteria),
             each.cost,
         )
     )
@@ -161,94 +166,100 @@
     )
 
 
-def _is_elsewhere(backend: backends.Backend, terms: Criteria) -> bool:
-    return backend.registration.data_centre != terms.data_centre
+def _is_remote(backend: backends.Backend, criteria: Criteria) -> bool:
+    return backend.registration.data_centre != criteria.data_centre
 
 
 def evaluate(
     backend: backends.Backend,
-    terms: Criteria,
+    criteria: Criteria,
     now: float,
-    best_pace: float = 0.0,
+    min_event_gap: float = 0.0,
 ) -> ServerCandidate:
-    """Returns what a server offers a request.
+    """Returns the cost of placing a request on a server.
 
     Args:
         backend: the server.
-        terms: what else counts.
+        criteria: the other inputs of the decision.
         now: the time.
-        best_pace: least pace of all that could be chosen, or 0.
+        min_event_gap: smallest mean event gap of all usable servers, in
+            seconds, or 0 if unknown.
     """
-    version = weights_of(backend, terms.model)
-    older = _is_older(version, terms)
-    prompt = _prompt_work(backend, terms, version, older)
-    first = wait_estimates.expected_wait(backend, prompt, terms.speeds, now)
-    losses = FAILURE_RATE_MS * backend.decayed_failure_rate(now)
-    if terms.unshared > CHUNK_TOKENS and backend.mean_event_gap and best_pace:
-        slower = backend.mean_event_gap / best_pace - 1
-        losses += SLOW_RUNNER_MS * terms.unshared * slower
-    if _is_elsewhere(backend, terms):
-        losses += REMOTE_DATA_CENTRE_MS
+    version = weights_of(backend, criteria.model)
+    older = _is_older(version, criteria)
+    prompt = _prompt_work(backend, criteria, version, older)
+    wait = wait_estimates.expected_wait(backend, prompt, criteria.speeds, now)
+    penalty_ms = FAILURE_RATE_MS * backend.decayed_failure_rate(now)
+    if (
+        criteria.unshared > CHUNK_TOKENS
+        and backend.mean_event_gap
+        and min_event_gap
+    ):
+        slowness = backend.mean_event_gap / min_event_gap - 1
+        penalty_ms += SLOW_RUNNER_MS * criteria.unshared * slowness
+    if _is_remote(backend, criteria):
+        penalty_ms += REMOTE_DATA_CENTRE_MS
     if older:
-        losses += OLDER_WEIGHTS_MS
-    losses += DUPLICATE_READ_MS * prompt.duplicate_tokens
-    # What waits there waits as long for this one as this one for it.
-    losses += 1000 * first.reader_seconds
-    lacks = None
-    if terms.demand is not None:
-        lacks = capacity_checks.shortage(
+        penalty_ms += OLDER_WEIGHTS_MS
+    penalty_ms += DUPLICATE_READ_MS * prompt.duplicate_tokens
+    # Chunks of prompts are interleaved, so this prompt delays the waiting ones
+    # as long as they delay it.
+    penalty_ms += 1000 * wait.reader_seconds
+    shortage = None
+    if criteria.demand is not None:
+        shortage = capacity_checks.shortage(
             backend.registration.slots,
-            terms.demand,
-            busy=first.busy,
-            first_seconds=first.seconds,
-            wait_seconds=first.others_seconds,
+            criteria.demand,
+            busy=wait.busy,
+            first_seconds=wait.seconds,
+            wait_seconds=wait.others_seconds,
         )
     return ServerCandidate(
         backend=backend,
-        first_seconds=first.seconds,
-        penalty_ms=losses + _tie_break_ms(backend, terms),
-        shortage=lacks,
+        first_seconds=wait.seconds,
+        penalty_ms=penalty_ms + _tie_break_ms(backend, criteria),
+        shortage=shortage,
     )
 
 
-def _is_older(version: int | None, terms: Criteria) -> bool:
-    """Returns whether newer weights than these are named."""
-    return None not in (version, terms.newest) and version < terms.newest
+def _is_older(version: int | None, criteria: Criteria) -> bool:
+    """Returns whether weights newer than this version are announced."""
+    return None not in (version, criteria.newest) and version < criteria.newest
 
 
 def _prompt_work(
     backend: backends.Backend,
-    terms: Criteria,
+    criteria: Criteria,
     version: int | None,
     older: bool,
 ) -> wait_estimates.PromptWork:
-    """Returns what a runner has to do for the prompt."""
-    if not terms.parts or version is None:
-        return wait_estimates.PromptWork(to_read=terms.unshared)
-    found = namespace(version, terms.isolated_by)
-    held = backend.cached_tokens(found, terms.parts)
-    shared = sum(part.tokens for part in terms.parts)
+    """Returns the prefill and fetch work for the prompt at a runner."""
+    if not criteria.parts or version is None:
+        return wait_estimates.PromptWork(to_read=criteria.unshared)
+    cache_namespace = namespace(version, criteria.isolated_by)
+    cached = backend.cached_tokens(cache_namespace, criteria.parts)
+    shared = sum(part.tokens for part in criteria.parts)
     prompt = wait_estimates.prompt_work(
         data_centre=backend.registration.data_centre,
-        held=held,
+        cached=cached,
         shared=shared,
-        unshared=terms.unshared,
-        sources=cache_sources.Sources() if older else terms.sources,
-        speeds=terms.speeds,
+        unshared=criteria.unshared,
+        sources=cache_sources.Sources() if older else criteria.sources,
+        speeds=criteria.speeds,
     )
     if older:
-        # Nothing of older weights is fetched, so it would be read again.
-        return attrs.evolve(prompt, duplicate_tokens=shared - held)
+        # Parts of older weights are not fetched, so they are prefilled again.
+        return attrs.evolve(prompt, duplicate_tokens=shared - cached)
     return prompt
 
 
-def _tie_break_ms(backend: backends.Backend, terms: Criteria) -> float:
-    """Returns what decides where all else is alike.
+def _tie_break_ms(backend: backends.Backend, criteria: Criteria) -> float:
+    """Returns the cost that decides between otherwise equal servers.
 
-    Requests that share a prompt stay together, and routers that see the same
-    don't all choose the same.
+    It keeps requests that share a prompt together, and keeps routers with the
+    same view from sending all prompts to the same server.
     """
-    if not terms.parts:
+    if not criteria.parts:
         return 0.0
-    name = terms.parts[-1].name + backend.registration.incarnation
+    name = criteria.parts[-1].name + backend.registration.incarnation
     return TIE_BREAK_MS * xxhash.xxh3_64_intdigest(name.encode()) / 2**64
--- a/pimentoledge/routing/selections.py
+++ b/pimentoledge/routing/selections.py
@@ -1,4 +1,4 @@
-"""From a request and what is believed to a server and a dispatch."""
+"""Selects a backend server for a request and builds its dispatch."""
 
 import xxhash
 
@@ -13,35 +13,36 @@
 from pimentoledge.routing import wait_estimates
 
 MAX_URGENCY = 9
-# Urgencies of routes that are told apart within an organisation's.
+# Distinct route urgencies within one urgency of an organisation.
 URGENCIES_PER_ORGANISATION = 3
-# Part of a server's connections that all routers together may leave idle.
+# Share of a server's connections that all routers together may keep idle.
 IDLE_CONNECTION_SHARE = 0.5
-# Fewer tokens are read sooner than fetched from another runner.
+# Below this, prefilling is faster than fetching from another runner.
 MIN_FETCH_TOKENS = 256
-# From so busy a link of a KV cache server on, a prompt is saved only if the
-# server lacks so many tokens of its shared parts for each token of its own,
-# which are carried and kept for nobody. Otherwise a link of 340 Gbit/s is given
-# more than it carries, what is saved comes two seconds late, and three in four
-# parts asked for meanwhile are read again.
+# When the link of a KV cache server is busier than BUSY_LINK_SHARE, a prompt is
+# saved only if the server lacks at least MIN_UNSAVED_RATIO shared tokens for
+# each unshared token, because unshared tokens use the link and the cache but
+# are never reused. Otherwise a link of 340 Gbit/s is overloaded, saved parts
+# arrive two seconds late, and three in four parts requested meanwhile are
+# prefilled again.
 BUSY_LINK_SHARE = 1.0
 MIN_UNSAVED_RATIO = 2.0
-# No runner has loaded weights so soon after they were named: a load takes
-# 0.55 s and more. Until then any part of older weights may be fetched, which
-# saves a quarter of what is read again: 139,742 to 104,606 tokens over five
-# changes of weights in 50 s, played once each.
+# No runner has finished loading new weights this soon after their announcement:
+# a load takes at least 0.55 s. Until then any cached part of the older weights
+# is safe to fetch, which saves a quarter of the repeated prefill: 104,606
+# instead of 139,742 tokens over five changes of weights in 50 s.
 SAFE_FETCH_SECONDS = 0.45
-# Parts saved in the last second before this router heard of newer weights may
-# have been saved after they were named. Parts saved before are fetched all
-# through a change: 250,606 to 197,000 tokens read again over four changes,
-# 386,527 to 360,000 over three, two plays each.
+# Parts saved within this time before this router received newer weights may
+# have been saved after their announcement. Parts saved earlier are fetched
+# throughout the change, which reduces repeated prefill from 250,606 to 197,000
+# tokens over four changes and from 386,527 to 360,000 over three.
 NOTICE_DELAY_SECONDS = 1.0
 
 
 def ordered_services(route: configurations.Route, request: str) -> list[str]:
-    """Returns a route's services, the request's own first.
+    """Returns a route's services, the one selected by the split first.
 
-    The split is by the request's id, so no state is needed.
+    The split hashes the request's id, so it needs no state.
     """
     names = [share.service for share in route.shares]
     if len(names) == 1:
@@ -65,8 +66,8 @@
     without: set[str],
     now: float,
 ) -> placements.Choice | placements.NoCapacity:
-    """Returns the server to send a request to, if one has room."""
-    found = placements.NoCapacity(shortage={})
+    """Returns the server to send a request to, or the shortages if none."""
+    result = placements.NoCapacity(shortage={})
     for name in ordered_services(route, client_request.request):
         candidates = [
             each
@@ -74,11 +75,15 @@
             if each.registration.incarnation not in without
             and weights_allow(view, client_request.model, each, now)
         ]
-        terms = _criteria(view, client_request, route, organisation, name, now)
-        found = placements.choose(candidates=candidates, terms=terms, now=now)
-        if isinstance(found, placements.Choice):
-            return found
-    return found
+        criteria = _criteria(
+            view, client_request, route, organisation, name, now
+        )
+        result = placements.choose(
+            candidates=candidates, criteria=criteria, now=now
+        )
+        if isinstance(result, placements.Choice):
+            return result
+    return result
 
 
 def weights_allow(
@@ -87,7 +92,7 @@
     backend: backends.Backend,
     now: float,
 ) -> bool:
-    """Returns whether a server's weights are new enough to begin on."""
+    """Returns whether a server's weights are new enough to start on."""
     version = placements.weights_of(backend, model)
     return view.may_begin(model, version, now)
 
@@ -113,7 +118,7 @@
             view, client_request, organisation, service_name, now
         ),
         speeds=speeds_of(view, client_request.model, service_name),
-        demand=_need(view, client_request, route, service),
+        demand=_demand(view, client_request, route, service),
         local_first=bool(client_request.model) and not view.reaches_all,
     )
 
@@ -121,7 +126,7 @@
 def speeds_of(
     view: cluster_views.ClusterView, model: str, service_name: str
 ) -> wait_estimates.Speeds:
-    """Returns what first events of a model have shown."""
+    """Returns the speeds estimated from a model's first events."""
     if not model:
         return wait_estimates.Speeds()
     known = view.first_event(model)
@@ -132,14 +137,14 @@
             1,
             service=view.configuration.services.get(service_name),
             link_bytes=None,
-            apart=False,
+            remote=False,
         ),
         mean_unread=view.mean_unshared(model).mean(),
         elsewhere=view.elsewhere,
     )
 
 
-def _need(
+def _demand(
     view: cluster_views.ClusterView,
     client_request: request_types.ClientRequest,
     route: configurations.Route,
@@ -186,7 +191,16 @@
     namespace: str,
     now: float,
 ) -> cache_sources.Sources:
-    """Returns what can be fetched of a prompt under a version's namespace."""
+    """Returns the servers that a prompt's cached parts can be fetched from.
+
+    Args:
+        view: the router's view of the cluster.
+        client_request: the request.
+        service_name: service whose runners are sources.
+        version: version of the weights.
+        namespace: cache namespace of that version.
+        now: the time.
+    """
     cache = cache_server(view, client_request.parts)
     stored = None
     if cache is not None:
@@ -211,9 +225,10 @@
 def _unlimited(
     view: cluster_views.ClusterView, service_name: str
 ) -> list[backends.Backend]:
-    """Returns a service's servers that have named no limit.
+    """Returns a service's servers that have announced no rate limit.
 
-    A fetch would reach a server beside what its limit lets in.
+    Fetches would load a server in addition to the requests that its limit
+    admits.
     """
     return [
         each
@@ -241,16 +256,17 @@
     seconds_left: float,
     now: float,
 ) -> request_types.Dispatch:
-    """Returns what is sent to a server besides the request.
-
-    While weights change, a run that goes on under new ones may leave parts
-    made on both under the older namespace, and what then fetches them answers
-    from other weights' memory. So parts of older weights are saved no more
-    once newer ones are named, and fetched only until the first runner can
-    have changed, or where they are known to have been saved before: the KV
-    cache server keeps a part as it was first made.
+    """Returns the routing data sent to a server along with the request.
+
+    During a change of weights, a run that continues under new weights may
+    store parts computed with both versions in the older namespace. A request
+    that fetches such a part would be answered from another version's KV cache.
+    Parts of older weights are therefore no longer saved once newer weights are
+    announced. They are fetched only until the first runner can have switched,
+    or if they were saved before the announcement: the KV cache server never
+    overwrites a stored part.
     """
-    found = request_types.Dispatch(
+    sent = request_types.Dispatch(
         server=backend.registration.server,
         organisation=None if organisation is None else organisation.name,
         seconds_left=seconds_left,
@@ -258,54 +274,55 @@
     )
     version = placements.weights_of(backend, client_request.model)
     if version is None:
-        return found
-    found.urgency = urgency_of(route, organisation)
-    found.weights = version
-    found.namespace = placements.namespace(version, _isolated_by(organisation))
-    found.to_read = client_request.prompt_tokens
+        return sent
+    sent.urgency = urgency_of(route, organisation)
+    sent.weights = version
+    sent.namespace = placements.namespace(version, _isolated_by(organisation))
+    sent.to_read = client_request.prompt_tokens
     if not client_request.parts:
-        return found
-    held = backend.cached_tokens(found.namespace, client_request.shared)
-    found.to_read -= held
+        return sent
+    cached = backend.cached_tokens(sent.namespace, client_request.shared)
+    sent.to_read -= cached
     cache = cache_server(view, client_request.parts)
     address = None if cache is None else cache.cache_address
     wanted = view.wanted.get(client_request.model)
     superseded = None if wanted is None else wanted.superseded(version)
     if superseded is None:
-        # It may keep more than is known here; a miss costs a ms.
-        found.fetch_from = address
-        _fetch_newest(view, client_request, backend, held, found, now)
-        found.save_to = _save_to(
-            view, client_request, found.namespace, cache, now
+        # The KV cache server may hold more than this router has recorded; a
+        # miss costs 1 ms.
+        sent.fetch_from = address
+        _set_fetch_source(view, client_request, backend, cached, sent, now)
+        sent.save_to = _save_to(
+            view, client_request, sent.namespace, cache, now
         )
     elif address is not None and _may_fetch_older(
-        view, address, found.namespace, client_request.shared, now, superseded
+        view, address, sent.namespace, client_request.shared, now, superseded
     ):
-        found.fetch_from = address
-    return found
+        sent.fetch_from = address
+    return sent
 
 
-def _fetch_newest(
+def _set_fetch_source(
     view: cluster_views.ClusterView,
     client_request: request_types.ClientRequest,
     backend: backends.Backend,
-    held: int,
-    found: request_types.Dispatch,
+    cached: int,
+    sent: request_types.Dispatch,
     now: float,
 ) -> None:
-    """Has the runner fetch what another server is believed to keep."""
+    """Sets the server that the runner fetches cached parts from, if any."""
     registration = backend.registration
     source = sources_of(
         view,
         client_request,
         service_name=registration.service,
-        version=found.weights,
-        namespace=found.namespace,
+        version=sent.weights,
+        namespace=sent.namespace,
         now=now,
-    ).for_runner(registration.data_centre, held)
+    ).for_runner(registration.data_centre, cached)
     if source is not None:
-        found.fetch_from = source.address
-        found.to_read -= source.tokens - held
+        sent.fetch_from = source.address
+        sent.to_read -= source.tokens - cached
 
 
 def _save_to(
@@ -315,17 +332,17 @@
     cache: configurations.Service | None,
     now: float,
 ) -> str | None:
-    """Returns the KV cache server that is to keep a prompt's parts, or None."""
+    """Returns the address of the KV cache server to save to, or None."""
     if cache is None:
         return None
     address = cache.cache_address
-    lacks = view.saved.unsaved_tokens(
+    unsaved = view.saved.unsaved_tokens(
         address, namespace, client_request.shared, now
     )
-    least = 1
+    min_unsaved = 1
     if view.links.busy_share(address, now) > BUSY_LINK_SHARE:
-        least = MIN_UNSAVED_RATIO * client_request.unshared_tokens()
-    return address if lacks and lacks >= least else None
+        min_unsaved = MIN_UNSAVED_RATIO * client_request.unshared_tokens()
+    return address if unsaved and unsaved >= min_unsaved else None
 
 
 def _may_fetch_older(
@@ -339,44 +356,45 @@
     """Returns whether parts of older weights may be fetched.
 
     Args:
-        view: what the process believes.
-        address: of the KV cache server.
-        namespace: of the older weights.
-        parts: the shared parts.
+        view: the router's view of the cluster.
+        address: address of the KV cache server.
+        namespace: cache namespace of the older weights.
+        parts: the prompt's shared parts.
         now: the time.
-        since: when the first newer weights were named.
+        since: when the first newer weights were announced.
     """
     if now - since < SAFE_FETCH_SECONDS:
         return True
-    moment = since - NOTICE_DELAY_SECONDS
-    return view.saved.saved_before(address, namespace, parts, moment, now)
+    latest = since - NOTICE_DELAY_SECONDS
+    return view.saved.saved_before(address, namespace, parts, latest, now)
 
 
 def urgency_of(
     route: configurations.Route,
     organisation: configurations.Organisation | None,
 ) -> int:
-    """Returns the urgency at the runner, from 0 to 9.
+    """Returns the urgency at the runner, from 0 (most urgent) to 9.
 
-    That of the organisation goes first; among its requests that of the route.
-    With the organisation's alone, as most of them have the same, long prompts
-    were as urgent as the short ones that someone waits for at the counter.
+    The organisation's urgency takes precedence; the route's orders requests of
+    equally urgent organisations. Most organisations have the same urgency, so
+    with it alone long prompts would be as urgent as short interactive ones.
     """
-    own = min(route.urgency, URGENCIES_PER_ORGANISATION - 1)
+    route_urgency = min(route.urgency, URGENCIES_PER_ORGANISATION - 1)
     if organisation is None or organisation.urgency is None:
-        return min(own, MAX_URGENCY)
-    urgency = URGENCIES_PER_ORGANISATION * organisation.urgency + own
+        return min(route_urgency, MAX_URGENCY)
+    urgency = URGENCIES_PER_ORGANISATION * organisation.urgency + route_urgency
     return min(urgency, MAX_URGENCY)
 
 
 def cache_server(
     view: cluster_views.ClusterView, parts: tuple[request_types.Part, ...]
 ) -> configurations.Service | None:
-    """Returns the KV cache server of a prompt, among those that live.
+    """Returns the KV cache server of a prompt, among those that are up.
 
-    All routers agree on it by the last shared part, wherever they are: with
-    one for each data centre a part would be read, and kept, in each of them,
-    and reading 3,780 tokens again costs eighty times a fetch from elsewhere.
+    Uses rendezvous hashing on the last shared part, so all routers in all data
+    centres choose the same server. With one server for each data centre, a part
+    would be prefilled and stored in each of them, and prefilling 3,780 tokens
+    again costs eighty times as much as a fetch from another data centre.
     """
     name = parts[-2].name if len(parts) > 1 else ""
     return max(
@@ -395,19 +413,19 @@
 def max_idle_connections(
     view: cluster_views.ClusterView, service_name: str
 ) -> int | None:
-    """Returns how many connections to a server may wait for a request.
+    """Returns how many idle connections this router may keep to a server.
 
     A server counts the connections of all routers and resets those beyond its
-    bound. Each router may leave its part of half of them idle; the other half
-    is for requests under way.
+    maximum. All routers share half of the maximum for idle connections; the
+    other half is for requests in progress.
     """
     service = view.configuration.services.get(service_name)
     if service is None or not service.max_connections:
         return None
-    part = (
+    own_share = (
         IDLE_CONNECTION_SHARE * service.max_connections / max(1, view.members)
     )
-    return max(1, int(part))
+    return max(1, int(own_share))
 
 
 def note_sent(
@@ -417,7 +435,7 @@
     sent: request_types.Dispatch,
     now: float,
 ) -> None:
-    """Notes which parts a server will hold, for this router and the others."""
+    """Records, and reports to peers, which parts a server will have cached."""
     if sent.namespace is None or len(client_request.parts) < 2:
         return
     _report_prompt(view, client_request, backend, sent, read=False, now=now)
@@ -430,7 +448,7 @@
     sent: request_types.Dispatch,
     now: float,
 ) -> None:
-    """Notes that a request's shared parts have been read."""
+    """Records that a request's prompt has been prefilled."""
     if sent.namespace is None:
         return
     backend.note_parts_read(sent.namespace, client_request.parts, now)
@@ -448,7 +466,7 @@
     read: bool,
     now: float,
 ) -> None:
-    """Takes for this router, and tells the others, where a prompt went."""
+    """Records where a prompt was sent and queues the report to the peers."""
     prompt = peer_messages.PromptReport(
         server=backend.registration.incarnation,
         namespace=sent.namespace,
@@ -465,10 +483,10 @@
     prompt: peer_messages.PromptReport,
     now: float,
 ) -> None:
-    """Takes that a prompt was sent to a runner, or read by it.
+    """Records a report that a prompt was sent to a runner, or prefilled by it.
 
-    A router that has just started may know servers and no configuration yet;
-    how much they keep is not known to it.
+    Reports are ignored until the configuration is loaded: a router that has
+    just started may have servers without the sizes of their caches.
     """
     if view.configuration is None:
         return
@@ -496,19 +514,19 @@
     parts: tuple[request_types.Part, ...],
     now: float,
 ) -> None:
-    """Takes that a prompt goes to a KV cache server, and what its link has."""
+    """Records that a prompt is being saved, and the load on the link."""
     address, namespace = prompt.saved_to, prompt.namespace
     tokens = view.saved.unsaved_tokens(address, namespace, parts, now)
     view.saved.note_saving(address, namespace, parts[:-1], now)
     services = view.configuration.services
-    place = backend.registration.data_centre
+    data_centre = backend.registration.data_centre
     for each in view.configuration.cache_servers():
         if each.cache_address == address:
             seconds = cache_sources.transfer_seconds(
                 tokens,
                 service=services.get(backend.registration.service),
                 link_bytes=each.link_bytes,
-                apart=each.data_centre != place,
+                remote=each.data_centre != data_centre,
             )
             view.links.note_transfer(address, seconds, now)
 
@@ -522,6 +540,6 @@
 ) -> None:
     service = view.configuration.services.get(backend.registration.service)
     tokens = 0 if service is None else service.cache_tokens or 0
-    most = int(tokens * placements.CACHED_SHARE)
+    max_tokens = int(tokens * placements.CACHED_SHARE)
     ready_at = now + cache_sources.READY_SECONDS
-    backend.note_parts(namespace, parts, most, ready_at)
+    backend.note_parts(namespace, parts, max_tokens, ready_at)
--- a/pimentoledge/routing/wait_estimates.py
+++ b/pimentoledge/routing/wait_estimates.py
@@ -1,29 +1,29 @@
-"""How long a request waits at a server for its first event."""
+"""Estimates how long a request waits at a server for its first event."""
 
 import attrs
 
 from pimentoledge.routing import backends
 from pimentoledge.routing import cache_sources
 
-# Added for each request that a server has while it has free slots, at a server
-# of ten slots; a larger batch shares its step among more.
+# Step time added per running request, at a server of SHARED_STEP_SLOTS slots.
+# Servers with more slots share a step among more requests.
 SHARED_STEP_SECONDS = 0.0015
 SHARED_STEP_SLOTS = 10
-# For each request beyond its slots, at a server of eight; more slots are free
-# sooner.
+# Wait per request beyond the slots, at a server of QUEUE_SLOTS slots. With more
+# slots, one becomes free sooner.
 QUEUE_SECONDS = 0.06
 QUEUE_SLOTS = 8
 
 
 @attrs.frozen(kw_only=True)
 class PromptWork:
-    """What a runner has to do before a prompt's first event.
+    """A runner's work before a prompt's first event.
 
     Attributes:
-        to_read: tokens that it must read.
-        fetch_seconds: to fetch what another server keeps.
-        duplicate_tokens: of what it must read, tokens that another runner
-            keeps or is about to have read.
+        to_read: tokens to prefill.
+        fetch_seconds: time to fetch cached parts from another server.
+        duplicate_tokens: tokens of `to_read` that another runner has cached or
+            will have prefilled soon.
     """
 
     to_read: int = 0
@@ -33,13 +33,13 @@
 
 @attrs.frozen(kw_only=True)
 class MeanLoad:
-    """What a runner of a data centre has, in the mean.
+    """The mean load of a data centre's runners.
 
     Attributes:
-        busy: requests.
-        queued: requests without an event.
-        unread: prompt tokens that it has yet to read.
-        since: when that was so.
+        busy: requests per runner.
+        queued: requests per runner without a first event.
+        unread: prompt tokens per runner that are not prefilled yet.
+        since: time as of which the means hold.
     """
 
     busy: float
@@ -50,16 +50,16 @@
 
 @attrs.frozen(kw_only=True)
 class Speeds:
-    """What first events have shown.
+    """Speeds estimated from first events, and the load in other data centres.
 
     Attributes:
-        base_seconds: to a first event with nothing to read.
-        token_seconds: for each token that is to be read before it.
-        fetch_seconds: to fetch a token within a data centre.
-        mean_unread: tokens that a request is to have read, in the mean.
-        elsewhere: what runners of other data centres have, as told. What
-            their own routers sent them is not known one by one here, and one
-            of which nothing is known would look idle.
+        base_seconds: time to a first event with nothing to prefill.
+        token_seconds: additional time for each token to prefill.
+        fetch_seconds: time to fetch a token within a data centre.
+        mean_unread: mean number of prompt tokens of a request to prefill.
+        elsewhere: reported mean load of runners by other data centre. The load
+            of single runners there is not reported to this router, and without
+            the mean they would appear idle.
     """
 
     base_seconds: float = 0.0
@@ -72,45 +72,45 @@
 def prompt_work(
     *,
     data_centre: str,
-    held: int,
+    cached: int,
     shared: int,
     unshared: int,
     sources: cache_sources.Sources,
     speeds: Speeds,
 ) -> PromptWork:
-    """Returns what a runner has to do for a prompt.
+    """Returns a runner's prefill and fetch work for a prompt.
 
     Args:
-        data_centre: the runner's.
-        held: tokens of the shared parts that it keeps.
+        data_centre: the runner's data centre.
+        cached: tokens of the shared parts in the runner's cache.
         shared: tokens of the shared parts.
         unshared: tokens that no other request shares.
-        sources: what can be fetched.
-        speeds: what first events have shown.
+        sources: where cached parts can be fetched.
+        speeds: speeds estimated from first events.
     """
-    source = sources.for_runner(data_centre, held)
+    source = sources.for_runner(data_centre, cached)
     seconds = 0.0
     if source is not None:
-        apart = source.data_centre != data_centre
-        times = cache_sources.REMOTE_TRANSFER_FACTOR if apart else 1.0
-        seconds = speeds.fetch_seconds * times * (source.tokens - held)
-        held = source.tokens
+        remote = source.data_centre != data_centre
+        factor = cache_sources.REMOTE_TRANSFER_FACTOR if remote else 1.0
+        seconds = speeds.fetch_seconds * factor * (source.tokens - cached)
+        cached = source.tokens
     return PromptWork(
-        to_read=unshared + shared - held,
+        to_read=unshared + shared - cached,
         fetch_seconds=seconds,
-        duplicate_tokens=max(0, sources.pending_tokens - held),
+        duplicate_tokens=max(0, sources.pending_tokens - cached),
     )
 
 
 @attrs.frozen(kw_only=True)
 class ExpectedWait:
-    """The expected time to a first event at a server, and what it is made of.
+    """The expected time to a first event at a server, by component.
 
     Attributes:
-        busy: requests that the server has.
-        own_seconds: for the prompt itself.
-        step_seconds: for the steps of what runs, and for a slot.
-        reader_seconds: for others' prompts, which are read meanwhile.
+        busy: estimated number of requests at the server.
+        own_seconds: time for the prompt's own fetch and prefill.
+        step_seconds: time for decode steps of running requests and for a slot.
+        reader_seconds: time for the prefill of other requests' prompts.
     """
 
     busy: float
@@ -120,19 +120,19 @@
 
     @property
     def others_seconds(self) -> float:
-        """What others take of it."""
+        """The part of the wait caused by other requests."""
         return self.step_seconds + self.reader_seconds
 
     @property
     def seconds(self) -> float:
-        """All of it: what is to be read is read one after the other."""
+        """The total wait, a sum because prefills run one after the other."""
         return self.own_seconds + self.others_seconds
 
 
 def expected_wait(
     backend: backends.Backend, prompt: PromptWork, speeds: Speeds, now: float
 ) -> ExpectedWait:
-    """Returns the expected time until a first event."""
+    """Returns the expected wait for a request's first event at a server."""
     slots = max(1, backend.registration.slots)
     busy = estimated_busy(backend, speeds, now)
     shared = SHARED_STEP_SLOTS / max(SHARED_STEP_SLOTS, slots)
@@ -151,7 +151,7 @@
 def estimated_busy(
     backend: backends.Backend, speeds: Speeds, now: float
 ) -> float:
-    """Returns how many requests a server is believed to have."""
+    """Returns the estimated number of requests at a server."""
     mean = speeds.elsewhere.get(backend.registration.data_centre)
     return max(backend.estimated_requests(now), mean.busy if mean else 0)
 
@@ -159,10 +159,11 @@
 def tokens_ahead(
     backend: backends.Backend, to_read: int, speeds: Speeds, now: float
 ) -> float:
-    """Returns how many tokens of others a server reads before a prompt.
+    """Returns the tokens of other prompts prefilled before a prompt is done.
 
-    Chunks of prompts are read in turn: of a longer prompt as much is read
-    meanwhile as of this one, and a short prompt waits little for a long one.
+    Chunks of prompts are prefilled in turn: of each longer prompt as much is
+    prefilled meanwhile as of this one, so a short prompt waits little for a
+    long one.
     """
     queued = backend.queued(now)
     known = backend.unread(speeds.mean_unread, now, speeds.token_seconds)
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -263,12 +263,14 @@
         base_seconds=0.09, token_seconds=3e-5, fetch_seconds=2e-6
     )
 
-    def terms(self, **more):
+    def criteria(self, **more):
         return placements.Criteria(data_centre="a", **more)
 
     def choose(self, *candidates, **more):
         found = placements.choose(
-            candidates=list(candidates), terms=self.terms(**more), now=10.0
+            candidates=list(candidates),
+            criteria=self.criteria(**more),
+            now=10.0,
         )
         match found:
             case placements.Choice():
@@ -359,14 +361,16 @@
         next_door.note_parts("1", self.PARTS, 50000, 10.5)
         found = self.find(runners)
         assert (found.best, found.pending_tokens) == ((), 6000)
-        terms = placements.Criteria(
+        criteria = placements.Criteria(
             data_centre="a",
             parts=self.PARTS,
             model="m",
             newest=1,
             sources=found,
         )
-        chosen = placements.choose(candidates=runners, terms=terms, now=10.0)
+        chosen = placements.choose(
+            candidates=runners, criteria=criteria, now=10.0
+        )
         assert chosen.backend is next_door
         assert here.cached_tokens("1", self.PARTS) == 0
 
@@ -421,9 +425,9 @@
             link_bytes=1e6,
         )
 
-        def seconds(link_bytes, apart):
+        def seconds(link_bytes, remote):
             return cache_sources.transfer_seconds(
-                500, service=service, link_bytes=link_bytes, apart=apart
+                500, service=service, link_bytes=link_bytes, remote=remote
             )
 
         assert seconds(1e7, False) == pytest.approx(0.5)
@@ -581,11 +585,11 @@
         for _ in range(8):
             grey.note_request_failure(10.0)
         good.open = 20
-        terms = placements.Criteria(data_centre="a")
+        criteria = placements.Criteria(data_centre="a")
 
         def chosen():
             return placements.choose(
-                candidates=[grey, good], terms=terms, now=10.0
+                candidates=[grey, good], criteria=criteria, now=10.0
             ).backend
 
         assert chosen() is good
--- a/pimentoledge/tests/test_router_first_events.py
+++ b/pimentoledge/tests/test_router_first_events.py
@@ -48,7 +48,7 @@
     free = runner("free", running=18)
     found = placements.choose(
         candidates=[piled, free],
-        terms=placements.Criteria(
+        criteria=placements.Criteria(
             data_centre="a", model="m", unshared=2000, speeds=SPEEDS
         ),
         now=1.0,
@@ -142,7 +142,7 @@
     def at(self, place, held, found=SOURCES):
         return wait_estimates.prompt_work(
             data_centre=place,
-            held=held,
+            cached=held,
             shared=6000,
             unshared=3000,
             sources=found,
