--- a/pimentoledge/routing/decision_fields.py
+++ b/pimentoledge/routing/decision_fields.py
@@ -1,4 +1,4 @@
-"""What decided a request's way, with its age, for the log lines."""
+"""Log fields that explain routing decisions, with the age of their data."""
 
 from pimentoledge.routing import backends
 from pimentoledge.routing import cluster_views
@@ -13,13 +13,13 @@
     choice: placements.Choice,
     now: float,
 ) -> dict[str, object]:
-    """Returns what a choice of a server went by.
+    """Returns the log fields of a choice of a server.
 
-    Costs are expected waits in ms; ages are in seconds, None where nothing
-    was ever heard.
+    Costs are expected waits in ms; ages are in seconds, None if no data was
+    ever received.
     """
     backend = choice.backend
-    found = _configuration(view, now) | {
+    fields = _configuration(view, now) | {
         "usable": choice.usable,
         "declared": choice.declared,
         "servers_age": _age(view.known_at("servers"), now),
@@ -33,13 +33,13 @@
     }
     wanted = view.wanted.get(client_request.model)
     if wanted is not None:
-        found["weights"] = placements.weights_of(backend, client_request.model)
-        superseded = wanted.superseded(found["weights"] or wanted.version)
+        fields["weights"] = placements.weights_of(backend, client_request.model)
+        superseded = wanted.superseded(fields["weights"] or wanted.version)
         if superseded is not None:
-            found["superseded_age"] = _age(superseded, now)
-        found["newest"] = wanted.version
-        found["newest_age"] = _age(wanted.since, now)
-    return found
+            fields["superseded_age"] = _age(superseded, now)
+        fields["newest"] = wanted.version
+        fields["newest_age"] = _age(wanted.since, now)
+    return fields
 
 
 def of_dispatch(
@@ -47,10 +47,10 @@
     backend: backends.Backend,
     sent: request_types.Dispatch,
 ) -> dict[str, object]:
-    """Returns what a server was told of a prompt's cached parts.
+    """Returns the log fields of a prompt's cached parts in a dispatch.
 
-    By it a reader of many routers' lines finds which part was read where, and
-    whether it could have been fetched.
+    With the log lines of all routers, they show which part was prefilled where
+    and whether it could have been fetched.
     """
     if sent.namespace is None or not client_request.parts:
         return {}
@@ -73,19 +73,19 @@
     tried: int,
     now: float,
 ) -> dict[str, object]:
-    """Returns what a refusal went by."""
+    """Returns the log fields of a refusal."""
     if view.configuration is None:
         return {"configuration": None}
-    found = _configuration(view, now)
+    fields = _configuration(view, now)
     if route is None:
-        return found
+        return fields
     servers = [
         each
         for share in route.shares
         for each in view.servers.of_service(share.service)
     ]
     budget = view.budget(route.shares[0].service)
-    return found | {
+    return fields | {
         "servers": len(servers),
         "usable": sum(each.usable(now) for each in servers),
         "backing_off": sum(each.is_backing_off(now) for each in servers),
--- a/pimentoledge/routing/delays.py
+++ b/pimentoledge/routing/delays.py
@@ -1,26 +1,26 @@
-"""How long what other routers sent was held up on its way.
+"""Detects peer messages that were delayed in the network.
 
-A cut holds a connection's bytes up and lets them through when it is over; the
-ages in them would then seem as young as they were when they were sent.
+A network partition delays a connection's bytes and delivers them when it ends.
+The ages in such a message are as of sending and would appear too recent.
 """
 
 import attrs
 
-# A delay that is so much longer than the shortest one of late counts.
+# Least excess over the shortest recent delay that counts as delayed.
 MIN_EXCESS_SECONDS = 0.25
-# Two clocks drift apart by some 30 ms within this.
+# Window of the shortest delay. Two clocks drift apart by about 30 ms within it.
 WINDOW_SECONDS = 300.0
 
 
 @attrs.define(kw_only=True)
 class ShortestDelay:
-    """The shortest delay of one life of a router, plus its clock's distance.
+    """The shortest delay from one router process, plus its clock offset.
 
     Attributes:
-        born: when that life began, by its own clock in ms.
-        before: the least of the window before, in seconds.
-        least: the least of this window.
-        since: when this window began.
+        born: start of the process by its own clock, in ms.
+        before: shortest delay of the previous window, in seconds.
+        least: shortest delay of this window, in seconds.
+        since: start of this window.
     """
 
     born: int
@@ -30,10 +30,10 @@
 
 
 class Delays:
-    """Delays of messages, by sender; clocks need not agree.
+    """Message delays by sender, for clocks that need not be synchronized.
 
     Attributes:
-        shortest: by mailbox.
+        shortest: shortest delays by the sender's mailbox.
     """
 
     def __init__(self):
@@ -42,13 +42,13 @@
     def excess_seconds(
         self, sender: str, clock: tuple[int, int], now: float
     ) -> float:
-        """Returns for how many seconds a message was held up; 0 if it wasn't.
+        """Returns by how many seconds a message was delayed, or 0.
 
         Args:
-            sender: the mailbox that sent it.
+            sender: the sender's mailbox.
             clock: when the sender started and when it sent the message, in ms
-                of its own clock; zeros from who doesn't tell.
-            now: when the message came.
+                of its own clock; zeros if the sender doesn't report them.
+            now: when the message arrived.
         """
         born, sent = clock
         if not sent:
@@ -64,11 +64,11 @@
         if now - known.since > WINDOW_SECONDS:
             known.before, known.least, known.since = known.least, delay, now
         known.least = min(known.least, delay)
-        held = delay - min(known.before, known.least)
-        return held if held >= MIN_EXCESS_SECONDS else 0.0
+        excess = delay - min(known.before, known.least)
+        return excess if excess >= MIN_EXCESS_SECONDS else 0.0
 
     def _forget(self, now: float) -> None:
-        """Forgets routers that have sent nothing for two windows."""
+        """Removes routers that have sent nothing for two windows."""
         for sender, known in list(self.shortest.items()):
             if now - known.since > 2 * WINDOW_SECONDS:
                 del self.shortest[sender]
--- a/pimentoledge/routing/request_types.py
+++ b/pimentoledge/routing/request_types.py
@@ -1,4 +1,4 @@
-"""What a client asks for, what is sent on, and what a server answers."""
+"""Types of client requests, dispatches and server responses."""
 
 import attrs
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen(kw_only=True)
 class Part:
-    """One part of a prompt, by its identity.
+    """One part of a prompt.
 
     Attributes:
-        name: the same for all requests that share the part.
-        tokens: its length.
+        name: identity of the content, equal for all requests that share it.
+        tokens: length in tokens.
     """
 
     name: str
@@ -25,19 +25,20 @@
     Attributes:
         request: the client's id of this attempt.
         method: HTTP method.
-        host: which host it names, without a port.
+        host: requested host, without a port.
         target: path and query as sent.
-        path: the path alone.
+        path: path without the query.
         key: API key, or None.
-        wait_seconds: how long the client waits, or None if it doesn't say.
-        model: model it names, or "".
-        prompt_tokens: tokens to read.
-        answer_tokens: most tokens to make.
-        parts: the prompt's parts in order; the last is the request's own.
+        wait_seconds: timeout of the client, or None if not given.
+        model: requested model, or "".
+        prompt_tokens: length of the prompt in tokens.
+        answer_tokens: maximum number of tokens to generate.
+        parts: the prompt's parts in order; the last is not shared.
         resume_after: number of the last event that the client has, or None.
-        passed_on: headers that go to the server as they came.
-        body: the whole body.
-        arrived: when it had been read, in seconds of clocks.now.
+        passed_on: headers forwarded to the server unchanged.
+        body: the complete body.
+        arrived: time at which the request was fully received, in seconds of
+            clocks.now.
     """
 
     request: str
@@ -66,7 +67,7 @@
         return sum(part.tokens for part in self.shared)
 
     def tokens(self) -> int:
-        """Returns the tokens to read and the most to make; 0 if not told."""
+        """Returns the prompt tokens plus the maximum of generated tokens."""
         return self.prompt_tokens + self.answer_tokens
 
     def unshared_tokens(self) -> int:
@@ -76,19 +77,19 @@
 
 @attrs.define(kw_only=True)
 class Dispatch:
-    """What goes to a server besides the client's own request.
+    """Routing data sent to a server along with the client's request.
 
     Attributes:
-        server: id of the server that alone may run it.
-        organisation: whose key it was, or None where none is needed.
-        seconds_left: how long the server may take.
-        urgency: 0 is first; None leaves it to the server.
-        weights: the only version of the weights it may begin on, or None.
-        namespace: under which cached parts are found, or None.
-        fetch_from: address of a server that may hold parts, or None.
-        to_read: tokens of the prompt that the server is believed to read.
-        save_to: address of the KV cache server that keeps parts, or None.
-        resume_after: number of the last event already passed on, or None.
+        server: id of the only server that may run the request.
+        organisation: owner of the API key, or None if no key is needed.
+        seconds_left: time remaining until the deadline.
+        urgency: 0 is the most urgent; None leaves it to the server.
+        weights: the only version of the weights it may start on, or None.
+        namespace: cache namespace of the parts, or None.
+        fetch_from: address of a server to fetch cached parts from, or None.
+        to_read: estimated prompt tokens that the server has to prefill.
+        save_to: address of the KV cache server to save parts to, or None.
+        resume_after: number of the last event already forwarded, or None.
     """
 
     server: str
@@ -105,12 +106,12 @@
 
 @attrs.frozen(kw_only=True)
 class ServerLoad:
-    """What a server says of its load.
+    """A load report in a server's response.
 
     Attributes:
-        running: requests that run.
-        waiting: requests that wait.
-        slots: requests that may run at once.
+        running: number of running requests.
+        waiting: number of queued requests.
+        slots: maximum number of concurrently running requests.
     """
 
     running: int
@@ -120,24 +121,24 @@
 
 @attrs.define(kw_only=True)
 class ServerResponse:
-    """The head of a server's answer.
+    """The status and parsed headers of a server's response.
 
     Attributes:
         status: HTTP status.
-        request: which request it answers, or None if it doesn't say.
+        request: id of the answered request, or None if not given.
         not_run: whether the server states that it did not run the request.
-        signed: whether it bears the server's signature.
-        encoded: whether the body is not the server's plain bytes.
-        load: the server's load, or None.
-        weights: version of the weights it began on, or None.
-        server: id of the server that answered, or None.
-        idle_seconds: how long the connection may stay idle, or None.
-        leaving: whether the server says that it leaves.
-        retry_seconds: for how long it asks for no request, or None.
-        retry_text: how it says so, or "".
-        limit: requests a second that it takes of all routers, or None.
-        limit_text: how it says so, or "".
-        passed_on: headers that go to the client.
+        signed: whether it carries the server's signature.
+        encoded: whether the body has a content encoding.
+        load: the server's load report, or None.
+        weights: version of the weights it started on, or None.
+        server: id of the responding server, or None.
+        idle_seconds: keep-alive timeout of the connection, or None.
+        leaving: whether the server announces that it is leaving.
+        retry_seconds: requested backoff, or None.
+        retry_text: the header value of `retry_seconds`, or "".
+        limit: requests a second that it accepts from all routers, or None.
+        limit_text: the header value of `limit`, or "".
+        passed_on: headers forwarded to the client.
     """
 
     status: int
