--- a/pimentoledge/routing/backends.py
+++ b/pimentoledge/routing/backends.py
@@ -19,7 +19,7 @@
 MAX_FAILURE_BACKOFF_SECONDS = 4.0
 # Weight of the newest request in the moving failure rate.
 FAILURE_RATE_WEIGHT = 0.15
-# Half-life of the failure rate while no request is sent.
+# Half-life of the failure rate after the last failure.
 FAILURE_RATE_HALF_LIFE_SECONDS = 2.0
 # Weight of the newest event gap in the moving mean, an effective window of
 # about 30 events.
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -1,4 +1,4 @@
-"""The router's smaller decisions, each by itself."""
+"""Unit tests of the router's decisions."""
 
 import attrs
 from hypothesis import given
@@ -66,54 +66,54 @@
 
 
 class TestBudgets:
-    """How often requests may be repeated."""
+    """Retry budgets."""
 
     def budget(self, born=-100.0):
         return retry_budgets.Budget(
             ratio=0.2, slack=40, window_seconds=10, born=born
         )
 
-    def test_all_entries_together_keep_to_the_bound(self):
-        """Four entries, each with its part, stay below the common bound."""
-        entries = [self.budget() for _ in range(4)]
+    def test_all_routers_together_stay_within_the_limit(self):
+        """Four routers, each with its share, stay within the common limit."""
+        budgets = [self.budget() for _ in range(4)]
         spent = 0
         for tick in range(1000):
             now = tick / 100
-            for entry in entries:
+            for budget in budgets:
                 if tick % 10 == 0:
-                    entry.note_request(now)
-                spent += entry.take(now, 4)
+                    budget.note_request(now)
+                spent += budget.take(now, 4)
         assert spent <= 0.2 * 400 + 40
 
-    def test_a_restarted_entry_leaves_room_for_its_former_life(self):
+    def test_a_restarted_router_allows_for_its_former_process(self):
         old, new = self.budget(), self.budget(born=0.0)
         assert new.allowance(0.0, 1) == old.allowance(0.0, 1) / 2
 
-    def test_what_was_spent_comes_back_after_the_window(self):
-        entry = self.budget()
-        while entry.take(0.0, 1):
+    def test_spent_retries_are_available_again_after_the_window(self):
+        budget = self.budget()
+        while budget.take(0.0, 1):
             pass
-        assert not entry.take(9.9, 1)
-        assert entry.take(10.1, 1)
+        assert not budget.take(9.9, 1)
+        assert budget.take(10.1, 1)
 
 
 class TestVerdicts:
-    """What follows from an attempt."""
+    """Whether a request is retried after an attempt, and its final code."""
 
-    def test_what_may_have_run_is_sent_nowhere_else(self):
+    def test_a_request_that_may_have_run_is_not_retried(self):
         history = retry_rules.AttemptHistory(sends=1)
         history.note_outcome("i", retry_rules.AttemptOutcome.BROKE)
         assert not retry_rules.may_retry(history, route())
         assert retry_rules.final_code(history) is results.Code.SERVICE_FAILED
 
-    def test_what_did_not_run_may_go_elsewhere_and_is_refused_truly(self):
+    def test_a_request_that_did_not_run_is_retried_or_refused_as_not_run(self):
         history = retry_rules.AttemptHistory(sends=1)
         history.note_outcome("i", retry_rules.AttemptOutcome.NOT_RUN)
         assert retry_rules.may_retry(history, route())
         code = retry_rules.final_code(history)
         assert results.MEANINGS[code].ran is results.Ran.NOT_RUN
 
-    def test_a_repeatable_call_runs_on_no_more_servers_than_allowed(self):
+    def test_a_repeatable_call_runs_on_at_most_the_allowed_servers(self):
         safe = route(kind=configurations.Repeatability.SAFE, most=2)
         history = retry_rules.AttemptHistory(sends=1)
         history.note_outcome("i", retry_rules.AttemptOutcome.FAILED)
@@ -121,7 +121,7 @@
         history.note_outcome("j", retry_rules.AttemptOutcome.FAILED)
         assert not retry_rules.may_retry(history, safe)
 
-    def test_a_refusal_after_a_run_is_no_promise(self):
+    def test_a_refusal_after_a_run_does_not_report_not_run(self):
         history = retry_rules.AttemptHistory(sends=2)
         history.note_outcome("i", retry_rules.AttemptOutcome.BROKE)
         history.note_outcome("j", retry_rules.AttemptOutcome.NOT_RUN)
@@ -130,10 +130,10 @@
 
 
 class TestEvents:
-    """Streams cut into events."""
+    """Splitting of streams into events."""
 
     @given(strategies.data())
-    def test_only_whole_events_come_out_however_they_are_cut(self, data):
+    def test_only_whole_events_are_returned_for_any_segmentation(self, data):
         whole = b"".join(b"id: %d\ndata: x%d\n\n" % (n, n) for n in range(6))
         cuts = data.draw(
             strategies.lists(strategies.integers(0, len(whole)), max_size=8)
@@ -148,14 +148,14 @@
         assert b"".join(event.data for event in events) == whole
         assert not splitter.rest
 
-    def test_a_part_of_an_event_is_held_back(self):
+    def test_an_incomplete_event_is_buffered(self):
         splitter = event_streams.Splitter()
         assert not splitter.feed(b"id: 1\ndata: half")
         assert splitter.rest
 
 
 class TestParsing:
-    """What clients send."""
+    """Parsing of client requests."""
 
     def parser(self):
         return http_messages.RequestParser(
@@ -174,14 +174,14 @@
             "Content-Length : 3",
         ],
     )
-    def test_what_two_readers_could_frame_in_two_ways_is_refused(self, head):
-        """A request smuggled inside another must not reach a server."""
+    def test_ambiguous_message_framing_is_refused(self, head):
+        """Guards against request smuggling."""
         raw = f"POST / HTTP/1.1\r\nHost: a\r\n{head}\r\n\r\nGET / HTTP/1.1"
         with pytest.raises(http_messages.BadMessageError):
             self.parser().feed(raw.encode())
 
     @given(strategies.lists(strategies.integers(1, 90), max_size=6))
-    def test_requests_come_out_whole_however_they_are_cut(self, cuts):
+    def test_whole_requests_are_returned_for_any_segmentation(self, cuts):
         raw = b"POST /p HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nbody"
         parser = self.parser()
         whole = raw + raw
@@ -191,11 +191,11 @@
             last = cut
         assert [body for _, body in parser.requests] == [b"body", b"body"]
 
-    def test_a_body_behind_the_rest_of_a_head_does_not_count_as_head(self):
-        """A proper request must not be refused for how its bytes arrive.
+    def test_a_body_in_the_last_segment_of_a_head_does_not_count_as_head(self):
+        """Guards against refusing a valid request because of its segmentation.
 
-        The head comes in two segments, and the second holds the body too,
-        which is larger than a head may be.
+        The head arrives in two segments, and the second also contains the body,
+        which is larger than the maximum of a head.
         """
         parser = http_messages.RequestParser(
             max_header_bytes=200, max_body_bytes=5000
@@ -206,7 +206,7 @@
         [(_, body)] = parser.requests
         assert len(body) == 4000
 
-    def test_the_largest_head_and_body_are_bounded(self):
+    def test_the_size_of_head_and_body_is_limited(self):
         parser = self.parser()
         with pytest.raises(http_messages.BadMessageError) as caught:
             parser.feed(b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"y" * 2000)
@@ -222,14 +222,14 @@
         assert caught.value.status == 413
 
 
-class TestBeliefs:
-    """What a router believes, and how old it is."""
+class TestClusterView:
+    """The router's view of weights and servers, and its age."""
 
     def view(self):
         return cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
 
-    def test_of_two_times_at_which_weights_were_named_the_earlier_holds(self):
-        """A restarted router would send requests to old weights too long."""
+    def test_the_earlier_of_two_times_of_an_announcement_is_kept(self):
+        """Guards against a restarted router that uses old weights too long."""
         view = self.view()
         view.want("m", 2, 50.0)
         assert not view.want("m", 2, 42.0)
@@ -237,7 +237,7 @@
         assert not view.want("m", 1, 10.0)
         assert view.wanted["m"].version == 2
 
-    def test_requests_don_t_begin_on_weights_that_are_too_old(self):
+    def test_requests_do_not_start_on_weights_that_are_too_old(self):
         view = self.view()
         old = view.servers.put(registration("i", weights={"m": 1}))
         view.want("m", 2, 100.0)
@@ -247,7 +247,7 @@
         assert allow(view, "m", old, 100.0 + most - margin - 0.1)
         assert not allow(view, "m", old, 100.0 + most - margin + 0.1)
 
-    def test_new_weights_empty_what_a_runner_is_believed_to_hold(self):
+    def test_new_weights_clear_the_cached_parts_of_a_runner(self):
         view = self.view()
         held = view.servers.put(registration("i", weights={"m": 1}))
         part = request_types.Part(name="p", tokens=100)
@@ -257,7 +257,7 @@
 
 
 class TestPlacement:
-    """Which server a request goes to."""
+    """The choice of a server for a request."""
 
     SPEEDS = wait_estimates.Speeds(
         base_seconds=0.09, token_seconds=3e-5, fetch_seconds=2e-6
@@ -278,13 +278,13 @@
             case placements.NoCapacity():
                 return None
 
-    def test_the_own_data_centre_goes_first_until_it_is_full(self):
+    def test_the_local_data_centre_is_preferred_until_it_is_full(self):
         here, there = backend("h"), backend("t", place="b")
         assert self.choose(here, there) == "h"
         here.open = 40
         assert self.choose(here, there) == "t"
 
-    def test_a_prompt_goes_where_its_parts_are(self):
+    def test_a_prompt_goes_to_the_server_that_has_cached_its_parts(self):
         parts = (request_types.Part(name="p", tokens=6000),)
         one, two = (backend(n, weights={"m": 1}) for n in ("1", "2"))
         two.note_parts("1", parts, 50000, 0.0)
@@ -303,7 +303,7 @@
         )
         assert found == "1"
 
-    def test_a_server_that_failed_is_left_alone_and_tried_again(self):
+    def test_a_failed_server_is_in_backoff_and_tried_again(self):
         only = backend("o")
         only.note_connection_failure(10.0)
         assert self.choose(only) is None
@@ -312,10 +312,11 @@
             only.note_connection_failure(20.0)
         assert only.avoid_until <= 20.0 + backends.MAX_FAILURE_BACKOFF_SECONDS
 
-    def test_long_prompts_avoid_runners_that_are_slow_by_their_own_pace(self):
-        """Four chunks of a long prompt stretch a slow runner's pauses.
+    def test_long_prompts_avoid_runners_with_long_event_gaps(self):
+        """Guards against late streams on slow runners.
 
-        Streams there pause for over 250 ms and count as late.
+        Four chunks of a long prompt lengthen the event gaps of a slow runner to
+        over 250 ms, which counts as late.
         """
         slow, quick = backend("s", slots=48), backend("q", slots=48)
         for _ in range(200):
@@ -327,7 +328,7 @@
 
 
 class TestSources:
-    """Where cached parts are, and who reads one that nobody keeps."""
+    """Sources of cached parts, and which runner prefills uncached ones."""
 
     PARTS = (
         request_types.Part(name="p", tokens=2000),
@@ -351,11 +352,11 @@
             now=now,
         )
 
-    def test_a_part_that_is_being_read_is_read_once(self):
-        """Two clients asked for one manual, and two runners read it.
+    def test_a_part_that_is_being_prefilled_is_not_prefilled_twice(self):
+        """Guards against two runners that prefill the same shared part.
 
-        The second request came while the first was being read, at another
-        router, which knew nothing of it and chose the runner next door.
+        This happens if a second request arrives at another router during the
+        prefill of the first, and that router chooses another runner.
         """
         here, next_door, _ = runners = self.runners()
         next_door.note_parts("1", self.PARTS, 50000, 10.5)
@@ -374,7 +375,7 @@
         assert chosen.backend is next_door
         assert here.cached_tokens("1", self.PARTS) == 0
 
-    def test_once_read_it_is_fetched_from_its_own_data_centre_first(self):
+    def test_a_prefilled_part_is_fetched_from_the_local_data_centre_first(self):
         here, next_door, there = runners = self.runners()
         for each in (next_door, there):
             each.note_parts("1", self.PARTS, 50000, 10.5)
@@ -384,27 +385,27 @@
         assert found.for_runner("b", 6000) is None
         here.note_parts("1", self.PARTS[:1], 50000, 10.0)
 
-    def test_its_reader_s_first_event_shows_that_it_was_read(self):
+    def test_a_part_is_ready_to_fetch_at_the_first_event_of_its_prefill(self):
         _, next_door, _ = runners = self.runners()
         next_door.note_parts("1", self.PARTS, 50000, 10.5)
         next_door.note_parts_read("1", self.PARTS, 10.2)
         assert self.find(runners, now=10.2).for_runner("a", 0).tokens == 6000
 
     def test_a_runner_with_other_weights_is_no_source(self):
-        """What its runs leave under a namespace may be made on others."""
+        """Guards against fetching parts that were computed on other weights."""
         _, next_door, _ = runners = self.runners()
         next_door.note_parts("1", self.PARTS, 50000, 9.0)
         next_door.registration.weights["m"] = 2
         assert self.find(runners).best == ()
 
-    def test_a_runner_that_fell_silent_is_no_source(self):
-        """A fetch from a dead runner costs some hundred ms."""
+    def test_an_unreachable_runner_is_no_source(self):
+        """Guards against fetches that fail after some hundred ms."""
         _, next_door, _ = runners = self.runners()
         next_door.note_parts("1", self.PARTS, 50000, 9.0)
         next_door.note_connection_failure(10.0)
         assert self.find(runners).best == ()
 
-    def test_what_a_kv_cache_server_keeps_is_fetched_from_there(self):
+    def test_saved_parts_are_fetched_from_the_kv_cache_server(self):
         stored = cache_sources.CacheSource(
             address="c", data_centre="a", tokens=6000
         )
@@ -412,7 +413,7 @@
         assert found.for_runner("b", 2000).address == "c"
         assert found.for_runner("b", 6000) is None
 
-    def test_a_transfer_takes_what_the_slower_link_allows(self):
+    def test_the_slower_link_determines_the_transfer_time(self):
         service = configurations.Service(
             name="s",
             max_connections=0,
@@ -436,9 +437,9 @@
 
 
 class TestSuspects:
-    """Content that crashes servers."""
+    """Quarantine of content that crashes servers."""
 
-    def test_content_in_two_dead_servers_is_barred_for_a_while(self):
+    def test_content_of_two_crashed_servers_is_quarantined_for_a_while(self):
         known = suspects.Suspects()
         for name, when in (("i", 1.0), ("j", 2.0)):
             known.broke("c", name, when)
@@ -447,15 +448,15 @@
         assert not known.is_quarantined("d", 3.0)
         assert not known.is_quarantined("c", 3.0 + suspects.MEMORY_SECONDS)
 
-    def test_a_broken_connection_to_a_server_that_lives_proves_nothing(self):
-        """Lost answers must not bar an innocent client's requests."""
+    def test_broken_connections_to_a_live_server_do_not_quarantine(self):
+        """Guards against refusing harmless requests after lost responses."""
         known = suspects.Suspects()
         for number in range(9):
             known.broke("c", f"i{number}", 1.0)
         assert not known.is_quarantined("c", 2.0)
         assert not known.died("i1", 1.0 + suspects.DEATH_SECONDS + 0.1)
 
-    def test_a_whole_answer_proves_innocence(self):
+    def test_a_complete_response_clears_the_suspicion(self):
         known = suspects.Suspects()
         known.crashed("c", "i", 1.0)
         known.served("c")
@@ -463,8 +464,8 @@
         assert not known.is_quarantined("c", 3.0)
 
 
-class TestMirrors:
-    """Copies of the store's objects."""
+class TestObjectCaches:
+    """Cached copies of the store's objects."""
 
     def mirror(self):
         seen = []
@@ -479,7 +480,7 @@
     def stored(self, name, revision):
         return registrations.Stored(name=name, revision=revision, value={})
 
-    def test_an_older_listing_of_another_router_changes_nothing(self):
+    def test_an_older_listing_of_another_router_is_ignored(self):
         held, seen = self.mirror()
         listing = registrations.Listing
         held.apply(listing(objects=[self.stored("a", 5)], revision=9))
@@ -487,7 +488,7 @@
         assert list(held.objects) == ["a"]
         assert len(seen) == 1
 
-    def test_what_a_new_listing_lacks_is_gone(self):
+    def test_objects_missing_from_a_new_listing_are_removed(self):
         held, seen = self.mirror()
         listing = registrations.Listing
         held.apply(listing(objects=[self.stored("a", 5)], revision=9))
@@ -508,9 +509,9 @@
 
 
 class TestRoutes:
-    """Routes and splits."""
+    """Route matching and traffic splits."""
 
-    def test_the_longest_prefix_wins_and_hosts_are_apart(self):
+    def test_the_longest_prefix_of_the_same_host_matches(self):
         def one(name, host, prefix):
             return configurations.Route(
                 name=name,
@@ -543,7 +544,7 @@
         assert built.match("h", "/a/bc").name == "short"
         assert built.match("h", "/b/") is None
 
-    def test_a_split_follows_its_weights_and_is_the_same_for_a_request(self):
+    def test_a_split_follows_its_weights_and_is_stable_for_a_request(self):
         shares = (
             configurations.ServiceShare(service="x", weight=90),
             configurations.ServiceShare(service="y", weight=10),
@@ -573,36 +574,36 @@
         ) == selections.ordered_services(split, "q1")
 
 
-class TestTrouble:
+class TestFailureRate:
     """Servers that fail part of their requests."""
 
     def test_a_server_that_fails_requests_is_used_less_and_comes_back(self):
-        """A grey server answers its status check and resets requests.
+        """Guards against servers that pass status checks but reset requests.
 
-        Only what requests met tells; while it fails, work goes elsewhere.
+        Only the outcomes of requests show such a failure.
         """
-        grey, good = backend("g", slots=48), backend("o", slots=48)
+        failing, good = backend("g", slots=48), backend("o", slots=48)
         for _ in range(8):
-            grey.note_request_failure(10.0)
+            failing.note_request_failure(10.0)
         good.open = 20
         criteria = placements.Criteria(data_centre="a")
 
         def chosen():
             return placements.choose(
-                candidates=[grey, good], criteria=criteria, now=10.0
+                candidates=[failing, good], criteria=criteria, now=10.0
             ).backend
 
         assert chosen() is good
         for _ in range(40):
-            grey.note_success()
-        assert chosen() is grey
+            failing.note_success()
+        assert chosen() is failing
 
 
 class TestSaving:
-    """What is sent to the KV cache server."""
+    """Which prompts are saved to the KV cache server, and to which one."""
 
     def test_a_prompt_is_saved_only_for_shared_parts_that_are_not_saved(self):
-        """Own parts of every prompt would push the shared ones out."""
+        """Guards against evicting shared parts in favour of unshared ones."""
         known = saved_parts.SavedParts()
         parts = (request_types.Part(name="p", tokens=2000),)
         assert known.unsaved_tokens("c", "3", parts, 1.0)
@@ -613,21 +614,21 @@
         late = 2.0 + saved_parts.AGAIN_SECONDS
         assert known.unsaved_tokens("c", "3", parts, late)
 
-    def test_a_part_on_its_way_is_not_saved_again_at_once(self):
+    def test_a_part_that_is_being_saved_is_not_saved_again_at_once(self):
         known = saved_parts.SavedParts()
         parts = (request_types.Part(name="p", tokens=2000),)
         known.note_saving("c", "3", parts, 1.0)
         assert not known.unsaved_tokens("c", "3", parts, 1.5)
         assert known.tokens("c", "3", parts, 1.5) == 0
-        # Its reader failed: nothing came.
+        # The runner failed during the prefill, so the part was not saved.
         late = 1.1 + saved_parts.SAVING_SECONDS
         assert known.unsaved_tokens("c", "3", parts, late)
 
-    def test_what_another_router_has_saved_is_not_saved_again(self):
-        """Each prompt was saved by every router that met it, and own parts too.
+    def test_parts_saved_by_another_router_are_not_saved_again(self):
+        """Guards against overloading the links of KV cache servers.
 
-        Two KV cache servers were sent more than their links carry, so what
-        was saved came two seconds late, and was read again meanwhile.
+        If every router saves each prompt, with its unshared part too, saved
+        parts arrive two seconds late and are prefilled again meanwhile.
         """
         older = TestOlderWeights()
         view = older.view(saved=None)
@@ -649,7 +650,7 @@
         assert older.sent(view, 18.0).save_to is None
 
     def test_all_routers_use_one_kv_cache_server_for_a_prompt(self):
-        """One for each data centre would read and keep each part in each."""
+        """Guards against prefilling and storing parts in each data centre."""
         services = [
             configurations.Service(
                 name=name,
@@ -686,7 +687,7 @@
         assert len(set.union(*chosen.values())) == 3
 
     def test_without_a_kv_cache_server_a_prompt_goes_where_its_parts_are(self):
-        """Nothing is saved, so a part would be read at each runner."""
+        """Guards against prefilling a part at each runner, as none is saved."""
         view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
         view.configuration = configurations.build(
             version=1,
@@ -713,7 +714,7 @@
 
 
 class TestUrgency:
-    """Which requests a runner lets in first."""
+    """The order in which a runner admits requests."""
 
     def sent(self, own, organisation):
         found = attrs.evolve(
@@ -728,26 +729,26 @@
             ),
         )
 
-    def test_the_organisation_goes_first_and_the_route_within_it(self):
-        """Drafts for riders at the counter waited behind look-ups.
+    def test_the_organisation_s_urgency_takes_precedence_over_the_route_s(self):
+        """Guards against interactive requests that wait behind other ones.
 
-        Nearly all organisations have one urgency, and with theirs alone the
-        runners let everything in by its arrival.
+        Nearly all organisations have the same urgency, so with it alone the
+        runners admit all requests by arrival.
         """
         order = [(0, 0), (1, 0), (2, 0), (0, 1), (1, 1), (0, 2), (2, 2)]
         found = [self.sent(own, organisation) for own, organisation in order]
         assert found == sorted(set(found))
 
     @given(strategies.integers(0, 20), strategies.integers(0, 20))
-    def test_it_is_never_beyond_what_a_runner_takes(self, own, organisation):
+    def test_it_is_always_in_the_range_of_a_runner(self, own, organisation):
         assert 0 <= self.sent(own, organisation) <= selections.MAX_URGENCY
 
-    def test_without_an_organisation_the_route_s_holds(self):
+    def test_without_an_organisation_the_route_s_urgency_applies(self):
         assert [self.sent(own, None) for own in (0, 1, 2)] == [0, 1, 2]
 
 
 class TestOlderWeights:
-    """What may be fetched from caches made under older weights."""
+    """Which cached parts of older weights may be fetched."""
 
     PARTS = (request_types.Part(name="manual", tokens=4000),)
     OWN = request_types.Part(name="own", tokens=100)
@@ -813,23 +814,24 @@
         return found
 
     def test_parts_saved_well_before_newer_weights_are_fetched(self):
-        """Runners not yet reached by a change read a whole manual again.
+        """Guards against prefilling valid parts again as weights change.
 
-        They may not fetch what a run under changed weights left behind; what
-        the KV cache server had before the change was named is sound.
+        Parts that a run under changed weights stored must not be fetched, but
+        those that the KV cache server had before the announcement are valid.
         """
         assert self.fetched(self.view(saved=5.0), 11.0) == "10.0.0.1:80"
 
-    def test_parts_that_may_have_been_saved_after_are_not(self):
-        """A run that goes on under new weights may have saved a mixed part.
+    def test_parts_possibly_saved_after_newer_weights_are_not_fetched(self):
+        """Guards against fetching parts computed with two versions of weights.
 
-        A request that fetches it answers from other weights' memory.
+        A run that continues under new weights may have saved such a part, and a
+        request that fetches it is answered from another version's KV cache.
         """
         for saved in (None, 9.5, 10.6):
             assert self.fetched(self.view(saved=saved), 11.0) is None
 
-    def test_parts_that_may_have_yielded_since_are_not(self):
-        """A part that yielded may have been saved again, mixed."""
+    def test_parts_possibly_evicted_since_are_not_fetched(self):
+        """An evicted part may have been saved again with mixed weights."""
         view = self.view(saved=5.0)
         late = 5.0 + saved_parts.AGAIN_SECONDS + 0.2
         view.wanted["m"] = wanted_weights.WantedWeights(
@@ -837,8 +839,8 @@
         )
         assert self.fetched(view, late) is None
 
-    def test_a_kv_cache_server_that_went_away_keeps_nothing(self):
-        """It returns empty, and a part saved again may be mixed."""
+    def test_a_lost_kv_cache_server_counts_as_empty(self):
+        """It restarts empty, and a part saved again may have mixed weights."""
         view = self.view(saved=5.0)
         view.saved.lost()
         assert self.fetched(view, 11.0) is None
@@ -846,28 +848,29 @@
 
 
 class TestRetryAfter:
-    """When a refused client may come back."""
+    """Retry-After of refused requests."""
 
-    def test_a_client_of_a_dark_router_comes_back_when_it_may_know_more(self):
-        """A client came back after 0.3 s, and had no further try.
+    def test_retry_after_of_a_router_without_configuration_is_longer(self):
+        """Guards against a retry that comes before the store is back.
 
-        All routers had started within an outage. The store was back after
-        0.8 s; the client had 3.4 s left, and got nothing.
+        If all routers start during an outage and the store is back after 0.8 s,
+        a client that retries after 0.3 s gets no further attempt, although it
+        has 3.4 s left.
         """
-        dark = results.Code.CONFIGURATION_INCOMPLETE
-        found = {router_responses.retry_seconds(dark) for _ in range(50)}
+        code = results.Code.CONFIGURATION_INCOMPLETE
+        found = {router_responses.retry_seconds(code) for _ in range(50)}
         assert len(found) > 25
         assert min(found) >= 0.75
-        # Clients with 4 s honour up to a third of what is left to them.
+        # Clients with a timeout of 4 s honour up to a third of the time left.
         assert max(found) <= 4 / 3
 
-    def test_only_a_promise_says_when_to_come_back(self):
+    def test_only_requests_that_did_not_run_get_a_retry_after(self):
         assert (
             router_responses.retry_seconds(results.Code.SERVICE_FAILED) is None
         )
         assert router_responses.retry_seconds(results.Code.NO_SERVER) == 0.3
 
-    def test_clients_that_full_servers_refused_do_not_return_together(self):
+    def test_retries_after_overload_are_spread_over_time(self):
         full = results.Code.OVERLOADED
         found = {router_responses.retry_seconds(full) for _ in range(50)}
         assert len(found) > 25
@@ -876,7 +879,7 @@
 
 
 class TestAgesOfWeights:
-    """Since when weights count as named."""
+    """The time as of which weights count as announced."""
 
     def takers(self):
         view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
@@ -892,12 +895,13 @@
         value = {"model": "m", "version": version}
         return registrations.Stored(name="m", revision=version, value=value)
 
-    def test_the_first_version_ever_named_is_new(self):
-        """Two thirds of the runners were shut out while they still might serve.
+    def test_the_first_version_ever_announced_is_new(self):
+        """Guards against excluding runners whose weights are still allowed.
 
-        No version had been named when the routers started. The first came by
-        their watch, was taken for one read at a start, and counted as named
-        for half of the time until no request may begin on older weights.
+        If no version is announced when the routers start, the first arrives
+        through their watch. Treated like a version read at the start, it would
+        count as announced for half of the time after which no request may start
+        on older weights.
         """
         taken = self.takers()
         taken.weights([], [])
