--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -1,4 +1,4 @@
-"""Messages between routers that were held up by a cut are not news."""
+"""Tests of peer messages that a network partition delayed."""
 
 import attrs
 
@@ -14,7 +14,7 @@
 
 
 def deliver(receiver, sender, message):
-    """Brings a message that was sent some seconds ago."""
+    """Delivers a message as if it was sent HELD_SECONDS ago."""
     born, sent = message.clock
     message = attrs.evolve(
         message, clock=(born, sent - int(1000 * HELD_SECONDS))
@@ -35,28 +35,28 @@
 
 
 class TestDelays:
-    """Delays by clocks that don't agree."""
+    """Delays between routers with unsynchronized clocks."""
 
-    def test_only_what_is_later_than_usual_was_held_up(self):
+    def test_only_messages_later_than_usual_count_as_delayed(self):
         found = delays.Delays()
         assert found.excess_seconds("r", (1, 70_000), 10.0) == 0.0
         assert found.excess_seconds("r", (1, 71_000), 11.002) == 0.0
         assert found.excess_seconds("r", (1, 72_000), 16.0) == 4.0
         assert found.excess_seconds("r", (1, 77_000), 17.1) == 0.0
 
-    def test_a_new_life_may_have_another_clock(self):
+    def test_a_restarted_sender_may_have_another_clock(self):
         found = delays.Delays()
         found.excess_seconds("r", (1, 70_000), 10.0)
         assert found.excess_seconds("r", (2, 1_000), 11.0) == 0.0
         assert found.excess_seconds("r", (2, 2_000), 13.0) == 1.0
 
-    def test_clocks_that_drift_apart_hold_nothing_up(self):
+    def test_clock_drift_does_not_count_as_a_delay(self):
         found = delays.Delays()
         for second in range(0, 20_000, 10):
             sent = int(1000 * second * (1 - 1e-4)) + 1
             assert found.excess_seconds("r", (1, sent), float(second)) == 0.0
 
-    def test_who_is_gone_is_forgotten(self):
+    def test_senders_without_recent_messages_are_removed(self):
         found = delays.Delays()
         found.excess_seconds("r", (1, 70_000), 10.0)
         found.excess_seconds("s", (1, 70_000), 1000.0)
@@ -64,8 +64,8 @@
 
 
 @played(routers=2, plain=1, runners=1)
-async def test_a_limit_that_a_cut_held_up_is_no_news(world):
-    """Guards against the end of a limit of before a cut, told after it."""
+async def test_a_delayed_limit_does_not_replace_a_newer_one(world):
+    """Guards against an old limit that is delivered late by a partition."""
     first, second = await meet(world)
     limits = second.view.server_limits
     first.view.server_limits.update(
@@ -83,8 +83,8 @@
 
 
 @played(routers=2, plain=1, runners=1)
-async def test_a_heartbeat_that_a_cut_held_up_freshens_nothing(world):
-    """Guards against lists that a cut has kept old and that count as young."""
+async def test_a_delayed_heartbeat_does_not_refresh_listings(world):
+    """Guards against stale listings that count as recent after a partition."""
     first, second = await meet(world)
     mirror = second.kinds["servers"].mirror
     beat = first.peers._own_beat(clocks.now())
@@ -94,13 +94,13 @@
 
 
 def _known(beat):
-    """Returns what a heartbeat tells, as if nothing were newer than it."""
+    """Returns the known revisions of a heartbeat, each with an age of 0."""
     return {kind: (revision, 0) for kind, (revision, _) in beat.known.items()}
 
 
 @played(routers=2, plain=1, runners=1)
-async def test_weights_that_a_cut_held_up_count_from_before_it(world):
-    """Guards against older weights that are used for longer after a cut."""
+async def test_delayed_weights_count_from_before_the_partition(world):
+    """Guards against using older weights for too long after a partition."""
     first, second = await meet(world)
     first.view.want(MODEL, 2, clocks.now())
     now = clocks.now()
--- a/pimentoledge/tests/test_router_first_events.py
+++ b/pimentoledge/tests/test_router_first_events.py
@@ -1,4 +1,4 @@
-"""What is to be read before a first event costs, and how a router learns it."""
+"""Tests of wait estimates: prefill work, load and the fit of first events."""
 
 import random
 
@@ -37,12 +37,12 @@
 )
 
 
-def test_a_prompt_goes_where_fewest_wait_rather_than_where_fewest_run():
-    """A quarter of the streams came late while runners next door were free.
+def test_a_short_queue_counts_more_than_few_running_requests():
+    """Guards against choosing a runner by its total number of requests.
 
-    A runner said that 12 requests waited there and 4 ran; the other that none
-    waited and 18 ran. By requests alone the first looked the better, and a
-    prompt waited 560 ms there; it would have begun in 70 at the other.
+    With 12 waiting and 4 running requests at one runner, and 18 running ones at
+    another, the first has fewer in total, but a prompt waits 560 ms there
+    instead of 70 ms.
     """
     piled = runner("piled", running=4, waiting=12)
     free = runner("free", running=18)
@@ -56,7 +56,7 @@
     assert found.backend is free
 
 
-def test_requests_sent_since_a_runner_spoke_count_as_queued_there():
+def test_requests_sent_since_the_last_load_report_count_as_queued():
     found = runner("r", waiting=3)
     assert found.queued(1.0) == 3
     found.unbegun += 2
@@ -69,14 +69,14 @@
     assert found.queued(1.0) == 0
 
 
-def test_requests_of_routers_that_do_not_report_show_in_what_waits():
+def test_requests_of_routers_without_reports_are_estimated_from_the_queue():
     found = runner("r", waiting=3)
     found.unbegun, found.unread_tokens = 1, 4000
     found.load_unbegun = 1
     assert found.unread(1500, 1.0, 0.0) == 4000 + 2 * 1500
 
 
-def test_what_other_routers_have_there_counts_as_their_own_word():
+def test_load_of_other_routers_counts_as_they_reported_it():
     found = runner("r")
     found.peer_loads["x"] = backends.PeerLoad(open=3, unbegun=2, unread=9000)
     assert found.estimated_requests(1.0) == 3
@@ -84,8 +84,8 @@
     assert found.unread(1500, 1.0, 0.0) == 9000
 
 
-def test_of_what_is_next_a_part_is_read_already():
-    """A router kept away from runners that were nearly done."""
+def test_a_prefill_in_progress_counts_as_partly_done():
+    """Guards against avoiding runners whose prefill is nearly finished."""
     found = runner("r")
     found.unread_tokens, found.read_since = 9000, 1.0
     assert found.unread(0.0, 1.0, 3e-5) == 9000
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize("token_seconds", [6e-6, 3e-5, 1.5e-4])
-def test_the_reading_is_learnt_of_engines_fast_and_slow(token_seconds):
-    """Five times as fast and five times as slow as the usual engine."""
+def test_the_fit_learns_fast_and_slow_engines(token_seconds):
+    """Covers five times the usual prefill speed and a fifth of it."""
     drawn = random.Random(7)
     known = first_events.FirstEventFit()
     for _ in range(300):
@@ -107,7 +107,7 @@
     assert known.expected_seconds(10000) == pytest.approx(expected, rel=0.3)
 
 
-def test_one_stream_that_hung_does_not_spoil_what_was_learnt():
+def test_one_stalled_stream_does_not_distort_the_fit():
     known = first_events.FirstEventFit()
     for _ in range(20):
         known.note(0.09 + 3e-5 * 3000, 3000)
@@ -116,7 +116,7 @@
     assert known.token_seconds < 2 * first_events.FIRST_TOKEN_SECONDS
 
 
-def test_streams_of_one_length_leave_the_slope_to_the_first_guess():
+def test_streams_of_one_length_leave_the_slope_to_the_initial_estimate():
     known = first_events.FirstEventFit()
     for _ in range(200):
         known.note(0.18, 3000)
@@ -124,8 +124,8 @@
     assert known.token_seconds == pytest.approx(3e-5, rel=0.5)
 
 
-class TestPromptAt:
-    """What a runner has to do for a prompt."""
+class TestPromptWork:
+    """Prefill and fetch work of a prompt at a runner."""
 
     SOURCES = cache_sources.Sources(
         best=(
@@ -149,7 +149,7 @@
             speeds=SPEEDS,
         )
 
-    def test_it_reads_only_what_nobody_keeps(self):
+    def test_only_tokens_cached_nowhere_are_prefilled(self):
         found = self.at("a", 0)
         assert found.to_read == 3000
         assert found.fetch_seconds == pytest.approx(2 * 6000 * 2e-6)
@@ -158,21 +158,21 @@
     def test_a_fetch_within_the_data_centre_takes_half(self):
         assert self.at("b", 0).fetch_seconds == pytest.approx(6000 * 2e-6)
 
-    def test_what_it_keeps_is_neither_read_nor_fetched(self):
+    def test_its_own_cached_tokens_are_neither_prefilled_nor_fetched(self):
         found = self.at("a", 6000)
         assert (found.to_read, found.fetch_seconds) == (3000, 0.0)
 
-    def test_what_another_is_about_to_have_would_be_read_twice(self):
+    def test_pending_tokens_of_another_runner_are_duplicate_work(self):
         found = self.at("a", 2500, cache_sources.Sources(pending_tokens=6000))
         assert found.to_read == 6500
         assert found.duplicate_tokens == 3500
 
 
 def test_a_short_prompt_waits_little_for_a_long_one():
-    """Short prompts were refused, or sent far, for long ones read beside them.
+    """Guards against refusing short prompts because of long ones.
 
-    Chunks are read in turn: what is to be read before a short prompt is as
-    much of each other as it has itself.
+    Chunks are prefilled in turn: before a short prompt is done, only as many
+    tokens of each other prompt are prefilled as it has itself.
     """
     found = runner("r")
     found.unread_tokens, found.unbegun, found.read_since = 20000, 2, 1.0
@@ -180,11 +180,11 @@
     assert wait_estimates.tokens_ahead(found, 90000, SPEEDS, 1.0) == 20000
 
 
-def test_a_runner_elsewhere_is_not_idle_because_nothing_is_known_of_it():
-    """Four of five prompts were sent to data centres that looked idle.
+def test_a_remote_runner_without_reports_does_not_count_as_idle():
+    """Guards against sending most prompts to other data centres.
 
-    Each router knew what those of its own had sent where, and of the others
-    nothing, so their runners seemed free: prompts piled up there unseen.
+    The routers of other data centres don't report the load of single runners
+    here, so these would look idle while prompts pile up there.
     """
     here, there = runner("h"), runner("t", place="b")
     here.unread_tokens, here.unbegun, here.read_since = 6000, 1, 1.0
--- a/pimentoledge/tests/test_router_rooms.py
+++ b/pimentoledge/tests/test_router_rooms.py
@@ -1,4 +1,4 @@
-"""Overload: what runners have too little of, and who is refused first."""
+"""Tests of overload: shortages of runners and which requests are refused."""
 
 import attrs
 import pytest
@@ -55,7 +55,7 @@
 
 
 def world(*loads, memory=MEMORY):
-    """Returns beliefs in runners that told these loads."""
+    """Returns a view of runners that reported these loads."""
     view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
     service = configurations.Service(
         name="s",
@@ -94,7 +94,7 @@
 
 
 def select(view, route=ROUTE):
-    """Returns the server that is chosen, or what those there are lack."""
+    """Returns the chosen server, or the shortages if there is none."""
     found = selections.select(
         view=view,
         client_request=ASK,
@@ -106,20 +106,20 @@
     match found:
         case placements.Choice():
             return found.backend.registration.server
-        case placements.NoCapacity(shortage=lacks):
-            return lacks
+        case placements.NoCapacity(shortage=shortages):
+            return shortages
 
 
-def test_what_a_request_shares_with_others_is_not_its_own():
+def test_shared_tokens_do_not_count_as_memory_of_a_request():
     assert memory_estimates.unshared_tokens(ASK) == 3050
 
 
-def test_a_runner_whose_memory_is_taken_gets_no_more():
-    """A congestion outlasted its cause by half a minute.
+def test_a_runner_with_full_memory_gets_no_requests():
+    """Guards against congestion that outlasts its cause by half a minute.
 
-    A quarter of the runners went dark and weights changed. The others had
-    slots left and were sent all requests; these pushed the cached parts out,
-    so each prompt was read whole, stayed longer, and more piled up.
+    If a quarter of the runners fail during a change of weights, the others
+    still have slots. Sending them all requests evicts their cached parts, so
+    each prompt is prefilled in full, takes longer, and requests pile up.
     """
     view = world((40, 0), (5, 0))
     assert select(view) == "r1"
@@ -127,7 +127,7 @@
     assert select(view) == {capacity_checks.Shortage.MEMORY: 2}
 
 
-def test_the_less_urgent_are_refused_first():
+def test_less_urgent_requests_are_refused_first():
     view = world((35, 0))
     assert select(view) == {capacity_checks.Shortage.MEMORY: 1}
     assert select(view, URGENT) == "r0"
@@ -136,13 +136,13 @@
 
 
 def test_an_idle_runner_is_never_full():
-    """Requests larger than a runner's memory would shut out all others."""
+    """Guards against refusing all requests if their mean exceeds the memory."""
     view = world((0, 0))
     view.mean_unshared("m").tokens = 3.0 * MEMORY
     assert select(view) == "r0"
 
 
-def test_room_is_back_as_soon_as_a_runner_tells_so():
+def test_capacity_is_back_as_soon_as_a_runner_reports_it():
     view = world((40, 10))
     assert isinstance(select(view), dict)
     runner = view.servers.by_server["r0"]
@@ -152,18 +152,18 @@
     assert select(view) == "r0"
 
 
-def test_without_a_known_memory_nothing_is_refused_for_it():
+def test_unknown_memory_size_refuses_nothing():
     view = world((40, 0), memory=None)
     view.mean_unshared("m").tokens = 9000.0
     assert select(view) == "r0"
 
 
-def test_slots_are_kept_for_the_most_urgent():
-    """Short answers took twelve seconds, and most came to nothing.
+def test_slots_are_reserved_for_the_most_urgent_requests():
+    """Guards against short responses that take twelve seconds or fail.
 
-    Every slot was open to long prompts. They were read between the steps of
-    all answers there, which took seven times as long, kept their slots, and
-    what was most urgent found none.
+    With every slot open to long prompts, their prefill runs between the decode
+    steps of all responses of the runner. These take seven times as long and
+    occupy their slots, so the most urgent requests find none.
     """
     view = world((46, 0), memory=None)
     assert select(view) == {capacity_checks.Shortage.SLOTS: 1}
@@ -172,11 +172,11 @@
     assert select(view, URGENT) == {capacity_checks.Shortage.SLOTS: 1}
 
 
-def test_what_would_come_too_late_is_refused_at_once():
-    """Look-ups queued behind each other until all of them were late.
+def test_requests_that_would_be_too_late_are_refused_at_once():
+    """Guards against requests that queue until all of them are late.
 
-    Each was sent although its first event was to be expected seconds past its
-    objective; by then its client had left, and what was read was for nothing.
+    If requests are sent although their first event is expected seconds past its
+    objective, their clients have left by then and the prefill is wasted.
     """
     view = world((2, 0), memory=None)
     runner = view.servers.by_server["r0"]
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("urgency", [0, 1])
-def test_an_idle_runner_takes_a_prompt_that_can_not_be_in_time(urgency):
+def test_an_idle_runner_accepts_a_prompt_that_cannot_be_in_time(urgency):
     view = world((0, 0))
     hasty = attrs.evolve(ROUTE, urgency=urgency, objective_seconds=0.01)
     assert select(view, hasty) == "r0"
