--- a/pimentoledge/routing/attempt_loads.py
+++ b/pimentoledge/routing/attempt_loads.py
@@ -1,4 +1,4 @@
-"""What one attempt adds to what its server is believed to have."""
+"""Accounts for the load of one attempt at its server."""
 
 from pimentoledge.routing import backends
 from pimentoledge.routing import first_events
@@ -7,13 +7,13 @@
 
 
 class AttemptLoad:
-    """Counts an attempt at its server while it is open.
+    """Adds an attempt to the load of its server while it is open.
 
     Attributes:
-        client_request: the request.
+        client_request: the client's request.
         backend: the server.
-        dispatch: what is sent besides the request.
-        prompt_read: whether the server has read the prompt.
+        dispatch: routing data sent along with the request.
+        prompt_read: whether the prefill has finished or was given up.
     """
 
     def __init__(
@@ -33,16 +33,16 @@
         self._sent = 0.0
 
     def start(self, speeds: wait_estimates.Speeds, now: float) -> None:
-        """Takes that the request is being sent.
+        """Adds the attempt to the server's load when its request is sent.
 
         Args:
-            speeds: what first events have shown.
+            speeds: speeds estimated from first events.
             now: the time.
         """
         backend = self.backend
         self._reading = self.dispatch.to_read
         self._ahead = int(
-            wait_estimates.ahead_at(backend, self._reading, speeds, now)
+            wait_estimates.tokens_ahead(backend, self._reading, speeds, now)
         )
         self._sent = now
         if not backend.outstanding():
@@ -50,23 +50,25 @@
         backend.open += 1
         backend.unbegun += 1
         self._unbegun = True
-        backend.reading += self._reading
+        backend.unread_tokens += self._reading
 
-    def began(self, found: first_events.FirstEventFit, now: float) -> None:
-        """Takes the first event: the server has read the prompt."""
-        found.note(now - self._sent, self._reading + self._ahead)
+    def note_first_event(
+        self, fit: first_events.FirstEventFit, now: float
+    ) -> None:
+        """Records the first event: the server has prefilled the prompt."""
+        fit.note(now - self._sent, self._reading + self._ahead)
         self.backend.read_since = now
-        self.reads_no_more()
+        self.end_prompt_reading()
 
-    def reads_no_more(self) -> None:
-        """Notes that the server does not, or no longer, read the prompt."""
+    def end_prompt_reading(self) -> None:
+        """Removes the prompt from the server's unfinished prefill."""
         self.backend.unbegun -= self._unbegun
         self._unbegun = False
-        self.backend.reading -= self._reading
+        self.backend.unread_tokens -= self._reading
         self._reading = 0
         self.prompt_read = True
 
     def close(self) -> None:
-        """Takes the end of the attempt."""
-        self.reads_no_more()
+        """Removes the ended attempt from the server's load."""
+        self.end_prompt_reading()
         self.backend.open -= 1
