--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -385,7 +385,7 @@
     def _sender(self, sender: str):
         def deliver(address: str, message: object) -> None:
             receiver = self.routers[int(address.removeprefix("tcp://r"))]
-            receiver.reports.take(sender, message, self.agenda.now)
+            receiver.reports.receive(sender, message, self.agenda.now)
 
         def send_all(addresses: list[str], message: object) -> None:
             for address in addresses:
--- a/pimentoledge/routing/cache_monitors.py
+++ b/pimentoledge/routing/cache_monitors.py
@@ -75,7 +75,7 @@
     def _set_down(self, address: str, why: str) -> None:
         if address not in self.view.caches_down:
             self.view.caches_down.add(address)
-            self.view.saved.lost()
+            self.view.saved.clear()
             self.lines.write("cache_server_down", address=address, why=why)
 
     def _set_up(self, address: str) -> None:
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -148,7 +148,7 @@
             view=self.view,
             lease=self.lease,
             watching=self.kinds,
-            takers=self.updater,
+            updater=self.updater,
             notices=self.notices,
             store=self.store,
             lines=self.lines,
@@ -216,7 +216,8 @@
 
     def _lapse_ends(self) -> float:
         return max(
-            self.kinds["servers"].lapse_ends(), self.peers.replicator.lapse_told
+            self.kinds["servers"].lapse_ends(),
+            self.peers.replicator.peer_lapse_ends,
         )
 
     def _restarted(self, address: str) -> None:
--- a/pimentoledge/routing/fleet_sizes.py
+++ b/pimentoledge/routing/fleet_sizes.py
@@ -23,9 +23,9 @@
 KIND = "router-leases"
 NAME = "fleet"
 # Between two looks at whether the store's number is still right.
-LOOK_SECONDS = 1.0
+CHECK_SECONDS = 1.0
 # A number must differ for so many looks before it is written.
-LOOKS = 3
+CHECKS_BEFORE_WRITE = 3
 # Without the store's word a router that has just started knows nothing of the
 # others for so long.
 UNKNOWN_SECONDS = 1.5
@@ -41,7 +41,7 @@
         roster: the other routers.
         store: the store's client.
         lines: where changes of belief are written.
-        wanted: returns whether anybody needs the number.
+        is_needed: returns whether anybody needs the number.
         owners: returns the owners of the limits as this router knows them.
         born: when this router started.
         stored: the store's number, 0 if it has none, None if not read.
@@ -55,14 +55,14 @@
         roster: rosters.Roster,
         store: stores.Store,
         lines: log_lines.Lines,
-        wanted: Callable[[], bool],
+        is_needed: Callable[[], bool],
         owners: Callable[[], list[str]],
         born: float,
     ):
         self.roster = roster
         self.store = store
         self.lines = lines
-        self.wanted = wanted
+        self.is_needed = is_needed
         self.owners = owners
         self.born = born
         self.stored: int | None = None
@@ -110,19 +110,19 @@
             except Exception:
                 logger.exception("defect")
             starting = self.stored is None
-            await asyncio.sleep(RETRY_SECONDS if starting else LOOK_SECONDS)
+            await asyncio.sleep(RETRY_SECONDS if starting else CHECK_SECONDS)
 
     async def _step(self, now: float) -> None:
         if self.stored is None:
             self._learn(await self.store.read(KIND, NAME))
             return
-        if not self.wanted() or not self._is_writer(now):
+        if not self.is_needed() or not self._is_writer(now):
             self._differed = 0
             return
         count, owners = self.roster.count(now), sorted(set(self.owners()))
         same = count == self.stored and owners == self.stored_owners
         self._differed = 0 if same else self._differed + 1
-        if self._differed >= LOOKS:
+        if self._differed >= CHECKS_BEFORE_WRITE:
             self._differed = 0
             await self._write(count, owners)
 
@@ -130,9 +130,9 @@
         """Returns whether this router comes first of all that live."""
         if now - self.born < STARTING_SECONDS / 2:
             return False
-        here = heartbeat_rings.place(self.roster.own)
+        here = heartbeat_rings.ring_position(self.roster.own)
         return all(
-            heartbeat_rings.place(each) > here
+            heartbeat_rings.ring_position(each) > here
             for each in self.roster.members(now)
         )
 
--- a/pimentoledge/routing/heartbeat_rings.py
+++ b/pimentoledge/routing/heartbeat_rings.py
@@ -9,13 +9,13 @@
 # Up to so many others, each is written to. With 23 routers on a calm day each
 # written to by all, heartbeats were some 10 MB between data centres.
 ALL_TO_ALL = 8
-CIRCLE = 2**64
+RING_SIZE = 2**64
 # Links to those beside a router, to each side.
-BESIDE = 2
+ADJACENT_LINKS = 2
 
 
 @functools.lru_cache(maxsize=4096)
-def place(address: str) -> int:
+def ring_position(address: str) -> int:
     """Returns where a router stands on the circle that all agree on."""
     return xxhash.xxh3_64_intdigest(address.encode())
 
@@ -54,13 +54,15 @@
             far.add(_next(own, there))
         else:
             far.update(_before(own, near, there))
-    return _near(own, near), sorted(far, key=place)
+    return _near(own, near), sorted(far, key=ring_position)
 
 
 def _next(address: str, ring: list[str]) -> str:
     """Returns the router of a ring that comes next on the circle."""
-    after = [each for each in ring if place(each) > place(address)]
-    return min(after or ring, key=place)
+    after = [
+        each for each in ring if ring_position(each) > ring_position(address)
+    ]
+    return min(after or ring, key=ring_position)
 
 
 def _before(own: str, beside: list[str], others: list[str]) -> list[str]:
@@ -73,11 +75,13 @@
     """
     if not beside:
         return list(others)
-    here = place(own)
-    before = [place(each) for each in beside if place(each) < here]
-    ring = sorted(others, key=place)
-    places = [place(each) for each in ring]
-    last = max(before or map(place, beside))
+    here = ring_position(own)
+    before = [
+        ring_position(each) for each in beside if ring_position(each) < here
+    ]
+    ring = sorted(others, key=ring_position)
+    places = [ring_position(each) for each in ring]
+    last = max(before or map(ring_position, beside))
     return _between(ring, places, last, here)
 
 
@@ -85,32 +89,35 @@
     """Returns those of the own data centre to write to."""
     if len(others) <= ALL_TO_ALL:
         return list(others)
-    ring = sorted(others, key=place)
-    places = [place(each) for each in ring]
-    here = place(own)
+    ring = sorted(others, key=ring_position)
+    places = [ring_position(each) for each in ring]
+    here = ring_position(own)
     index = bisect.bisect_left(places, here)
     before = places[index - 1]
     found = {
-        ring[(index + offset) % len(ring)] for offset in range(-BESIDE, BESIDE)
+        ring[(index + offset) % len(ring)]
+        for offset in range(-ADJACENT_LINKS, ADJACENT_LINKS)
     }
     for span in _spans(len(others)):
-        at = bisect.bisect_left(places, (here + span) % CIRCLE)
+        at = bisect.bisect_left(places, (here + span) % RING_SIZE)
         found.add(ring[at % len(ring)])
         found.update(_between(ring, places, before - span, here - span))
-    return sorted(found, key=place)
+    return sorted(found, key=ring_position)
 
 
 def _spans(count: int) -> list[int]:
     """Returns how far on the circle the linked routers are."""
-    return [CIRCLE >> n for n in range(1, math.ceil(math.log2(count)) + 1, 2)]
+    return [
+        RING_SIZE >> n for n in range(1, math.ceil(math.log2(count)) + 1, 2)
+    ]
 
 
 def _between(
     ring: list[str], places: list[int], after: int, until: int
 ) -> list[str]:
     """Returns the routers on an arc of the circle, whose end is included."""
-    low = bisect.bisect_right(places, after % CIRCLE)
-    high = bisect.bisect_right(places, until % CIRCLE)
-    if after % CIRCLE <= until % CIRCLE:
+    low = bisect.bisect_right(places, after % RING_SIZE)
+    high = bisect.bisect_right(places, until % RING_SIZE)
+    if after % RING_SIZE <= until % RING_SIZE:
         return ring[low:high]
     return ring[low:] + ring[:high]
--- a/pimentoledge/routing/holder_heartbeats.py
+++ b/pimentoledge/routing/holder_heartbeats.py
@@ -17,7 +17,7 @@
         view: what the process believes; `loading_until` is kept here.
         newest: fencing token and number of the newest sign.
         holding: whether the holder held the lease then.
-        taken: when that was taken here.
+        received_at: when that was taken here.
         loading: servers that load at that sign, with the time until when.
     """
 
@@ -26,10 +26,10 @@
         self.view = view
         self.newest = (0, 0)
         self.holding = False
-        self.taken = -1e9
+        self.received_at = -1e9
         self.loading: dict[str, float] = {}
 
-    def own(self, now: float) -> None:
+    def record_own(self, now: float) -> None:
         """Gives a sign of life if this router is the holder, or just was."""
         holds = self.lease.holds(now)
         fence, number = self.newest
@@ -38,7 +38,7 @@
             return
         self.newest = (self.lease.fence, number + 1 if mine else 1)
         self.holding = holds
-        self.taken = now
+        self.received_at = now
         self.loading = {
             name: each.loading_until
             for name, each in self.view.servers.by_incarnation.items()
@@ -55,7 +55,7 @@
             return False
         self.newest = beat.pulse
         self.holding = beat.holding
-        self.taken = now
+        self.received_at = now
         self.loading = {
             name: now + milliseconds / 1000
             for name, milliseconds in beat.loading.items()
@@ -76,4 +76,4 @@
 
     def holder_is_alive(self, now: float) -> bool:
         """Returns whether a holder gave a sign of life just now."""
-        return self.holding and now - self.taken < SILENT_SECONDS
+        return self.holding and now - self.received_at < SILENT_SECONDS
--- a/pimentoledge/routing/limit_reports.py
+++ b/pimentoledge/routing/limit_reports.py
@@ -12,9 +12,9 @@
 
 # Between two reports of what changed: a server may name another limit in each
 # of its answers.
-NEWS_SECONDS = 0.2
+CHANGES_SECONDS = 0.2
 # Between two messages with all limits, each to one router drawn at random.
-ALL_SECONDS = 2.0
+FULL_REPORT_SECONDS = 2.0
 
 
 class LimitReports:
@@ -56,18 +56,18 @@
     def tick(self, now: float) -> None:
         """Sends what is due, and forgets limits that are over."""
         if self.pending and now >= self._next_news:
-            self._next_news = now + NEWS_SECONDS
+            self._next_news = now + CHANGES_SECONDS
             self._send(self.roster.partners, self.pending, now)
             self.pending = set()
         if self.limits.advertised and now >= self._next_all:
-            self._next_all = now + ALL_SECONDS
+            self._next_all = now + FULL_REPORT_SECONDS
             declared = self.view.servers.by_incarnation
             self.limits.expire(declared.keys(), now)
             members = list(self.roster.members(now))
             if members:
-                self.greet(random.choice(members), now)
+                self.send_all_limits(random.choice(members), now)
 
-    def greet(self, address: str, now: float) -> None:
+    def send_all_limits(self, address: str, now: float) -> None:
         """Sends one router all limits."""
         self._send([address], self.limits.advertised.keys(), now)
 
--- a/pimentoledge/routing/load_reports.py
+++ b/pimentoledge/routing/load_reports.py
@@ -24,20 +24,20 @@
 # What a server said longer ago is not passed on.
 FRESH_SECONDS = 1.0
 # A change of what a runner has to read that is told at once: 30 ms of reading.
-NEWS_TOKENS = 1000
+URGENT_TOKENS = 1000
 # What a data centre's runners have in the mean is told to the others so often
 # at least: some 60 bytes.
-FAR_SECONDS = 0.5
+REMOTE_REPORT_SECONDS = 0.5
 # What was told longer ago of another data centre says nothing any more.
-OLD_SECONDS = 3.0
+MEAN_EXPIRY_SECONDS = 3.0
 # Routers of the data centre that are told, and as many that tell: some 300
 # bytes ten times a second from each, whatever the size of the fleet.
-MOST_TOLD = 32
+MAX_RECEIVERS = 32
 # Prompts told in one report; some 60 bytes each. More are left out: what they
 # leave at a runner is a hint, and the next report brings newer ones.
-MOST_PROMPTS = 200
+MAX_PROMPTS = 200
 
-Has = dict[str, tuple[int, int, int]]
+OwnLoad = dict[str, tuple[int, int, int]]
 
 
 class LoadReports:
@@ -47,9 +47,9 @@
         view: what the process believes.
         roster: the other routers.
         send_all: sends a message to mailboxes.
-        told: what it had at servers by its newest report, and when.
-        heard: from whom there are reports, by mailbox, with the servers.
-        passing: prompts heard of from other data centres, to be passed on.
+        last_report: what it had at servers by its newest report, and when.
+        servers_by_sender: servers in each peer's last report, by mailbox.
+        to_forward: prompts from other data centres, yet to be forwarded.
     """
 
     def __init__(
@@ -62,9 +62,9 @@
         self.view = view
         self.roster = roster
         self.send_all = send_all
-        self.told: tuple[Has, float] = ({}, -1e9)
-        self.heard: dict[str, set[str]] = {}
-        self.passing: list[peer_messages.PromptReport] = []
+        self.last_report: tuple[OwnLoad, float] = ({}, -1e9)
+        self.servers_by_sender: dict[str, set[str]] = {}
+        self.to_forward: list[peer_messages.PromptReport] = []
         self._next_far = 0.0
         self._far_prompts: list[peer_messages.PromptReport] = []
 
@@ -80,14 +80,16 @@
             prompt_tokens: its length; a short one is left for later.
             now: the time.
         """
-        if prompt_tokens > NEWS_TOKENS:
+        if prompt_tokens > URGENT_TOKENS:
             self.tick(now)
 
     def tick(self, now: float) -> None:
         """Reports what is news, and forgets who is away."""
         self.view.reaches_all = self.roster.reaches_all()
         present = self.roster.present(now)
-        for address in [each for each in self.heard if each not in present]:
+        for address in [
+            each for each in self.servers_by_sender if each not in present
+        ]:
             self._forget(address)
         self._forget_old_means(now)
         prompts = self._prompts()
@@ -97,7 +99,7 @@
             self._report_far(now)
 
     def _prompts(self) -> list[peer_messages.PromptReport]:
-        found = self.view.prompts_sent[-MOST_PROMPTS:]
+        found = self.view.prompts_sent[-MAX_PROMPTS:]
         self.view.prompts_sent.clear()
         return found
 
@@ -105,14 +107,14 @@
         self, prompts: list[peer_messages.PromptReport], now: float
     ) -> None:
         """Tells the data centre's routers, where there is something new."""
-        before, when = self.told
+        before, when = self.last_report
         has = self._has()
         said = self._said(when, now)
-        passing, self.passing = self.passing[-MOST_PROMPTS:], []
+        passing, self.to_forward = self.to_forward[-MAX_PROMPTS:], []
         news = _differ(before, has) or any(map(_is_long, prompts + passing))
         if not news and now - when < REPEAT_SECONDS:
             return
-        self.told = (has, now)
+        self.last_report = (has, now)
         message = peer_messages.LoadReport(
             has=has,
             said=said,
@@ -123,8 +125,8 @@
 
     def _report_far(self, now: float) -> None:
         """Tells a router of each other data centre."""
-        self._next_far = now + FAR_SECONDS
-        prompts, self._far_prompts = self._far_prompts[-MOST_PROMPTS:], []
+        self._next_far = now + REMOTE_REPORT_SECONDS
+        prompts, self._far_prompts = self._far_prompts[-MAX_PROMPTS:], []
         means = {}
         mean = self._own_mean(now)
         if mean is not None:
@@ -167,7 +169,7 @@
             for place, each in self.view.elsewhere.items()
         }
 
-    def _has(self) -> Has:
+    def _has(self) -> OwnLoad:
         servers = self.view.servers.by_incarnation
         return {
             name: (each.open, each.unbegun, each.reading)
@@ -203,7 +205,7 @@
             for address, peer in self.roster.present(now).items()
             if self._is_near(peer)
         ]
-        return self._from_here(near)[:MOST_TOLD]
+        return self._from_here(near)[:MAX_RECEIVERS]
 
     def _is_near(self, peer: rosters.Peer) -> bool:
         own = self.view.data_centre
@@ -225,14 +227,14 @@
         return [self._from_here(each)[0] for each in places.values()]
 
     def _from_here(self, addresses: list[str]) -> list[str]:
-        here = heartbeat_rings.place(self.roster.own)
+        here = heartbeat_rings.ring_position(self.roster.own)
         return sorted(
             addresses,
-            key=lambda each: (heartbeat_rings.place(each) - here)
-            % heartbeat_rings.CIRCLE,
+            key=lambda each: (heartbeat_rings.ring_position(each) - here)
+            % heartbeat_rings.RING_SIZE,
         )
 
-    def take(
+    def receive(
         self, sender: str, work: peer_messages.LoadReport, now: float
     ) -> None:
         """Takes another router's report in place of its last."""
@@ -242,7 +244,7 @@
         for prompt in work.prompts:
             selections.note_peer_prompt(self.view, prompt, now)
         if not near:
-            self.passing += work.prompts
+            self.to_forward += work.prompts
             return
         self._take_has(sender, work, now)
         self._take_said(work, now)
@@ -251,8 +253,8 @@
         self, sender: str, work: peer_messages.LoadReport, now: float
     ) -> None:
         servers = self.view.servers.by_incarnation
-        gone = self.heard.get(sender, set()) - set(work.has)
-        self.heard[sender] = set(work.has)
+        gone = self.servers_by_sender.get(sender, set()) - set(work.has)
+        self.servers_by_sender[sender] = set(work.has)
         for name in gone | set(work.has):
             backend = servers.get(name)
             if backend is not None:
@@ -305,27 +307,27 @@
     def _forget_old_means(self, now: float) -> None:
         known = self.view.elsewhere
         for place in list(known):
-            if now - known[place].since > OLD_SECONDS:
+            if now - known[place].since > MEAN_EXPIRY_SECONDS:
                 del known[place]
 
     def _forget(self, sender: str) -> None:
         servers = self.view.servers.by_incarnation
-        for name in self.heard.pop(sender, ()):
+        for name in self.servers_by_sender.pop(sender, ()):
             backend = servers.get(name)
             if backend is not None:
                 backend.others.pop(sender, None)
 
 
-def _differ(before: Has, has: Has) -> bool:
+def _differ(before: OwnLoad, has: OwnLoad) -> bool:
     """Returns whether some server has much more, or less, to read."""
     nothing = (0, 0, 0)
     return any(
         abs(has.get(name, nothing)[2] - before.get(name, nothing)[2])
-        > NEWS_TOKENS
+        > URGENT_TOKENS
         for name in has.keys() | before.keys()
     )
 
 
 def _is_long(prompt: peer_messages.PromptReport) -> bool:
     """Returns whether another router should know of a prompt at once."""
-    return sum(tokens for _, tokens in prompt.parts) > NEWS_TOKENS
+    return sum(tokens for _, tokens in prompt.parts) > URGENT_TOKENS
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -34,7 +34,7 @@
 HEARTBEAT_SECONDS = 0.5
 # News that come within this of a heartbeat wait for its end and share the
 # next: what several routers pass on at once would else go out several times.
-NEWS_SECONDS = 0.004
+COALESCE_SECONDS = 0.004
 # Between two tellings of who was heard, each to one router drawn at random: of
 # 300 routers each knows the others' ages to within some 15 s, for 4 KB/s.
 AGES_SECONDS = 2.0
@@ -69,7 +69,7 @@
         view: cluster_views.ClusterView,
         lease: leases.Lease,
         watching: dict[str, watchers.Watcher],
-        takers: view_updaters.ViewUpdater,
+        updater: view_updaters.ViewUpdater,
         notices: server_notices.ServerNotices,
         store: stores.Store,
         lines: log_lines.Lines,
@@ -80,7 +80,7 @@
         self.delays = delays.Delays()
         self._held_up: set[str] = set()
         self.lease = lease
-        self.updater = takers
+        self.updater = updater
         self.lines = lines
         self.holder_heartbeats = holder_heartbeats.HolderHeartbeats(
             lease=lease, view=view
@@ -92,7 +92,7 @@
             view=view,
             watching=watching,
             roster=self.roster,
-            takers=takers,
+            updater=updater,
             lines=lines,
             send=self._send,
         )
@@ -109,7 +109,7 @@
             roster=self.roster,
             store=store,
             lines=lines,
-            wanted=view.shares_limits,
+            is_needed=view.shares_limits,
             owners=lambda: self.limiter.rights.wanted,
             born=view.born,
         )
@@ -175,7 +175,7 @@
         if self._loop is None or self._news_wait:
             return
         now = clocks.now()
-        wait = self._next_beat - HEARTBEAT_SECONDS + NEWS_SECONDS - now
+        wait = self._next_beat - HEARTBEAT_SECONDS + COALESCE_SECONDS - now
         if wait <= 0:
             self.beat(now)
             return
@@ -189,7 +189,7 @@
     def beat(self, now: float) -> None:
         """Sends a heartbeat to each partner."""
         self._next_beat = now + HEARTBEAT_SECONDS
-        self.holder_heartbeats.own(now)
+        self.holder_heartbeats.record_own(now)
         self._tell(self.roster.partners, self._own_beat(now))
 
     def _tell_ages(self, now: float) -> None:
@@ -275,7 +275,7 @@
             ):
                 self.replicator.send_changes(event.sender, want)
             case events.FromNode(message=peer_messages.LoadReport() as work):
-                self.load_reports.take(event.sender, work, clocks.now())
+                self.load_reports.receive(event.sender, work, clocks.now())
             case events.FromNode(message=peer_messages.LimitReport() as limits):
                 sent = self._sent_at(event.sender, limits.clock, clocks.now())
                 self.limit_reports.receive(event.sender, limits, sent)
@@ -309,13 +309,13 @@
         self, event: events.FromNode, beat: peer_messages.Heartbeat
     ) -> None:
         now = clocks.now()
-        self.roster.meet(event.sender, now)
+        self.roster.add(event.sender, now)
         peer = self.roster.known.get(event.sender)
         if peer is None:
             return
         if now - peer.last_heard_at > rosters.AWAY_SECONDS:
             self._greet(event.sender, now)
-        peer.last_heard_at = peer.alive = now
+        peer.last_heard_at = peer.alive_at = now
         peer.beat = beat
         peer.configuration = event.configuration
         peer.data_centre = beat.data_centre
@@ -323,7 +323,7 @@
             self._renew(event.sender, now)
         self.roster.merge_count(*beat.counted, now)
         if beat.data_centre == self.view.data_centre:
-            self.replicator.shares.take(beat.watchers, now)
+            self.replicator.shares.merge_ages(beat.watchers, now)
         sent = self._sent_at(event.sender, beat.clock, now)
         self.replicator.merge_known(beat, sent)
         self._learn_weights(beat, sent, now)
@@ -331,7 +331,7 @@
         if self.replicator.is_behind(peer):
             later = self._loop.call_later
             later(
-                replicators.PATIENCE_SECONDS,
+                replicators.CATCH_UP_DELAY_SECONDS,
                 self.replicator.catch_up,
                 event.sender,
             )
@@ -360,10 +360,10 @@
     def _greet(self, address: str, now: float) -> None:
         """Tells a router that has come, or come back, what is newest."""
         self.lines.write("router_heard", router=address)
-        ages = self.roster.ages(now, most=rosters.MOST_TOLD)
+        ages = self.roster.ages(now, most=rosters.MAX_AGES_SENT)
         self._send(address, peer_messages.HeartbeatAges(ages=ages))
         self._send(address, self._own_beat(now))
-        self.limit_reports.greet(address, now)
+        self.limit_reports.send_all_limits(address, now)
 
     def _learn_weights(
         self, beat: peer_messages.Heartbeat, sent: float, now: float
--- a/pimentoledge/routing/quotas/rights.py
+++ b/pimentoledge/routing/quotas/rights.py
@@ -100,11 +100,11 @@
 
 def owner_of(slot: int, routers: list[str]) -> str:
     """Returns the router that comes next on the circle after a slot."""
-    here = heartbeat_rings.place(f"quota-slot-{slot}")
+    here = heartbeat_rings.ring_position(f"quota-slot-{slot}")
     return min(
         routers,
-        key=lambda each: (heartbeat_rings.place(each) - here)
-        % heartbeat_rings.CIRCLE,
+        key=lambda each: (heartbeat_rings.ring_position(each) - here)
+        % heartbeat_rings.RING_SIZE,
     )
 
 
--- a/pimentoledge/routing/replicators.py
+++ b/pimentoledge/routing/replicators.py
@@ -19,11 +19,11 @@
 from pimentoledge.routing import watchers
 
 # A newer copy is asked for only if nothing has brought it by then.
-PATIENCE_SECONDS = 0.25
+CATCH_UP_DELAY_SECONDS = 0.25
 # Who was asked for changes has sent them by then, or another is asked.
-ASKED_SECONDS = 0.05
+CHANGES_TIMEOUT_SECONDS = 0.05
 # Changes kept for those that ask for them; each is some hundred bytes.
-MOST_OFFERED = 50
+MAX_OFFERED = 50
 # Between two wishes for the same kind.
 LISTING_REQUEST_SECONDS = 0.6
 
@@ -39,7 +39,8 @@
         lines: where changes of belief are written.
         send: sends a message to a mailbox.
         shares: who watches the servers for others.
-        lapse_told: until when a server that is gone may come back, as told.
+        peer_lapse_ends: time until which a removed server may still reappear,
+            as reported by peers.
     """
 
     def __init__(
@@ -48,18 +49,18 @@
         view: cluster_views.ClusterView,
         watching: dict[str, watchers.Watcher],
         roster: rosters.Roster,
-        takers: view_updaters.ViewUpdater,
+        updater: view_updaters.ViewUpdater,
         lines: log_lines.Lines,
         send: Callable[[str, object], None],
     ):
         self.view = view
         self.watching = watching
         self.roster = roster
-        self.updater = takers
+        self.updater = updater
         self.lines = lines
         self.send = send
         self.shares = watch_shares.WatchShares(own=roster.own)
-        self.lapse_told = 0.0
+        self.peer_lapse_ends = 0.0
         self._wished: dict[str, float] = {}
         self._asked = (0, 0.0)
         self._offered: collections.OrderedDict[
@@ -123,7 +124,7 @@
     def current_watchers(self, now: float) -> dict[str, int]:
         """Returns who watches, this router included if it does."""
         if self.watching["servers"].watching:
-            self.shares.watches(now)
+            self.shares.record_own(now)
         return self.shares.watcher_ages(now)
 
     def forward_changes(self, after: int, found: registrations.Changes) -> None:
@@ -148,7 +149,7 @@
     def _take_lapse(self, lapse_ms: int) -> None:
         """Takes for how long another router waits for what is gone."""
         lapse_ends = clocks.now() + lapse_ms / 1000
-        self.lapse_told = max(self.lapse_told, lapse_ends)
+        self.peer_lapse_ends = max(self.peer_lapse_ends, lapse_ends)
 
     def _offer(self, told: peer_messages.WatchedChanges, without: str) -> None:
         """Offers changes to the neighbours in the data centre."""
@@ -157,7 +158,7 @@
             each.revision for each in changes.changed + changes.removed
         )
         self._offered[newest] = told
-        while len(self._offered) > MOST_OFFERED:
+        while len(self._offered) > MAX_OFFERED:
             self._offered.popitem(last=False)
         for address in self.roster.near:
             if address != without:
@@ -174,7 +175,7 @@
         if servers.revision is None or offer.changed_at <= servers.revision:
             return
         asked, when = self._asked
-        if offer.changed_at <= asked and now - when < ASKED_SECONDS:
+        if offer.changed_at <= asked and now - when < CHANGES_TIMEOUT_SECONDS:
             return
         self._asked = (offer.changed_at, now)
         self.send(
--- a/pimentoledge/routing/rosters.py
+++ b/pimentoledge/routing/rosters.py
@@ -18,7 +18,7 @@
 # which one that has just started has heard few.
 COUNT_SECONDS = 5.0
 # Routers told to one that has just come: enough to write to, and some KB.
-MOST_TOLD = 64
+MAX_AGES_SENT = 64
 
 
 @attrs.define(kw_only=True)
@@ -29,7 +29,7 @@
         first_seen_at: when it became known.
         last_heard_at: when this router last heard it; long ago before the
             first time.
-        alive: when any router last heard it, as far as is told.
+        alive_at: when any router last heard it, as far as is told.
         beat: its last heartbeat, or None.
         configuration: its newest configuration version.
         data_centre: where it is, or "" if that isn't known yet.
@@ -37,7 +37,7 @@
 
     first_seen_at: float = 0.0
     last_heard_at: float = -1e9
-    alive: float = -1e9
+    alive_at: float = -1e9
     beat: peer_messages.Heartbeat | None = None
     configuration: int = 0
     data_centre: str = ""
@@ -72,9 +72,9 @@
         """Takes mailboxes to find routers by."""
         self.seeds = seeds
         for each in seeds:
-            self.meet(each, now)
+            self.add(each, now)
 
-    def meet(self, address: str, now: float) -> None:
+    def add(self, address: str, now: float) -> None:
         """Notes that there may be a router."""
         if address != self.own and address not in self.known:
             self.known[address] = Peer(first_seen_at=now)
@@ -84,7 +84,7 @@
         return {
             address: peer
             for address, peer in self.known.items()
-            if now - peer.alive < MEMBER_SECONDS
+            if now - peer.alive_at < MEMBER_SECONDS
         }
 
     def ages(
@@ -107,7 +107,7 @@
         for address in told:
             peer = members[address]
             ages = found.setdefault(peer.data_centre, {})
-            ages[address] = int((now - peer.alive) * 1000)
+            ages[address] = int((now - peer.alive_at) * 1000)
         return found
 
     def merge_ages(self, ages: dict[str, dict[str, int]], now: float) -> None:
@@ -120,9 +120,9 @@
     def _take_age(
         self, address: str, data_centre: str, when: float, now: float
     ) -> None:
-        self.meet(address, now)
+        self.add(address, now)
         peer = self.known[address]
-        peer.alive = max(peer.alive, when)
+        peer.alive_at = max(peer.alive_at, when)
         peer.data_centre = peer.data_centre or data_centre
 
     def count_report(self, now: float) -> tuple[int, int]:
@@ -147,7 +147,7 @@
     def tick(self, now: float) -> None:
         """Forgets who is gone, and chooses whom to write to."""
         for address, peer in list(self.known.items()):
-            since = max(peer.alive, peer.first_seen_at)
+            since = max(peer.alive_at, peer.first_seen_at)
             if address not in self.seeds and now - since > FORGET_SECONDS:
                 del self.known[address]
         self._choose_partners(now)
@@ -176,9 +176,9 @@
             self.own, self.data_centre, where
         )
         self.partners = self.near + far + hoped
-        here = heartbeat_rings.place(self.own)
+        here = heartbeat_rings.ring_position(self.own)
         self.rank = sum(
-            heartbeat_rings.place(each) < here
+            heartbeat_rings.ring_position(each) < here
             for each, at in where.items()
             if at == self.data_centre
         )
--- a/pimentoledge/routing/saved_parts.py
+++ b/pimentoledge/routing/saved_parts.py
@@ -9,12 +9,12 @@
 # centres.
 SAVE_SECONDS = 0.05
 # A part that was saved so long ago may have yielded in the KV cache server.
-AGAIN_SECONDS = 20.0
+RETENTION_SECONDS = 20.0
 # A part that was to be saved is taken to be on its way for so long. Without
 # this each router that meets it before its reader is done has it saved again.
 SAVING_SECONDS = 2.0
 # How many parts are remembered: some 200 bytes each.
-MOST_PARTS = 8000
+MAX_PARTS = 8000
 
 Key = tuple[str, str, str]
 
@@ -71,7 +71,7 @@
         total = 0
         for part in parts:
             key = (address, namespace, part.name)
-            if now - self.saved.get(key, -1e9) <= AGAIN_SECONDS:
+            if now - self.saved.get(key, -1e9) <= RETENTION_SECONDS:
                 continue
             if now - self.saving.get(key, -1e9) > SAVING_SECONDS:
                 total += part.tokens
@@ -88,7 +88,7 @@
         total = 0
         for part in parts:
             saved = self.saved.get((address, namespace, part.name))
-            if saved is None or not 0 <= now - saved <= AGAIN_SECONDS:
+            if saved is None or not 0 <= now - saved <= RETENTION_SECONDS:
                 break
             total += part.tokens
         return total
@@ -109,11 +109,13 @@
             self.saved.get((address, namespace, part.name)) for part in parts
         ]
         return all(
-            when is not None and when <= moment and now - when <= AGAIN_SECONDS
+            when is not None
+            and when <= moment
+            and now - when <= RETENTION_SECONDS
             for when in times
         )
 
-    def lost(self) -> None:
+    def clear(self) -> None:
         """Notes that a KV cache server may have lost its parts.
 
         Else they would count as saved for 20 s more: every runner would read
@@ -134,5 +136,5 @@
         key = (address, namespace, part.name)
         where[key] = when
         where.move_to_end(key)
-    while len(where) > MOST_PARTS:
+    while len(where) > MAX_PARTS:
         where.popitem(last=False)
--- a/pimentoledge/routing/watch_shares.py
+++ b/pimentoledge/routing/watch_shares.py
@@ -11,7 +11,7 @@
 WATCHERS = 2
 # The first routers by rank stand in for a watcher that died; the rest only
 # when none is left: else its death would make all of them watch.
-RESERVE = 4
+STANDBYS = 4
 # A watcher whose last sign is so old doesn't count. Signs go on with
 # heartbeats, so they are about 0.5 s old and 0.1 s more for each router on
 # the way. Then who follows watches for itself, well within the 2 s in which a
@@ -31,11 +31,11 @@
         self.own = own
         self.seen: dict[str, float] = {}
 
-    def watches(self, now: float) -> None:
+    def record_own(self, now: float) -> None:
         """Gives this router's own sign."""
         self.seen[self.own] = now
 
-    def take(self, ages: dict[str, int], now: float) -> None:
+    def merge_ages(self, ages: dict[str, int], now: float) -> None:
         """Takes for how many ms others had no sign of each watcher."""
         for address, age in ages.items():
             if address != self.own:
@@ -54,7 +54,7 @@
         for address, when in list(self.seen.items()):
             if now - when > FRESH_SECONDS:
                 del self.seen[address]
-        return sorted(self.seen, key=heartbeat_rings.place)
+        return sorted(self.seen, key=heartbeat_rings.ring_position)
 
     def has_enough(self, rank: int, now: float) -> bool:
         """Returns whether others watch for this router.
@@ -67,4 +67,4 @@
         first = self._fresh(now)[:WATCHERS]
         if self.own in first:
             return False
-        return len(first) >= (WATCHERS if rank < RESERVE else 1)
+        return len(first) >= (WATCHERS if rank < STANDBYS else 1)
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -606,7 +606,7 @@
         assert not known.unsaved_tokens("c", "3", parts, 2.0)
         assert known.unsaved_tokens("c", "4", parts, 2.0)
         assert known.unsaved_tokens("other", "3", parts, 2.0)
-        late = 2.0 + saved_parts.AGAIN_SECONDS
+        late = 2.0 + saved_parts.RETENTION_SECONDS
         assert known.unsaved_tokens("c", "3", parts, late)
 
     def test_a_part_on_its_way_is_not_saved_again_at_once(self):
@@ -827,7 +827,7 @@
     def test_parts_that_may_have_yielded_since_are_not(self):
         """A part that yielded may have been saved again, mixed."""
         view = self.view(saved=5.0)
-        late = 5.0 + saved_parts.AGAIN_SECONDS + 0.2
+        late = 5.0 + saved_parts.RETENTION_SECONDS + 0.2
         view.wanted["m"] = wanted_weights.WantedWeights(
             wanted_weights.Named(version=2, since=late - 2.0)
         )
@@ -836,7 +836,7 @@
     def test_a_kv_cache_server_that_went_away_keeps_nothing(self):
         """It returns empty, and a part saved again may be mixed."""
         view = self.view(saved=5.0)
-        view.saved.lost()
+        view.saved.clear()
         assert self.fetched(view, 11.0) is None
         assert view.saved.unsaved_tokens("10.0.0.1:80", "1", self.PARTS, 11.0)
 
--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -74,7 +74,7 @@
     told = []
     reports = first.peers.limit_reports
     reports.send_all = lambda addresses, message: told.append(message)
-    reports.greet("second", clocks.now())
+    reports.send_all_limits("second", clocks.now())
     limits.update(
         "p0", 2.0, sent_at=clocks.now(), received_at=clocks.now() - 1.0
     )
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -205,13 +205,13 @@
         backend = view.servers.put(registration)
         held.servers.put(registration).loading_until = 20.9
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
-        holder.own(20.0)
+        holder.record_own(20.0)
         early = self.beat(holder, 20.0)
         assert other.merge(early, 20.0)
         assert backend.loading_until == pytest.approx(20.9, abs=0.002)
         held.servers.by_incarnation["r"].loading_until = 0.0
         backend.loaded()
-        holder.own(20.5)
+        holder.record_own(20.5)
         assert other.merge(self.beat(holder, 20.5), 20.5)
         assert not other.merge(early, 20.6)
         assert backend.usable(20.6)
@@ -222,24 +222,24 @@
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
-        holder.own(20.0)
+        holder.record_own(20.0)
         other.merge(self.beat(holder, 20.0), 20.0)
         lease.learn(
             registrations.Stored(name="", revision=8, value={"holder": "b"}),
             20.2,
         )
-        holder.own(20.3)
+        holder.record_own(20.3)
         assert other.merge(self.beat(holder, 20.3), 20.3)
         assert not other.holder_is_alive(20.3)
         before = holder.newest
-        holder.own(20.8)
+        holder.record_own(20.8)
         assert holder.newest == before
 
     def test_silence_ends_a_holder(self):
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
-        holder.own(20.0)
+        holder.record_own(20.0)
         other.merge(self.beat(holder, 20.0), 20.0)
         assert not other.holder_is_alive(
             20.0 + holder_heartbeats.SILENT_SECONDS
@@ -251,22 +251,22 @@
 
     def shares(self, watching, own="tcp://me:1"):
         found = watch_shares.WatchShares(own=own)
-        found.take(dict.fromkeys(watching, 0), 100.0)
+        found.merge_ages(dict.fromkeys(watching, 0), 100.0)
         return found
 
     def test_the_first_by_rank_watch_for_the_rest(self):
-        members = sorted(addresses(20), key=heartbeat_rings.place)
+        members = sorted(addresses(20), key=heartbeat_rings.ring_position)
         for rank, each in enumerate(members):
             others = [other for other in members if other != each]
             shares = self.shares(others, own=each)
-            shares.watches(100.0)
+            shares.record_own(100.0)
             assert shares.has_enough(rank, 100.0) is (
                 rank >= watch_shares.WATCHERS
             )
 
     def test_the_death_of_one_makes_only_the_next_watch(self):
         """All that follow would call the store at once."""
-        members = sorted(addresses(20), key=heartbeat_rings.place)
+        members = sorted(addresses(20), key=heartbeat_rings.ring_position)
         left = members[1 : watch_shares.WATCHERS]
         watch = [
             each
@@ -276,7 +276,7 @@
             ).has_enough(rank, 100.0)
         ]
         assert members[watch_shares.WATCHERS] in watch
-        assert len(watch) <= watch_shares.RESERVE
+        assert len(watch) <= watch_shares.STANDBYS
 
     def test_who_hears_of_no_watcher_watches(self):
         shares = self.shares(addresses(3))
@@ -365,7 +365,7 @@
     # A change ends the watches that were begun before.
     world.tell(world.servers["r0"], leaving=True)
     await world.until(
-        lambda: 0 < len(_watching(world.routers)) <= watch_shares.RESERVE
+        lambda: 0 < len(_watching(world.routers)) <= watch_shares.STANDBYS
     )
 
 
--- a/pimentoledge/tests/test_router_work_reports.py
+++ b/pimentoledge/tests/test_router_work_reports.py
@@ -49,7 +49,7 @@
             for other, where in names.items():
                 if other != name:
                     roster.known[other] = rosters.Peer(
-                        last_heard_at=10.0, alive=10.0, data_centre=where
+                        last_heard_at=10.0, alive_at=10.0, data_centre=where
                     )
             self.routers[name] = load_reports.LoadReports(
                 view=view,
@@ -80,7 +80,7 @@
         def send_all(addresses, message):
             for address in addresses:
                 self.sent.append((sender, address))
-                self.routers[address].take(sender, message, self.now)
+                self.routers[address].receive(sender, message, self.now)
 
         return send_all
 
@@ -91,7 +91,7 @@
         self.now += seconds
         for each in self.routers.values():
             for peer in each.roster.known.values():
-                peer.last_heard_at = peer.alive = max(
+                peer.last_heard_at = peer.alive_at = max(
                     peer.last_heard_at, self.now
                 )
             each.tick(self.now)
@@ -225,7 +225,7 @@
     many.tick(load_reports.REPEAT_SECONDS)
     alone = many.routers["tcp://r0"]
     assert alone.view.elsewhere
-    alone.tick(many.now + load_reports.OLD_SECONDS + 1.0)
+    alone.tick(many.now + load_reports.MEAN_EXPIRY_SECONDS + 1.0)
     assert not alone.view.elsewhere
 
 
@@ -261,7 +261,7 @@
     sender.open, sender.reading = 2, 9000
     large.routers["tcp://r0"].tick(large.now + 0.1)
     near = [a for _, a in large.sent if large.place(a) == "d0"]
-    assert len(near) == load_reports.MOST_TOLD
+    assert len(near) == load_reports.MAX_RECEIVERS
 
 
 def test_short_answers_that_come_and_go_are_told_only_now_and_then(many):
