--- a/pimentoledge/routing/peer_messages.py
+++ b/pimentoledge/routing/peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between routers, numbered for the wire."""
+"""Messages between routers and their wire numbers."""
 
 import attrs
 
@@ -8,36 +8,37 @@
 
 @attrs.define(kw_only=True)
 class Heartbeat:
-    """A heartbeat with what is newest at its sender.
+    """Periodic message with the sender's newest state.
 
     Attributes:
-        data_centre: where its sender is.
-        counted: most routers that anyone counts, and the count's age in ms.
-        wanted: wanted version of each model's weights, and for how many ms
-            that has been known; all that routers of former builds tell.
-        known: by kind of the store's objects, revision of the newest change
-            that it knows, and for how many ms nothing has shown that there is
-            no newer one; without the kinds that it knows nothing of.
-        store_reached: whether the store answers it.
-        lease_revision: of the lease, or -1.
-        lease_holder: its holder.
-        lease_ms: for how long that has been known.
-        leaving: whether it ends.
-        pulse: fencing token of the newest holder that was heard of, and
-            number of its newest sign of life; it goes on from router to
-            router.
-        holding: whether the holder held the lease then.
-        loading: servers about to load or loading at that sign of life, with
-            ms left.
-        watchers: some of its data centre that watch the servers for others,
-            by mailbox, with the age of the last sign of each in ms.
-        named: versions of each model's weights that were named, the newest
-            last, with how many ms ago each was, and where that time comes
-            from, as the number of a Source.
-        clock: when its sender started and when it was sent, in ms of the
-            sender's clock; zeros from routers of former builds.
-        unheard: routers that its sender writes to and doesn't hear any more,
-            by mailbox.
+        data_centre: the sender's data centre.
+        counted: highest number of routers that any router counts, and the
+            count's age in ms.
+        wanted: by model, wanted version of the weights and for how many ms it
+            has been known. Older builds send this field only, not `named`.
+        known: by kind of stored object, revision of the newest change known,
+            and ms since the copy was last confirmed to be current. Kinds
+            without a copy are absent.
+        store_reached: whether the store responds to the sender.
+        lease_revision: revision of the lease, or -1 if unknown.
+        lease_holder: holder of the lease.
+        lease_ms: ms for which the lease's state has been known.
+        leaving: whether the sender is shutting down.
+        pulse: fencing token of the newest known lease holder, and sequence
+            number of its newest heartbeat; forwarded from router to router.
+        holding: whether the holder held the lease at that heartbeat.
+        loading: servers loading or about to load at that heartbeat, with ms
+            left.
+        watchers: some routers of the sender's data centre that watch the
+            servers for others, by mailbox, with the age in ms of the newest
+            announcement of each.
+        named: by model, announced versions of the weights, the newest last,
+            each with its age in ms and the origin of that time, as the number
+            of a Source.
+        clock: when the sender started and when the message was sent, in ms of
+            the sender's clock; zeros from older builds.
+        unheard: mailboxes of routers to which the sender sends heartbeats but
+            from which it no longer receives any.
     """
 
     data_centre: str
@@ -60,7 +61,7 @@
 
 @attrs.define(kw_only=True)
 class ListingRequest:
-    """Asks for all objects of a kind, which the receiver knows newer."""
+    """Requests all objects of a kind of which the receiver has a newer copy."""
 
     kind: str
 
@@ -70,9 +71,9 @@
     """All objects of a kind.
 
     Attributes:
-        kind: which kind.
+        kind: kind of the objects.
         listing: the objects.
-        lapse_ms: for how long yet what is gone may come back.
+        lapse_ms: ms left in which a removed server may still reappear.
     """
 
     kind: str
@@ -82,13 +83,13 @@
 
 @attrs.define(kw_only=True)
 class ChangesOffer:
-    """Says that its sender has heard of changes of the servers.
+    """Announces that its sender has changes of the servers.
 
-    What changed goes only to those that lack it: a neighbour that hears of it
-    from ten others gets it once.
+    The changes themselves are sent only on request, so that a neighbour that
+    receives ten offers of them fetches them once.
 
     Attributes:
-        changed_at: revision of the newest of them.
+        changed_at: revision of the newest of the changes.
     """
 
     changed_at: int
@@ -96,22 +97,26 @@
 
 @attrs.define(kw_only=True)
 class ChangesRequest:
-    """Asks for what was offered."""
+    """Requests offered changes.
+
+    Attributes:
+        changed_at: the revision in the offer.
+    """
 
     changed_at: int
 
 
 @attrs.define(kw_only=True)
 class WatchedChanges:
-    """What a watch of the servers brought.
+    """Changes that a watch of the servers returned.
 
-    It goes on from router to router within a data centre.
+    Routers of a data centre forward it to each other.
 
     Attributes:
-        after: revision of the newest change that the watcher knew before: who
-            doesn't know that one has missed something.
-        changes: what it brought.
-        lapse_ms: for how long yet what is gone may come back.
+        after: revision of the newest change that the watcher knew before. A
+            receiver whose copy is older than that has missed changes.
+        changes: the changes.
+        lapse_ms: ms left in which a removed server may still reappear.
     """
 
     after: int
@@ -121,11 +126,11 @@
 
 @attrs.define(kw_only=True)
 class CrashReport:
-    """Content that was in servers that died.
+    """Reports a request that was running on a server that crashed.
 
     Attributes:
         content: fingerprint of the request.
-        incarnation: the server that died.
+        incarnation: the server that crashed.
     """
 
     content: str
@@ -134,10 +139,10 @@
 
 @attrs.define(kw_only=True)
 class HeartbeatAges:
-    """For how many ms each router was not heard.
+    """Time since each router's last known heartbeat.
 
     Attributes:
-        ages: by data centre and mailbox.
+        ages: in ms, by data centre and mailbox.
     """
 
     ages: dict[str, dict[str, int]]
@@ -145,12 +150,12 @@
 
 @attrs.define(kw_only=True)
 class LimitReport:
-    """Limits that servers have named.
+    """Rate limits that servers advertise.
 
     Attributes:
-        limits: by incarnation, requests a second that a server takes of all
-            routers together, or -1 if it names no limit any more, and how many
-            ms ago that was received.
+        limits: by incarnation, requests per second that a server accepts from
+            all routers together, or -1 if it no longer advertises a limit,
+            and how many ms ago that was received.
         clock: as in a heartbeat.
     """
 
@@ -160,15 +165,17 @@
 
 @attrs.define(kw_only=True)
 class PromptReport:
-    """A prompt that was sent to a runner, which will keep its parts.
+    """A prompt sent to a runner, whose prefix cache will hold its parts.
 
     Attributes:
-        server: the runner, by incarnation.
-        namespace: under which the parts are found.
-        parts: the parts in order, as name and tokens; the last is shared with
-            no other request.
-        saved_to: address of the KV cache server that is to keep them, or "".
-        read: whether the runner has read them; else it is about to.
+        server: the runner's incarnation.
+        namespace: cache namespace of the parts.
+        parts: name and number of tokens of each part, in order; the last is
+            not shared with any other request.
+        saved_to: address of the KV cache server that is to store the parts,
+            or "".
+        read: whether the runner has finished the prefill of the parts;
+            otherwise it is yet to do so.
     """
 
     server: str
@@ -180,16 +187,17 @@
 
 @attrs.define(kw_only=True)
 class LoadReport:
-    """What its sender has at servers, and what they said to it.
+    """Load that the sender causes at servers, and load that servers report.
 
     Attributes:
-        has: by server, requests that have not ended, those of them without
-            an event, and prompt tokens yet to be read.
-        said: by server, the requests that it said run and wait, its slots,
-            and how many ms ago it said so.
-        prompts: those sent, or read and saved, since the last report.
-        means: by data centre, what a runner of it has in the mean: requests,
-            those of them without an event, and prompt tokens yet to be read;
+        has: by server, the sender's open requests, those of them without a
+            first event, and prompt tokens yet to be prefilled.
+        said: by server, the numbers of running and waiting requests and of
+            slots that it reported, and the report's age in ms.
+        prompts: prompts that were sent, or read and saved, since the last
+            report.
+        means: by data centre, the mean load of a runner: requests, those of
+            them without a first event, and prompt tokens yet to be prefilled;
             with the age in ms.
     """
 
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -1,4 +1,4 @@
-"""What routers tell each other, over pynng."""
+"""Messaging between routers over pynng."""
 
 import asyncio
 from collections.abc import Callable
@@ -30,35 +30,38 @@
 
 logger = logbook.Logger("peers")
 
-# A heartbeat of some 200 bytes, twice a second.
+# A heartbeat takes some 200 bytes.
 HEARTBEAT_SECONDS = 0.5
-# News that come within this of a heartbeat wait for its end and share the
-# next: what several routers pass on at once would else go out several times.
+# Changes within this time after a heartbeat are delayed to its end and sent in
+# one heartbeat; otherwise changes that several routers forward at once would
+# each cause a heartbeat.
 COALESCE_SECONDS = 0.004
-# Between two tellings of who was heard, each to one router drawn at random: of
-# 300 routers each knows the others' ages to within some 15 s, for 4 KB/s.
+# Interval between messages with heartbeat ages, each to one random router.
+# With 300 routers each then knows the others' ages to within some 15 s, at a
+# cost of 4 KB/s.
 AGES_SECONDS = 2.0
 CODEC = codecs.Codec(numbers=peer_messages.NUMBERS)
 
 
 class PeerMessenger:
-    """This router's part of the talk between routers.
+    """Sends and handles the messages between this router and its peers.
 
     Attributes:
-        view: what the process believes.
-        lease: what it knows of the lease.
-        updater: turn what is told into beliefs.
-        lines: where changes of belief are written.
-        holder_heartbeats: signs of life of the router that gives orders.
+        view: the router's view of the cluster.
+        lease: the router's state of the lease.
+        updater: applies received changes to the view.
+        lines: log of changes of the view.
+        holder_heartbeats: heartbeats of the lease holder.
         roster: the other routers.
-        replicator: keeps the copies of the store's objects in step with theirs.
-        load_reports: tell and take what routers have at servers.
-        limit_reports: send and receive the limits that servers have named.
-        fleet_size: how many routers there are.
-        limiter: holds organisations' limits over all routers.
-        arrived: returns as of when what is read at a time may have lain in a
-            socket, since the process stood still.
-        delays: how long messages were held up on their way.
+        replicator: synchronises the copies of stored objects with peers.
+        load_reports: exchange the routers' load at servers.
+        limit_reports: exchange the limits that servers advertise.
+        fleet_size: number of routers.
+        limiter: enforces organisations' limits across all routers.
+        arrived: returns the earliest time at which data that is read at a
+            given time may have arrived, since a paused process leaves data in
+            its sockets.
+        delays: how long messages were delayed on their way.
     """
 
     def __init__(
@@ -78,7 +81,7 @@
         self.view = view
         self.arrived = arrived
         self.delays = delays.Delays()
-        self._held_up: set[str] = set()
+        self._delayed_senders: set[str] = set()
         self.lease = lease
         self.updater = updater
         self.lines = lines
@@ -97,13 +100,13 @@
             send=self._send,
         )
         self.load_reports = load_reports.LoadReports(
-            view=view, roster=self.roster, send_all=self._tell
+            view=view, roster=self.roster, send_all=self._send_all
         )
         self.limit_reports = limit_reports.LimitReports(
             view=view,
             roster=self.roster,
             notices=notices,
-            send_all=self._tell,
+            send_all=self._send_all,
         )
         self.fleet_size = fleet_sizes.FleetSize(
             roster=self.roster,
@@ -120,25 +123,25 @@
             share=self.fleet_size.share,
             routers=self.fleet_size.routers,
             send=self._send,
-            renew=self._renew,
+            renew=self._reconnect,
         )
         self._loop: asyncio.AbstractEventLoop | None = None
         self._next_beat = 0.0
         self._next_ages = 0.0
-        self._news_wait = False
+        self._beat_scheduled = False
         self._mailbox = mailboxes.Mailbox(
             address=f"tcp://{listen}", deliver=self._deliver, codec=CODEC
         )
         self.add_seeds(seeds)
 
     def start(self) -> None:
-        """Listens."""
+        """Starts to listen for messages and to track the fleet's size."""
         self._loop = asyncio.get_running_loop()
         self._mailbox.start()
         self.fleet_size.start()
 
     def add_seeds(self, seeds: list[str]) -> None:
-        """Takes addresses, as IP:PORT, to find routers by."""
+        """Adds addresses, as IP:PORT, for the discovery of routers."""
         self.roster.add_seeds([f"tcp://{each}" for each in seeds], clocks.now())
 
     def close(self) -> None:
@@ -147,23 +150,23 @@
         self._mailbox.close()
 
     def _deliver(self, event: object) -> None:
-        """Brings an event from pynng's threads to the loop."""
+        """Passes an event from pynng's threads to the event loop."""
         try:
             self._loop.call_soon_threadsafe(self.handle, event)
         except RuntimeError:
-            # The loop has ended; nothing is left to be told.
+            # The loop is closed, so nothing is left to handle the event.
             return
 
     def tick(self, now: float) -> None:
-        """Sends heartbeats when they are due."""
+        """Does the periodic work; sends messages that are due."""
         self.roster.tick(now)
         self._mailbox.expire(now, set(self.roster.partners))
         for address in self.roster.silent_partners(now):
-            self._renew(address, now)
+            self._reconnect(address, now)
         if now >= self._next_beat:
             self.beat(now)
         if now >= self._next_ages:
-            self._tell_ages(now)
+            self._send_ages(now)
         self.load_reports.tick(now)
         self.limit_reports.tick(now)
         if self.view.shares_limits() or self.limiter.questions:
@@ -171,40 +174,40 @@
         self.view.members = self.roster.count(now)
 
     def beat_now(self) -> None:
-        """Sends a heartbeat at once, since something changed."""
-        if self._loop is None or self._news_wait:
+        """Sends a heartbeat after a change, at once or coalesced."""
+        if self._loop is None or self._beat_scheduled:
             return
         now = clocks.now()
         wait = self._next_beat - HEARTBEAT_SECONDS + COALESCE_SECONDS - now
         if wait <= 0:
             self.beat(now)
             return
-        self._news_wait = True
-        self._loop.call_later(wait, self._send_news)
+        self._beat_scheduled = True
+        self._loop.call_later(wait, self._send_coalesced)
 
-    def _send_news(self) -> None:
-        self._news_wait = False
+    def _send_coalesced(self) -> None:
+        self._beat_scheduled = False
         self.beat(clocks.now())
 
     def beat(self, now: float) -> None:
-        """Sends a heartbeat to each partner."""
+        """Sends a heartbeat to each partner at once."""
         self._next_beat = now + HEARTBEAT_SECONDS
         self.holder_heartbeats.record_own(now)
-        self._tell(self.roster.partners, self._own_beat(now))
+        self._send_all(self.roster.partners, self._own_heartbeat(now))
 
-    def _tell_ages(self, now: float) -> None:
-        """Tells one router how long ago each was heard."""
+    def _send_ages(self, now: float) -> None:
+        """Sends the heartbeat ages of all members to one random router."""
         self._next_ages = now + AGES_SECONDS
         members = list(self.roster.members(now))
         if not members:
             return
-        told = peer_messages.HeartbeatAges(ages=self.roster.ages(now))
-        self._send(random.choice(members), told)
+        message = peer_messages.HeartbeatAges(ages=self.roster.ages(now))
+        self._send(random.choice(members), message)
 
     def _send(self, address: str, message: object) -> None:
-        self._tell([address], message)
+        self._send_all([address], message)
 
-    def _own_beat(self, now: float) -> peer_messages.Heartbeat:
+    def _own_heartbeat(self, now: float) -> peer_messages.Heartbeat:
         lease = self.lease
         return peer_messages.Heartbeat(
             data_centre=self.view.data_centre,
@@ -238,7 +241,7 @@
             unheard=self.roster.silent_partners(now),
         )
 
-    def _tell(self, addresses: list[str], message: object) -> None:
+    def _send_all(self, addresses: list[str], message: object) -> None:
         configuration = self.view.configuration
         self._mailbox.send_all(
             addresses,
@@ -248,34 +251,34 @@
         )
 
     def handle(self, event: object) -> None:
-        """Takes an event of the mailbox; on the loop."""
+        """Handles an event of the mailbox; runs on the event loop."""
         match event:
             case events.FromNode(message=peer_messages.Heartbeat() as beat):
-                self._heard(event, beat)
+                self._handle_heartbeat(event, beat)
             case events.FromNode(
-                message=peer_messages.ListingRequest() as wish
+                message=peer_messages.ListingRequest() as request
             ):
-                self.replicator.send_listing(event.sender, wish.kind)
-            case events.FromNode(message=peer_messages.FullListing() as gift):
-                self.replicator.receive_listing(event.sender, gift)
+                self.replicator.send_listing(event.sender, request.kind)
+            case events.FromNode(message=peer_messages.FullListing() as full):
+                self.replicator.receive_listing(event.sender, full)
             case events.FromNode(message=peer_messages.CrashReport() as crash):
-                self._crashed(crash)
+                self._handle_crash_report(crash)
             case events.FromNode(
                 message=peer_messages.HeartbeatAges(ages=ages)
             ):
                 self.roster.merge_ages(ages, clocks.now())
             case events.FromNode(
-                message=peer_messages.WatchedChanges() as told
+                message=peer_messages.WatchedChanges() as watched
             ):
-                self.replicator.receive_changes(event.sender, told)
+                self.replicator.receive_changes(event.sender, watched)
             case events.FromNode(message=peer_messages.ChangesOffer() as offer):
                 self.replicator.request_changes(event.sender, offer)
             case events.FromNode(
-                message=peer_messages.ChangesRequest() as want
+                message=peer_messages.ChangesRequest() as changes_request
             ):
-                self.replicator.send_changes(event.sender, want)
-            case events.FromNode(message=peer_messages.LoadReport() as work):
-                self.load_reports.receive(event.sender, work, clocks.now())
+                self.replicator.send_changes(event.sender, changes_request)
+            case events.FromNode(message=peer_messages.LoadReport() as load):
+                self.load_reports.receive(event.sender, load, clocks.now())
             case events.FromNode(message=peer_messages.LimitReport() as limits):
                 sent = self._sent_at(event.sender, limits.clock, clocks.now())
                 self.limit_reports.receive(event.sender, limits, sent)
@@ -284,28 +287,29 @@
             case events.FromNode(message=message):
                 self.limiter.handle(event.sender, message, clocks.now())
             case events.Unreachable(address=address):
-                # The next heartbeat tries anew; silence is judged there.
+                # The next heartbeat retries; peers that stay silent are
+                # detected by the age of their last heartbeat.
                 self.limiter.unreachable(address, clocks.now())
 
     def server_died(self, incarnation: str) -> None:
-        """Tells the others which content a dead server had."""
+        """Reports the requests of a crashed server to the other routers."""
         for content in self.view.suspects.died(incarnation, clocks.now()):
             self.lines.write("crashed", content=content, server=incarnation)
-            self._tell(
+            self._send_all(
                 self.roster.partners,
                 peer_messages.CrashReport(
                     content=content, incarnation=incarnation
                 ),
             )
 
-    def _crashed(self, crash: peer_messages.CrashReport) -> None:
+    def _handle_crash_report(self, crash: peer_messages.CrashReport) -> None:
         is_news = self.view.suspects.crashed(
             crash.content, crash.incarnation, clocks.now()
         )
         if is_news and not self.roster.reaches_all():
-            self._tell(self.roster.partners, crash)
+            self._send_all(self.roster.partners, crash)
 
-    def _heard(
+    def _handle_heartbeat(
         self, event: events.FromNode, beat: peer_messages.Heartbeat
     ) -> None:
         now = clocks.now()
@@ -314,20 +318,20 @@
         if peer is None:
             return
         if now - peer.last_heard_at > rosters.AWAY_SECONDS:
-            self._greet(event.sender, now)
+            self._send_current_state(event.sender, now)
         peer.last_heard_at = peer.alive_at = now
         peer.beat = beat
         peer.configuration = event.configuration
         peer.data_centre = beat.data_centre
         if self.roster.own in beat.unheard:
-            self._renew(event.sender, now)
+            self._reconnect(event.sender, now)
         self.roster.merge_count(*beat.counted, now)
         if beat.data_centre == self.view.data_centre:
             self.replicator.shares.merge_ages(beat.watchers, now)
         sent = self._sent_at(event.sender, beat.clock, now)
         self.replicator.merge_known(beat, sent)
-        self._learn_weights(beat, sent, now)
-        self._learn(beat, now)
+        self._merge_weights(beat, sent, now)
+        self._merge_lease(beat, now)
         if self.replicator.is_behind(peer):
             later = self._loop.call_later
             later(
@@ -339,38 +343,42 @@
     def _sent_at(
         self, sender: str, clock: tuple[int, int], now: float
     ) -> float:
-        """Returns as of when what a message tells is known to hold."""
+        """Returns the latest time at which a message was surely current.
+
+        A message that was delayed, or lay in the socket of a paused process,
+        is older than its arrival.
+        """
         held = self.delays.held(sender, clock, now)
-        if held and sender not in self._held_up:
-            self._held_up.add(sender)
+        if held and sender not in self._delayed_senders:
+            self._delayed_senders.add(sender)
             self.lines.write("held_up", router=sender, seconds=round(held, 2))
         if not held:
-            self._held_up.discard(sender)
+            self._delayed_senders.discard(sender)
         return min(self.arrived(now), now - held)
 
-    def _renew(self, address: str, now: float) -> None:
-        """Opens the connection to a router anew.
+    def _reconnect(self, address: str, now: float) -> None:
+        """Reopens the connection to a router.
 
-        The network may have forgotten a connection that stands at both ends.
-        Which of the two directions it has forgotten isn't known.
+        The network may have dropped a connection that both ends take to be
+        open. Which direction is broken is not known.
         """
         if self._mailbox.renew(address, now, rosters.AWAY_SECONDS):
             self.lines.write("router_reconnected", router=address)
 
-    def _greet(self, address: str, now: float) -> None:
-        """Tells a router that has come, or come back, what is newest."""
+    def _send_current_state(self, address: str, now: float) -> None:
+        """Sends the newest state to a router that has joined or returned."""
         self.lines.write("router_heard", router=address)
         ages = self.roster.ages(now, most=rosters.MAX_AGES_SENT)
         self._send(address, peer_messages.HeartbeatAges(ages=ages))
-        self._send(address, self._own_beat(now))
+        self._send(address, self._own_heartbeat(now))
         self.limit_reports.send_all_limits(address, now)
 
-    def _learn_weights(
+    def _merge_weights(
         self, beat: peer_messages.Heartbeat, sent: float, now: float
     ) -> None:
         least = wanted_weights.Source.HEARD
         if sent < now:
-            # When it was sent isn't known exactly.
+            # The exact time of sending is not known.
             least = wanted_weights.Source.NOT_BEFORE
         for model, newest in beat.wanted.items():
             named = beat.named.get(model) or [(*newest, 0)]
@@ -383,7 +391,7 @@
                     source=wanted_weights.Source(max(source, least)),
                 )
 
-    def _learn(self, beat: peer_messages.Heartbeat, now: float) -> None:
+    def _merge_lease(self, beat: peer_messages.Heartbeat, now: float) -> None:
         if beat.lease_revision > 0:
             self.lease.merge_peer(
                 beat.lease_revision,
--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -87,7 +87,7 @@
     """Guards against lists that a cut has kept old and that count as young."""
     first, second = await meet(world)
     mirror = second.kinds["servers"].mirror
-    beat = first.peers._own_beat(clocks.now())
+    beat = first.peers._own_heartbeat(clocks.now())
     mirror.known_at = before = clocks.now() - 4.0
     deliver(second, first, attrs.evolve(beat, known=_known(beat)))
     assert mirror.known_at == before
@@ -104,7 +104,7 @@
     first, second = await meet(world)
     first.view.want(MODEL, 2, clocks.now())
     now = clocks.now()
-    deliver(second, first, first.peers._own_beat(now))
+    deliver(second, first, first.peers._own_heartbeat(now))
     [*_, newest] = second.view.wanted[MODEL].named
     assert newest.version == 2
     assert newest.since < now - HELD_SECONDS + 0.5
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -296,7 +296,7 @@
     await _all_wait(world)
     copies = second.peers.replicator
     mirror = copies.watching["servers"].mirror
-    beat = first.peers._own_beat(clocks.now())
+    beat = first.peers._own_heartbeat(clocks.now())
     for ahead, age in ((1, -60_000), (0, -120_000)):
         # Ages from the time to come, which nothing else has.
         beat.known = {"servers": (mirror.revision + ahead, age)}
