--- a/pimentoledge/routing/fleet_sizes.py
+++ b/pimentoledge/routing/fleet_sizes.py
@@ -1,9 +1,9 @@
-"""How many routers there are, also for one that has just started.
+"""Number of routers in the fleet, also for a router that has just started.
 
-A router's part of an organisation's limit follows from it. One that starts
-beside others that have just started as well hears of few, and would take too
-much; so the number lies in the store, with the owners of the limits, which all
-then find at once.
+A router's share of an organisation's limit follows from this number. When many
+routers start together, each knows few others at first and would take too large
+a share. So the store keeps the number and the owners of the limits, and a
+router that starts reads them from there.
 """
 
 import asyncio
@@ -22,31 +22,32 @@
 
 KIND = "router-leases"
 NAME = "fleet"
-# Between two looks at whether the store's number is still right.
+# Interval between checks of the stored number.
 CHECK_SECONDS = 1.0
-# A number must differ for so many looks before it is written.
+# Number of consecutive checks in which the count must differ from the stored
+# number before it is written.
 CHECKS_BEFORE_WRITE = 3
-# Without the store's word a router that has just started knows nothing of the
-# others for so long.
+# For this long after its start a router that has not read the stored number
+# takes the fleet's size to be unknown.
 UNKNOWN_SECONDS = 1.5
-# For so long after its start a router hears of too few.
+# For this long after its start a router may know too few of the others.
 STARTING_SECONDS = 10.0
 RETRY_SECONDS = 0.5
 
 
 class FleetSize:
-    """The number of routers, by the store and by those that are heard.
+    """The number of routers, from the store and from membership.
 
     Attributes:
         roster: the other routers.
         store: the store's client.
-        lines: where changes of belief are written.
-        is_needed: returns whether anybody needs the number.
-        owners: returns the owners of the limits as this router knows them.
+        lines: log of changes of the view.
+        is_needed: returns whether the number is in use.
+        owners: returns the owners of the limits that this router knows.
         born: when this router started.
-        stored: the store's number, 0 if it has none, None if not read.
-        stored_owners: mailboxes of the owners by the store.
-        revision: of the store's object, 0 if there is none.
+        stored: the stored number, 0 if there is none, None if not read yet.
+        stored_owners: mailboxes of the stored owners.
+        revision: revision of the stored object, 0 if there is none.
     """
 
     def __init__(
@@ -72,16 +73,16 @@
         self._task: asyncio.Task | None = None
 
     def start(self) -> None:
-        """Begins to read, and to keep the store's number right."""
+        """Starts to read the stored number and to keep it up to date."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
-        """Stops."""
+        """Stops the task."""
         if self._task is not None:
             self._task.cancel()
 
     def share(self, now: float) -> float:
-        """Returns this router's part of what all share; 0 if not known."""
+        """Returns this router's share of a fleet-wide limit; 0 if unknown."""
         count = self.roster.count(now)
         if now - self.born >= STARTING_SECONDS:
             return 1 / count
@@ -90,16 +91,16 @@
         return 1 / max(count, self.stored or 0)
 
     def routers(self, now: float) -> list[str]:
-        """Returns the mailboxes of the others believed to live.
+        """Returns the mailboxes of the other members.
 
-        One that has just started counts the owners among them, of which it
-        may not have heard yet.
+        A router that has just started includes the stored owners, from which
+        it may not have received heartbeats yet.
         """
-        found = set(self.roster.members(now))
+        mailboxes = set(self.roster.members(now))
         if now - self.born < STARTING_SECONDS:
-            found.update(self.stored_owners)
-        found.discard(self.roster.own)
-        return list(found)
+            mailboxes.update(self.stored_owners)
+        mailboxes.discard(self.roster.own)
+        return list(mailboxes)
 
     async def _run(self) -> None:
         while True:
@@ -114,7 +115,7 @@
 
     async def _step(self, now: float) -> None:
         if self.stored is None:
-            self._learn(await self.store.read(KIND, NAME))
+            self._apply(await self.store.read(KIND, NAME))
             return
         if not self.is_needed() or not self._is_writer(now):
             self._differed = 0
@@ -127,7 +128,10 @@
             await self._write(count, owners)
 
     def _is_writer(self, now: float) -> bool:
-        """Returns whether this router comes first of all that live."""
+        """Returns whether this router writes the number for the fleet.
+
+        The writer is the first member on the ring.
+        """
         if now - self.born < STARTING_SECONDS / 2:
             return False
         here = heartbeat_rings.ring_position(self.roster.own)
@@ -137,39 +141,39 @@
         )
 
     async def _write(self, count: int, owners: list[str]) -> None:
-        found = await self.store.write(
+        answer = await self.store.write(
             KIND,
             NAME,
             {"routers": count, "owners": owners},
             revision=self.revision or None,
         )
-        self._learn(found)
+        self._apply(answer)
 
-    def _learn(self, found: object) -> None:
-        match found:
+    def _apply(self, answer: object) -> None:
+        match answer:
             case None:
                 self.stored, self.revision = 0, 0
             case registrations.Stored(value=value, revision=revision):
-                self.stored, self.revision = _number(value), revision
-                self.stored_owners = _owners(value)
+                self.stored, self.revision = _read_number(value), revision
+                self.stored_owners = _read_owners(value)
                 self.lines.write("fleet_size", routers=self.stored)
-            case registrations.Conflict(found=held):
-                self._learn(held)
+            case registrations.Conflict(found=current):
+                self._apply(current)
             case registrations.Unavailable(reason=reason):
                 self.lines.write("fleet_size_unknown", why=reason)
 
 
-def _number(value: object) -> int:
-    """Returns the number that an object holds, 0 for one that holds none."""
+def _read_number(value: object) -> int:
+    """Returns the number of routers in a stored value, 0 if there is none."""
     if not isinstance(value, dict):
         return 0
-    found = value.get("routers")
-    return found if isinstance(found, int) and found > 0 else 0
+    number = value.get("routers")
+    return number if isinstance(number, int) and number > 0 else 0
 
 
-def _owners(value: object) -> list[str]:
-    """Returns the owners that an object names."""
-    found = value.get("owners") if isinstance(value, dict) else None
-    if not isinstance(found, list):
+def _read_owners(value: object) -> list[str]:
+    """Returns the owners in a stored value."""
+    owners = value.get("owners") if isinstance(value, dict) else None
+    if not isinstance(owners, list):
         return []
-    return [each for each in found if isinstance(each, str)]
+    return [each for each in owners if isinstance(each, str)]
--- a/pimentoledge/routing/holder_heartbeats.py
+++ b/pimentoledge/routing/holder_heartbeats.py
@@ -1,24 +1,25 @@
-"""Signs of life of the router that gives orders, passed on by all."""
+"""Heartbeats of the lease holder, forwarded by all routers."""
 
 from pimentoledge.routing import cluster_views
 from pimentoledge.routing import leases
 from pimentoledge.routing import peer_messages
 
-# A holder whose last sign of life is so old is taken to be away: two
-# heartbeats of it and the way over nine routers.
+# A holder whose last heartbeat is this old is treated as unreachable. The time
+# covers two heartbeats and their way over nine routers.
 SILENT_SECONDS = 1.6
 
 
 class HolderHeartbeats:
-    """The newest sign of life, this router's own or as told.
+    """The newest heartbeat of a holder, this router's own or a forwarded one.
 
     Attributes:
-        lease: what the process knows of the lease.
-        view: what the process believes; `loading_until` is kept here.
-        newest: fencing token and number of the newest sign.
-        holding: whether the holder held the lease then.
-        received_at: when that was taken here.
-        loading: servers that load at that sign, with the time until when.
+        lease: the router's state of the lease.
+        view: the router's view of the cluster, whose `loading_until` is set.
+        newest: fencing token and sequence number of the newest heartbeat.
+        holding: whether the holder held the lease at that heartbeat.
+        received_at: when this router received it.
+        loading: end of the loading time of the servers that load at that
+            heartbeat, by incarnation.
     """
 
     def __init__(self, *, lease: leases.Lease, view: cluster_views.ClusterView):
@@ -30,13 +31,17 @@
         self.loading: dict[str, float] = {}
 
     def record_own(self, now: float) -> None:
-        """Gives a sign of life if this router is the holder, or just was."""
+        """Records a heartbeat if this router is the holder.
+
+        A router that has just lost the lease records one more, which
+        announces that.
+        """
         holds = self.lease.holds(now)
         fence, number = self.newest
-        mine = fence == self.lease.fence
-        if not holds and not (mine and self.holding):
+        is_own = fence == self.lease.fence
+        if not holds and not (is_own and self.holding):
             return
-        self.newest = (self.lease.fence, number + 1 if mine else 1)
+        self.newest = (self.lease.fence, number + 1 if is_own else 1)
         self.holding = holds
         self.received_at = now
         self.loading = {
@@ -46,10 +51,13 @@
         }
 
     def merge(self, beat: peer_messages.Heartbeat, now: float) -> bool:
-        """Takes a sign of life that another router passes on.
+        """Merges a holder's heartbeat that a peer forwards.
+
+        A heartbeat older than the newest is ignored; otherwise a server that
+        has finished loading would count as loading again.
 
-        Returns whether it is news. What is older than the newest is not
-        looked at: a server that has loaded would count as loading again.
+        Returns:
+            whether it is newer than the newest one known before.
         """
         if beat.pulse <= self.newest:
             return False
@@ -67,7 +75,7 @@
         return True
 
     def loading_servers(self, now: float) -> dict[str, int]:
-        """Returns the servers that load, with ms left."""
+        """Returns the servers that are loading, with ms left."""
         return {
             name: int((until - now) * 1000)
             for name, until in self.loading.items()
@@ -75,5 +83,5 @@
         }
 
     def holder_is_alive(self, now: float) -> bool:
-        """Returns whether a holder gave a sign of life just now."""
+        """Returns whether a holder's heartbeat was received recently."""
         return self.holding and now - self.received_at < SILENT_SECONDS
--- a/pimentoledge/routing/replicators.py
+++ b/pimentoledge/routing/replicators.py
@@ -1,7 +1,8 @@
-"""Keeps the copies of the store's objects in step with other routers.
+"""Synchronises the copies of the store's objects between routers.
 
-Two of each data centre watch the servers and tell the others; a router that
-the store turns away asks one that knows more.
+In a large fleet two routers of each data centre watch the servers and forward
+changes to the others. A router that cannot reach the store requests newer
+objects from a peer.
 """
 
 import collections
@@ -18,27 +19,28 @@
 from pimentoledge.routing import watch_shares
 from pimentoledge.routing import watchers
 
-# A newer copy is asked for only if nothing has brought it by then.
+# Delay before a newer copy is requested, since the change usually arrives by
+# itself in this time.
 CATCH_UP_DELAY_SECONDS = 0.25
-# Who was asked for changes has sent them by then, or another is asked.
+# After this time without an answer, changes are requested from another peer.
 CHANGES_TIMEOUT_SECONDS = 0.05
-# Changes kept for those that ask for them; each is some hundred bytes.
+# Number of offered changes kept for requests; each takes some hundred bytes.
 MAX_OFFERED = 50
-# Between two wishes for the same kind.
+# Minimum interval between two requests for listings of the same kind.
 LISTING_REQUEST_SECONDS = 0.6
 
 
 class Replicator:
-    """What a router tells and hears of the store's objects.
+    """Sends and receives changes of the store's objects.
 
     Attributes:
-        view: what the process believes.
+        view: the router's view of the cluster.
         watching: the tasks that follow the store, by kind.
         roster: the other routers.
-        updater: turn what is told into beliefs.
-        lines: where changes of belief are written.
+        updater: applies received changes to the view.
+        lines: log of changes of the view.
         send: sends a message to a mailbox.
-        shares: who watches the servers for others.
+        shares: which routers watch the servers for others.
         peer_lapse_ends: time until which a removed server may still reappear,
             as reported by peers.
     """
@@ -61,18 +63,23 @@
         self.send = send
         self.shares = watch_shares.WatchShares(own=roster.own)
         self.peer_lapse_ends = 0.0
-        self._wished: dict[str, float] = {}
-        self._asked = (0, 0.0)
+        self._listing_requested_at: dict[str, float] = {}
+        self._last_request = (0, 0.0)
         self._offered: collections.OrderedDict[
             int, peer_messages.WatchedChanges
         ] = collections.OrderedDict()
 
     def store_reached(self) -> bool:
-        """Returns whether the store answers this router."""
+        """Returns whether this router can reach the store."""
         return all(each.reached for each in self.watching.values())
 
     def known(self, now: float) -> dict[str, tuple[int, int]]:
-        """Returns what is known of each kind, as heartbeats tell it."""
+        """Returns revision and age of the copy of each kind, for heartbeats.
+
+        Returns:
+            by kind, revision of the newest known change, and ms since the copy
+            was last confirmed to be current.
+        """
         return {
             name: (
                 each.mirror.changed_at,
@@ -83,10 +90,11 @@
         }
 
     def merge_known(self, beat: peer_messages.Heartbeat, now: float) -> None:
-        """Takes that another router lately saw that nothing is newer.
+        """Marks copies as current that a peer has confirmed to be current.
 
-        It holds here only where all that it knows is known here; of named
-        weights the heartbeat itself tells all.
+        This applies only to kinds of which this router has every change that
+        the peer has. Weights always qualify, as the heartbeat itself carries
+        all of their versions.
         """
         for name, (changed_at, age) in beat.known.items():
             mirror = self._mirror(name)
@@ -96,12 +104,12 @@
                 mirror.freshen(now - age / 1000)
 
     def poll_rank(self) -> int:
-        """Returns when this router looks, as an index of LOOK_SHARES.
+        """Returns when this router polls the store, as an index of LOOK_SHARES.
 
-        Of few routers the first is one that the store answers, of many the
-        first of each data centre. It may have died up to 30 s ago without
-        being missed, so there the next has a turn of its own: else all others
-        would look at the same time.
+        In a small fleet the first to poll is a router that can reach the
+        store, in a large one the first of each data centre. The latter may
+        have been dead for up to 30 s without being detected, so the second
+        has a turn of its own; otherwise all others would poll at once.
         """
         if not self.roster.reaches_all():
             return min(self.roster.rank, 2)
@@ -116,52 +124,63 @@
         return None if found is None else found.mirror
 
     def follows(self) -> bool:
-        """Returns whether others watch the servers for this router."""
+        """Returns whether this router relies on the watches of others."""
         if self.roster.reaches_all():
             return False
         return self.shares.has_enough(self.roster.rank, clocks.now())
 
     def current_watchers(self, now: float) -> dict[str, int]:
-        """Returns who watches, this router included if it does."""
+        """Returns the ages of the watchers, including this router if it is one.
+
+        Returns:
+            by mailbox, ms since the watcher's newest announcement.
+        """
         if self.watching["servers"].watching:
             self.shares.record_own(now)
         return self.shares.watcher_ages(now)
 
     def forward_changes(self, after: int, found: registrations.Changes) -> None:
-        """Passes on what this router's watch of the servers brought.
+        """Forwards changes that this router's watch of the servers returned.
 
         Args:
             after: revision of the newest change known before.
-            found: what it brought.
+            found: the changes.
         """
         if self.roster.reaches_all() or not (found.changed or found.removed):
             return
-        told = peer_messages.WatchedChanges(
+        watched = peer_messages.WatchedChanges(
             after=after, changes=found, lapse_ms=self._lapse_ms()
         )
-        self._offer(told, without="")
+        self._offer(watched, excluded="")
 
     def _lapse_ms(self) -> int:
-        """Returns for how long yet what is gone may come back."""
+        """Returns the ms left in which a removed server may still reappear."""
         lapse_seconds = self.updater.lapse_ends() - clocks.now()
         return max(0, int(lapse_seconds * 1000))
 
-    def _take_lapse(self, lapse_ms: int) -> None:
-        """Takes for how long another router waits for what is gone."""
+    def _merge_lapse(self, lapse_ms: int) -> None:
+        """Merges the time for which a peer waits for removed servers."""
         lapse_ends = clocks.now() + lapse_ms / 1000
         self.peer_lapse_ends = max(self.peer_lapse_ends, lapse_ends)
 
-    def _offer(self, told: peer_messages.WatchedChanges, without: str) -> None:
-        """Offers changes to the neighbours in the data centre."""
-        changes = told.changes
+    def _offer(
+        self, watched: peer_messages.WatchedChanges, excluded: str
+    ) -> None:
+        """Offers changes to the neighbours in the data centre.
+
+        Args:
+            watched: the changes.
+            excluded: mailbox of a neighbour that has them already, or "".
+        """
+        changes = watched.changes
         newest = max(
             each.revision for each in changes.changed + changes.removed
         )
-        self._offered[newest] = told
+        self._offered[newest] = watched
         while len(self._offered) > MAX_OFFERED:
             self._offered.popitem(last=False)
         for address in self.roster.near:
-            if address != without:
+            if address != excluded:
                 self.send(
                     address, peer_messages.ChangesOffer(changed_at=newest)
                 )
@@ -169,43 +188,46 @@
     def request_changes(
         self, sender: str, offer: peer_messages.ChangesOffer
     ) -> None:
-        """Asks for changes that are news, of the first that offers them."""
+        """Requests new changes from the first peer that offers them."""
         now = clocks.now()
         servers = self._mirror("servers")
         if servers.revision is None or offer.changed_at <= servers.revision:
             return
-        asked, when = self._asked
-        if offer.changed_at <= asked and now - when < CHANGES_TIMEOUT_SECONDS:
+        requested, when = self._last_request
+        if (
+            offer.changed_at <= requested
+            and now - when < CHANGES_TIMEOUT_SECONDS
+        ):
             return
-        self._asked = (offer.changed_at, now)
+        self._last_request = (offer.changed_at, now)
         self.send(
             sender, peer_messages.ChangesRequest(changed_at=offer.changed_at)
         )
 
     def send_changes(
-        self, sender: str, want: peer_messages.ChangesRequest
+        self, sender: str, request: peer_messages.ChangesRequest
     ) -> None:
-        """Sends changes that were offered."""
-        told = self._offered.get(want.changed_at)
-        if told is not None:
-            self.send(sender, told)
+        """Sends offered changes to a peer that requests them."""
+        watched = self._offered.get(request.changed_at)
+        if watched is not None:
+            self.send(sender, watched)
 
     def receive_changes(
-        self, sender: str, told: peer_messages.WatchedChanges
+        self, sender: str, watched: peer_messages.WatchedChanges
     ) -> None:
-        """Takes and passes on what another's watch brought."""
+        """Applies and forwards changes that a peer's watch returned."""
         servers = self._mirror("servers")
         if servers.revision is None:
             return
-        if told.after > servers.revision:
+        if watched.after > servers.revision:
             self.watching["servers"].catch_up()
             return
-        self._take_lapse(told.lapse_ms)
-        if servers.apply(told.changes):
-            self._offer(told, without=sender)
+        self._merge_lapse(watched.lapse_ms)
+        if servers.apply(watched.changes):
+            self._offer(watched, excluded=sender)
 
     def is_behind(self, peer: rosters.Peer) -> bool:
-        """Returns whether a router knows a newer configuration or servers."""
+        """Returns whether a peer has a newer configuration or servers."""
         return self._lacks_configuration(peer) or self._lacks_servers(peer)
 
     def _lacks_configuration(self, peer: rosters.Peer) -> bool:
@@ -218,59 +240,64 @@
         return revision is None or changed_at > revision
 
     def catch_up(self, address: str) -> None:
-        """Asks the store, or a router, for what that router knows newer.
+        """Requests what a peer has newer, from the store or from that peer.
 
-        A router that waits at the store itself is no exception. One whose wait
-        was never heard trusted it beside the heartbeats of others that knew of
-        a server's leaving; who hears from the store isn't behind by now.
+        A router with an open watch at the store does so too: the store may
+        never have received the watch's request, and the router would rely on
+        it and miss a server's drain that peers announce. A router whose watch
+        works is no longer behind when this is called.
         """
         peer = self.roster.known.get(address)
         if peer is None:
             return
         if self._lacks_configuration(peer):
-            self._wish(address, "configuration")
+            self._request_listing(address, "configuration")
         if not self._lacks_servers(peer):
             return
         listed = self._mirror("servers").revision is not None
-        many = not self.roster.reaches_all()
-        if many and listed and self.store_reached():
-            # All servers of so many routers are too long a list to be sent.
+        large_fleet = not self.roster.reaches_all()
+        if large_fleet and listed and self.store_reached():
+            # In a large fleet the list of all servers is too long to send.
             self.watching["servers"].catch_up()
         else:
-            self._wish(address, "servers")
+            self._request_listing(address, "servers")
 
-    def _wish(self, address: str, kind: str) -> None:
+    def _request_listing(self, address: str, kind: str) -> None:
         now = clocks.now()
-        if now - self._wished.get(kind, 0.0) < LISTING_REQUEST_SECONDS:
+        if (
+            now - self._listing_requested_at.get(kind, 0.0)
+            < LISTING_REQUEST_SECONDS
+        ):
             return
-        self._wished[kind] = now
+        self._listing_requested_at[kind] = now
         self.send(address, peer_messages.ListingRequest(kind=kind))
 
     def send_listing(self, address: str, kind: str) -> None:
-        """Sends a router all objects of a kind."""
+        """Sends all objects of a kind to a peer."""
         mirror = self._mirror(kind)
         if mirror is None or mirror.revision is None:
             return
-        gift = peer_messages.FullListing(
+        full = peer_messages.FullListing(
             kind=kind, listing=mirror.listing(), lapse_ms=self._lapse_ms()
         )
-        self.send(address, gift)
+        self.send(address, full)
 
     def receive_listing(
-        self, sender: str, gift: peer_messages.FullListing
+        self, sender: str, full: peer_messages.FullListing
     ) -> None:
-        """Takes all objects of a kind from another router."""
-        mirror = self._mirror(gift.kind)
+        """Applies all objects of a kind that a peer has sent."""
+        mirror = self._mirror(full.kind)
         if mirror is None:
             return
         self.lines.write(
             "told_by_router",
             router=sender,
-            kind=gift.kind,
-            revision=gift.listing.revision,
+            kind=full.kind,
+            revision=full.listing.revision,
             held=mirror.revision,
         )
-        # A server whose entry lapsed lives; dropped on another router's word it
-        # was missing here until it had written again.
-        self._take_lapse(gift.lapse_ms)
-        mirror.apply(gift.listing)
+        # A server whose entry expired may still be alive. If it were dropped
+        # because a peer's listing lacks it, it would be missing here until it
+        # registers again.
+        self._merge_lapse(full.lapse_ms)
+        mirror.apply(full.listing)
--- a/pimentoledge/routing/rosters.py
+++ b/pimentoledge/routing/rosters.py
@@ -1,4 +1,4 @@
-"""Which other routers there are, and how long ago each was heard."""
+"""Membership of the router fleet and the ages of its heartbeats."""
 
 import random
 
@@ -7,17 +7,19 @@
 from pimentoledge.routing import heartbeat_rings
 from pimentoledge.routing import peer_messages
 
-# A router that was not heard for so long is taken to be away.
+# A router without a heartbeat for this long is treated as unreachable.
 AWAY_SECONDS = 1.6
-# One that was heard within this still counts as a user of the shared budget.
+# A router with a heartbeat in this time still counts as a member that shares
+# the retry budget.
 MEMBER_SECONDS = 30.0
-# One that was not heard for so long, and is no seed, is forgotten: VMs that
-# were replaced would be written to for ever.
+# A router without a heartbeat for this long is removed unless it is a seed;
+# otherwise messages to replaced VMs would be sent for ever.
 FORGET_SECONDS = 60.0
-# What another router counted holds for so long: it only bridges the time in
-# which one that has just started has heard few.
+# Validity of a peer's member count. It only bridges the time in which a router
+# that has just started knows few others.
 COUNT_SECONDS = 5.0
-# Routers told to one that has just come: enough to write to, and some KB.
+# Number of heartbeat ages sent to a router that has just joined: enough for it
+# to choose partners, in some KB.
 MAX_AGES_SENT = 64
 
 
@@ -27,12 +29,13 @@
 
     Attributes:
         first_seen_at: when it became known.
-        last_heard_at: when this router last heard it; long ago before the
-            first time.
-        alive_at: when any router last heard it, as far as is told.
+        last_heard_at: when this router last received a heartbeat from it; a
+            time in the distant past if it never has.
+        alive_at: when any router last received a heartbeat from it, as far as
+            reported.
         beat: its last heartbeat, or None.
         configuration: its newest configuration version.
-        data_centre: where it is, or "" if that isn't known yet.
+        data_centre: its data centre, or "" if not known yet.
     """
 
     first_seen_at: float = 0.0
@@ -48,14 +51,13 @@
 
     Attributes:
         own: this router's mailbox.
-        data_centre: where it is.
-        seeds: mailboxes that the settings name.
-        known: every router that this one knows of.
-        partners: those that it writes to.
-        near: those of them in its own data centre.
-        rank: how many routers of its data centre come before it on the
-            circle.
-        counted: most routers that another counted lately, and when.
+        data_centre: this router's data centre.
+        seeds: mailboxes given in the settings.
+        known: every known router.
+        partners: routers to which this one sends heartbeats.
+        near: partners in its own data centre.
+        rank: number of routers of its data centre that precede it on the ring.
+        counted: highest recent count of routers by a peer, and its time.
     """
 
     def __init__(self, *, own: str, data_centre: str):
@@ -69,18 +71,18 @@
         self.counted = (0, -1e9)
 
     def add_seeds(self, seeds: list[str], now: float) -> None:
-        """Takes mailboxes to find routers by."""
+        """Sets the seeds and adds them to the known routers."""
         self.seeds = seeds
         for each in seeds:
             self.add(each, now)
 
     def add(self, address: str, now: float) -> None:
-        """Notes that there may be a router."""
+        """Adds a router to the known ones, alive or not."""
         if address != self.own and address not in self.known:
             self.known[address] = Peer(first_seen_at=now)
 
     def members(self, now: float) -> dict[str, Peer]:
-        """Returns the other routers that are believed to live."""
+        """Returns the other routers that are considered alive."""
         return {
             address: peer
             for address, peer in self.known.items()
@@ -90,34 +92,34 @@
     def ages(
         self, now: float, most: int | None = None
     ) -> dict[str, dict[str, int]]:
-        """Returns for how many ms each member was not heard.
+        """Returns the age of each member's last known heartbeat.
 
         Args:
             now: the time.
-            most: how many to return, drawn at random; None for all.
+            most: maximum number of members, drawn at random; None for all.
 
         Returns:
-            the ages by data centre and mailbox.
+            the ages in ms by data centre and mailbox.
         """
         members = self.members(now)
-        told = list(members)
-        if most is not None and len(told) > most:
-            told = random.sample(told, most)
-        found: dict[str, dict[str, int]] = {}
-        for address in told:
+        chosen = list(members)
+        if most is not None and len(chosen) > most:
+            chosen = random.sample(chosen, most)
+        by_data_centre: dict[str, dict[str, int]] = {}
+        for address in chosen:
             peer = members[address]
-            ages = found.setdefault(peer.data_centre, {})
+            ages = by_data_centre.setdefault(peer.data_centre, {})
             ages[address] = int((now - peer.alive_at) * 1000)
-        return found
+        return by_data_centre
 
     def merge_ages(self, ages: dict[str, dict[str, int]], now: float) -> None:
-        """Takes how long ago another router heard each."""
-        for data_centre, found in ages.items():
-            for address, age in found.items():
+        """Merges the heartbeat ages that a peer reports, in ms."""
+        for data_centre, by_address in ages.items():
+            for address, age in by_address.items():
                 if address != self.own:
-                    self._take_age(address, data_centre, now - age / 1000, now)
+                    self._merge_age(address, data_centre, now - age / 1000, now)
 
-    def _take_age(
+    def _merge_age(
         self, address: str, data_centre: str, when: float, now: float
     ) -> None:
         self.add(address, now)
@@ -126,7 +128,7 @@
         peer.data_centre = peer.data_centre or data_centre
 
     def count_report(self, now: float) -> tuple[int, int]:
-        """Returns the most routers that anyone counts, and its age in ms."""
+        """Returns the highest count by any router, and its age in ms."""
         own = 1 + len(self.members(now))
         most, when = self.counted
         if own >= most or now - when > COUNT_SECONDS:
@@ -134,18 +136,21 @@
         return most, int((now - when) * 1000)
 
     def merge_count(self, count: int, age: int, now: float) -> None:
-        """Takes how many routers another one counts, and the age in ms.
+        """Merges a peer's count of routers.
 
-        The age is that of the first count of so many, so that it goes out of
-        use everywhere when fewer are left.
+        Args:
+            count: the number of routers.
+            age: ms since that number was first counted. Forwarding doesn't
+                renew it, so that a count that is too high expires everywhere.
+            now: the time.
         """
         most, when = self.counted
-        taken = now - age / 1000
-        if now - when > COUNT_SECONDS or (count, taken) > (most, when):
-            self.counted = (count, taken)
+        counted_at = now - age / 1000
+        if now - when > COUNT_SECONDS or (count, counted_at) > (most, when):
+            self.counted = (count, counted_at)
 
     def tick(self, now: float) -> None:
-        """Forgets who is gone, and chooses whom to write to."""
+        """Removes routers that are gone, and chooses the partners."""
         for address, peer in list(self.known.items()):
             since = max(peer.alive_at, peer.first_seen_at)
             if address not in self.seeds and now - since > FORGET_SECONDS:
@@ -153,14 +158,14 @@
         self._choose_partners(now)
 
     def _choose_partners(self, now: float) -> None:
-        """Chooses among the members, and some that may come to be.
+        """Chooses partners among the members and some possible members.
 
-        A seed that was never heard may be about to start. One of those not
-        heard is written to in any case: two halves that were cut apart for
-        long find each other again by it.
+        A seed without a heartbeat so far may be about to start. At least one
+        router that is not a member is always a partner, so that the halves of
+        a long network partition find each other again.
         """
         members = self.members(now)
-        hopes = [
+        candidates = [
             address
             for address, peer in self.known.items()
             if address not in members
@@ -170,25 +175,28 @@
             )
         ]
         room = max(1, heartbeat_rings.ALL_TO_ALL - len(members))
-        hoped = random.sample(hopes, min(room, len(hopes)))
-        where = {each: peer.data_centre for each, peer in members.items()}
+        probed = random.sample(candidates, min(room, len(candidates)))
+        data_centres = {
+            each: peer.data_centre for each, peer in members.items()
+        }
         self.near, far = heartbeat_rings.partners(
-            self.own, self.data_centre, where
+            self.own, self.data_centre, data_centres
         )
-        self.partners = self.near + far + hoped
+        self.partners = self.near + far + probed
         here = heartbeat_rings.ring_position(self.own)
         self.rank = sum(
             heartbeat_rings.ring_position(each) < here
-            for each, at in where.items()
-            if at == self.data_centre
+            for each, data_centre in data_centres.items()
+            if data_centre == self.data_centre
         )
 
     def count(self, now: float) -> int:
-        """Returns how many routers share the budget of repeats.
+        """Returns how many routers share the retry budget.
 
-        One that has heard nobody yet goes by its seeds: to take itself for
-        the only one would spend the whole budget beside the others. One that
-        has just started has heard few, and goes by what it is told.
+        A router without any members counts the routers that it knows of, such
+        as its seeds: if it counted itself only, it would use the whole budget
+        while the others use it too. A router that has just started knows few
+        others and uses the count that peers report.
         """
         alive = len(self.members(now)) or len(self.known)
         most, when = self.counted
@@ -197,11 +205,11 @@
         return max(1 + alive, most)
 
     def reaches_all(self) -> bool:
-        """Returns whether every router hears the others itself."""
+        """Returns whether every router sends heartbeats to all others."""
         return len(self.known) <= heartbeat_rings.ALL_TO_ALL
 
     def silent_partners(self, now: float) -> list[str]:
-        """Returns the partners that were heard before, and are not now."""
+        """Returns the partners whose heartbeats have stopped recently."""
         return [
             address
             for address in self.partners
@@ -211,7 +219,7 @@
         ]
 
     def present(self, now: float) -> dict[str, Peer]:
-        """Returns the routers that this one heard just now, by mailbox."""
+        """Returns the routers heard from recently, by mailbox."""
         return {
             address: peer
             for address, peer in self.known.items()
