--- a/pimentoledge/routing/limit_reports.py
+++ b/pimentoledge/routing/limit_reports.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of the limits that servers have named."""
+"""Exchange between routers of the limits that servers advertise."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -10,22 +10,22 @@
 from pimentoledge.routing import server_limits
 from pimentoledge.routing import server_notices
 
-# Between two reports of what changed: a server may name another limit in each
-# of its answers.
+# Minimum interval between reports of changes, since a server may advertise
+# another limit in each of its responses.
 CHANGES_SECONDS = 0.2
-# Between two messages with all limits, each to one router drawn at random.
+# Interval between messages with all limits, each to one random router.
 FULL_REPORT_SECONDS = 2.0
 
 
 class LimitReports:
-    """Sends and receives limits; news is forwarded from router to router.
+    """Sends and receives limits; changes are forwarded by each router.
 
     Attributes:
-        view: what the process believes.
+        view: the router's view of the cluster.
         roster: the other routers.
-        notices: takes limits that others have received.
+        notices: merges limits that peers have received.
         send_all: sends a message to mailboxes.
-        pending: servers whose limits are yet to be sent, by incarnation.
+        pending: incarnations of servers whose limits are yet to be sent.
     """
 
     def __init__(
@@ -41,22 +41,22 @@
         self.notices = notices
         self.send_all = send_all
         self.pending: set[str] = set()
-        self._next_news = 0.0
+        self._next_changes = 0.0
         self._next_all = 0.0
 
     @property
     def limits(self) -> server_limits.ServerLimits:
-        """The limits as this router knows them."""
+        """The limits known to this router."""
         return self.view.server_limits
 
     def changed(self, server: str) -> None:
-        """Takes that a server's limit changed."""
+        """Schedules a report of a server's changed limit."""
         self.pending.add(server)
 
     def tick(self, now: float) -> None:
-        """Sends what is due, and forgets limits that are over."""
-        if self.pending and now >= self._next_news:
-            self._next_news = now + CHANGES_SECONDS
+        """Sends reports that are due, and removes expired limits."""
+        if self.pending and now >= self._next_changes:
+            self._next_changes = now + CHANGES_SECONDS
             self._send(self.roster.partners, self.pending, now)
             self.pending = set()
         if self.limits.advertised and now >= self._next_all:
@@ -68,7 +68,7 @@
                 self.send_all_limits(random.choice(members), now)
 
     def send_all_limits(self, address: str, now: float) -> None:
-        """Sends one router all limits."""
+        """Sends all limits to one router."""
         self._send([address], self.limits.advertised.keys(), now)
 
     def _send(
@@ -84,12 +84,12 @@
     def receive(
         self, sender: str, received: peer_messages.LimitReport, sent_at: float
     ) -> None:
-        """Takes limits that another router has received.
+        """Merges limits that a peer has received.
 
         Args:
-            sender: its mailbox.
-            received: its message.
-            sent_at: when it was sent, or may have been.
+            sender: the peer's mailbox.
+            received: the peer's message.
+            sent_at: earliest time at which the message may have been sent.
         """
         for server, (number, age) in received.limits.items():
             per_second = None if number < 0 else number
--- a/pimentoledge/routing/load_reports.py
+++ b/pimentoledge/routing/load_reports.py
@@ -1,9 +1,10 @@
-"""What routers tell each other of the work that servers have.
+"""Exchange of load and cache reports between routers.
 
-Of many routers each sends a server a request every few seconds, and so hears
-its load, and learns what it keeps, seldom. With 68 routers before 60 runners
-the runner that was chosen had in half of the cases told this router nothing
-for nine seconds, and of the parts that it kept a router knew a 68th.
+In a large fleet each router sends a given server a request only every few
+seconds, so it seldom receives the server's load and knows little of its prefix
+cache. Without reports, with 68 routers and 60 runners, the chosen runner had in
+half of the cases reported no load to this router for nine seconds, and a router
+knew a 68th of the cached parts.
 """
 
 from collections.abc import Callable
@@ -17,37 +18,39 @@
 from pimentoledge.routing import selections
 from pimentoledge.routing import wait_estimates
 
-# What changed little is told after this, also for those who have just come:
-# that a short answer began or ended matters less than a message to each of 13
-# routers, which takes some 0.1 ms at both ends.
+# Small changes are reported after this time, also for routers that have just
+# joined. The begin or end of a short answer is worth less than a message to
+# each of 13 routers, which takes some 0.1 ms at both ends.
 REPEAT_SECONDS = 0.5
-# What a server said longer ago is not passed on.
+# Load that a server reported longer ago is not forwarded.
 FRESH_SECONDS = 1.0
-# A change of what a runner has to read that is told at once: 30 ms of reading.
+# A larger change of a runner's pending prompt tokens is reported at once. The
+# number corresponds to 30 ms of prefill.
 URGENT_TOKENS = 1000
-# What a data centre's runners have in the mean is told to the others so often
-# at least: some 60 bytes.
+# Maximum interval between reports of the runners' mean load, some 60 bytes, to
+# other data centres.
 REMOTE_REPORT_SECONDS = 0.5
-# What was told longer ago of another data centre says nothing any more.
+# A mean load of another data centre that is older than this is discarded.
 MEAN_EXPIRY_SECONDS = 3.0
-# Routers of the data centre that are told, and as many that tell: some 300
-# bytes ten times a second from each, whatever the size of the fleet.
+# Number of routers of the data centre that receive a router's reports, and from
+# which it receives some. Each sends some 300 bytes ten times a second, and the
+# maximum keeps that independent of the fleet's size.
 MAX_RECEIVERS = 32
-# Prompts told in one report; some 60 bytes each. More are left out: what they
-# leave at a runner is a hint, and the next report brings newer ones.
+# Maximum number of prompts in a report, some 60 bytes each. Others are dropped:
+# cached parts are only a hint, and the next report has newer prompts.
 MAX_PROMPTS = 200
 
 OwnLoad = dict[str, tuple[int, int, int]]
 
 
 class LoadReports:
-    """Tells what this router has at servers, and takes what others have.
+    """Sends this router's load at servers and receives that of its peers.
 
     Attributes:
-        view: what the process believes.
+        view: the router's view of the cluster.
         roster: the other routers.
         send_all: sends a message to mailboxes.
-        last_report: what it had at servers by its newest report, and when.
+        last_report: load in this router's newest report, and its time.
         servers_by_sender: servers in each peer's last report, by mailbox.
         to_forward: prompts from other data centres, yet to be forwarded.
     """
@@ -65,68 +68,68 @@
         self.last_report: tuple[OwnLoad, float] = ({}, -1e9)
         self.servers_by_sender: dict[str, set[str]] = {}
         self.to_forward: list[peer_messages.PromptReport] = []
-        self._next_far = 0.0
-        self._far_prompts: list[peer_messages.PromptReport] = []
+        self._next_remote = 0.0
+        self._remote_prompts: list[peer_messages.PromptReport] = []
 
     def prompt_changed(self, prompt_tokens: int, now: float) -> None:
-        """Reports at once that a prompt was sent, or was read.
+        """Reports at once that a long prompt was sent, or was prefilled.
 
-        Left for the next tick, half of all prompts met another one at their
-        runner that had been sent there in the last 0.12 s, while most runners
-        of the data centre had nothing to read: all routers saw the same, and
-        chose the same runner.
+        If reports waited for the next tick, all routers would see the same
+        load and choose the same runner: half of all prompts then share their
+        runner with one sent in the last 0.12 s, while most runners of the data
+        centre have nothing to prefill.
 
         Args:
-            prompt_tokens: its length; a short one is left for later.
+            prompt_tokens: its length; a short one waits for the next tick.
             now: the time.
         """
         if prompt_tokens > URGENT_TOKENS:
             self.tick(now)
 
     def tick(self, now: float) -> None:
-        """Reports what is news, and forgets who is away."""
+        """Sends reports that are due, and discards load of absent routers."""
         self.view.reaches_all = self.roster.reaches_all()
         present = self.roster.present(now)
         for address in [
             each for each in self.servers_by_sender if each not in present
         ]:
             self._forget(address)
-        self._forget_old_means(now)
-        prompts = self._prompts()
-        self._report_near(prompts, now)
-        self._far_prompts += prompts
-        if any(map(_is_long, prompts)) or now >= self._next_far:
-            self._report_far(now)
-
-    def _prompts(self) -> list[peer_messages.PromptReport]:
-        found = self.view.prompts_sent[-MAX_PROMPTS:]
+        self._expire_means(now)
+        prompts = self._take_prompts()
+        self._report_nearby(prompts, now)
+        self._remote_prompts += prompts
+        if any(map(_is_long, prompts)) or now >= self._next_remote:
+            self._report_remote(now)
+
+    def _take_prompts(self) -> list[peer_messages.PromptReport]:
+        prompts = self.view.prompts_sent[-MAX_PROMPTS:]
         self.view.prompts_sent.clear()
-        return found
+        return prompts
 
-    def _report_near(
+    def _report_nearby(
         self, prompts: list[peer_messages.PromptReport], now: float
     ) -> None:
-        """Tells the data centre's routers, where there is something new."""
+        """Sends a report to routers nearby if it is due or urgent."""
         before, when = self.last_report
         has = self._has()
         said = self._said(when, now)
-        passing, self.to_forward = self.to_forward[-MAX_PROMPTS:], []
-        news = _differ(before, has) or any(map(_is_long, prompts + passing))
-        if not news and now - when < REPEAT_SECONDS:
+        forwarded, self.to_forward = self.to_forward[-MAX_PROMPTS:], []
+        urgent = _differ(before, has) or any(map(_is_long, prompts + forwarded))
+        if not urgent and now - when < REPEAT_SECONDS:
             return
         self.last_report = (has, now)
         message = peer_messages.LoadReport(
             has=has,
             said=said,
-            prompts=prompts + passing,
+            prompts=prompts + forwarded,
             means=self._means(now),
         )
-        self.send_all(self._near(now), message)
+        self.send_all(self._near_receivers(now), message)
 
-    def _report_far(self, now: float) -> None:
-        """Tells a router of each other data centre."""
-        self._next_far = now + REMOTE_REPORT_SECONDS
-        prompts, self._far_prompts = self._far_prompts[-MAX_PROMPTS:], []
+    def _report_remote(self, now: float) -> None:
+        """Sends a report to one router of each other data centre."""
+        self._next_remote = now + REMOTE_REPORT_SECONDS
+        prompts, self._remote_prompts = self._remote_prompts[-MAX_PROMPTS:], []
         means = {}
         mean = self._own_mean(now)
         if mean is not None:
@@ -134,10 +137,15 @@
         message = peer_messages.LoadReport(
             has={}, said={}, prompts=prompts, means=means
         )
-        self.send_all(self._far(now), message)
+        self.send_all(self._remote_receivers(now), message)
 
     def _own_mean(self, now: float) -> tuple[float, float, int] | None:
-        """Returns what a runner of the own data centre has in the mean."""
+        """Returns the mean load of a runner of the own data centre.
+
+        Returns:
+            requests, queued requests and prompt tokens yet to be prefilled;
+            None without runners.
+        """
         runners = [
             each
             for each in self.view.servers.by_incarnation.values()
@@ -158,15 +166,15 @@
         )
 
     def _means(self, now: float) -> dict[str, tuple[float, float, int, int]]:
-        """Returns what is known of other data centres, for the neighbours."""
+        """Returns the known mean loads of other data centres, for a report."""
         return {
-            place: (
+            data_centre: (
                 each.busy,
                 each.queued,
                 each.unread,
                 int((now - each.since) * 1000),
             )
-            for place, each in self.view.elsewhere.items()
+            for data_centre, each in self.view.elsewhere.items()
         }
 
     def _has(self) -> OwnLoad:
@@ -180,7 +188,7 @@
     def _said(
         self, since: float, now: float
     ) -> dict[str, tuple[int, int, int, int]]:
-        """Returns what servers said to this router since its last report."""
+        """Returns load that servers reported to this router since a time."""
         servers = self.view.servers.by_incarnation
         since = max(since, now - FRESH_SECONDS)
         return {
@@ -194,39 +202,41 @@
             if each.load_first_hand and each.load_at > since
         }
 
-    def _near(self, now: float) -> list[str]:
-        """Returns the routers that come next on the circle.
+    def _near_receivers(self, now: float) -> list[str]:
+        """Returns the receivers of this router's reports.
 
-        So each tells, and is told by, as many. Of many routers, those of the
-        own data centre.
+        They are the routers that follow it on the ring, so that each router
+        receives from as many as it sends to. In a large fleet only routers of
+        the own data centre are included.
         """
         near = [
             address
             for address, peer in self.roster.present(now).items()
             if self._is_near(peer)
         ]
-        return self._from_here(near)[:MAX_RECEIVERS]
+        return self._ring_order(near)[:MAX_RECEIVERS]
 
     def _is_near(self, peer: rosters.Peer) -> bool:
         own = self.view.data_centre
         return self.roster.reaches_all() or peer.data_centre == own
 
-    def _far(self, now: float) -> list[str]:
-        """Returns the next router on the circle of each other data centre.
+    def _remote_receivers(self, now: float) -> list[str]:
+        """Returns the next router on the ring in each other data centre.
 
-        It passes on to its neighbours, so what a prompt leaves at a runner
-        goes to another data centre once.
+        That router forwards prompts to its neighbours, so each prompt is sent
+        to another data centre only once.
         """
         own = self.view.data_centre
         if self.roster.reaches_all():
             return []
-        places: dict[str, list[str]] = {}
+        by_data_centre: dict[str, list[str]] = {}
         for address, peer in self.roster.members(now).items():
             if peer.data_centre not in ("", own):
-                places.setdefault(peer.data_centre, []).append(address)
-        return [self._from_here(each)[0] for each in places.values()]
+                by_data_centre.setdefault(peer.data_centre, []).append(address)
+        return [self._ring_order(each)[0] for each in by_data_centre.values()]
 
-    def _from_here(self, addresses: list[str]) -> list[str]:
+    def _ring_order(self, addresses: list[str]) -> list[str]:
+        """Returns addresses in ring order, starting after this router."""
         here = heartbeat_rings.ring_position(self.roster.own)
         return sorted(
             addresses,
@@ -235,56 +245,56 @@
         )
 
     def receive(
-        self, sender: str, work: peer_messages.LoadReport, now: float
+        self, sender: str, report: peer_messages.LoadReport, now: float
     ) -> None:
-        """Takes another router's report in place of its last."""
+        """Merges a peer's report, which replaces its previous one."""
         peer = self.roster.known.get(sender)
         near = peer is not None and self._is_near(peer)
-        self._take_means(work, now)
-        for prompt in work.prompts:
+        self._merge_means(report, now)
+        for prompt in report.prompts:
             selections.note_peer_prompt(self.view, prompt, now)
         if not near:
-            self.to_forward += work.prompts
+            self.to_forward += report.prompts
             return
-        self._take_has(sender, work, now)
-        self._take_said(work, now)
+        self._merge_has(sender, report, now)
+        self._merge_said(report, now)
 
-    def _take_has(
-        self, sender: str, work: peer_messages.LoadReport, now: float
+    def _merge_has(
+        self, sender: str, report: peer_messages.LoadReport, now: float
     ) -> None:
         servers = self.view.servers.by_incarnation
-        gone = self.servers_by_sender.get(sender, set()) - set(work.has)
-        self.servers_by_sender[sender] = set(work.has)
-        for name in gone | set(work.has):
+        gone = self.servers_by_sender.get(sender, set()) - set(report.has)
+        self.servers_by_sender[sender] = set(report.has)
+        for name in gone | set(report.has):
             backend = servers.get(name)
             if backend is not None:
-                self._set_share(backend, sender, work.has.get(name), now)
+                self._set_peer_load(backend, sender, report.has.get(name), now)
 
-    def _set_share(
+    def _set_peer_load(
         self,
         backend: backends.Backend,
         sender: str,
-        share: tuple[int, int, int] | None,
+        peer_load: tuple[int, int, int] | None,
         now: float,
     ) -> None:
-        """Takes what a router has at a server now.
+        """Sets a router's load at a server.
 
-        That it has less unread there shows that the server has gone on to
-        what is next.
+        A decrease of the tokens to prefill shows that the server has moved on
+        to the next prompt, so the time of its current prefill starts anew.
         """
         before = backend.outstanding()
         backend.others.pop(sender, None)
-        if share is not None:
-            open_, unbegun, unread = share
+        if peer_load is not None:
+            open_, unbegun, unread = peer_load
             backend.others[sender] = backends.PeerLoad(
                 open=open_, unbegun=unbegun, unread=unread
             )
         if not before or backend.outstanding() < before:
             backend.read_since = now
 
-    def _take_said(self, work: peer_messages.LoadReport, now: float) -> None:
+    def _merge_said(self, report: peer_messages.LoadReport, now: float) -> None:
         servers = self.view.servers.by_incarnation
-        for name, (running, waiting, slots, age) in work.said.items():
+        for name, (running, waiting, slots, age) in report.said.items():
             backend = servers.get(name)
             said_at = now - age / 1000
             if backend is not None and said_at > backend.load_at:
@@ -293,22 +303,24 @@
                 )
                 backend.update_load(load, said_at, first_hand=False)
 
-    def _take_means(self, work: peer_messages.LoadReport, now: float) -> None:
+    def _merge_means(
+        self, report: peer_messages.LoadReport, now: float
+    ) -> None:
         known = self.view.elsewhere
-        for place, (busy, queued, unread, age) in work.means.items():
+        for data_centre, (busy, queued, unread, age) in report.means.items():
             since = now - age / 1000
-            if place == self.view.data_centre:
+            if data_centre == self.view.data_centre:
                 continue
-            if place not in known or since > known[place].since:
-                known[place] = wait_estimates.MeanLoad(
+            if data_centre not in known or since > known[data_centre].since:
+                known[data_centre] = wait_estimates.MeanLoad(
                     busy=busy, queued=queued, unread=unread, since=since
                 )
 
-    def _forget_old_means(self, now: float) -> None:
+    def _expire_means(self, now: float) -> None:
         known = self.view.elsewhere
-        for place in list(known):
-            if now - known[place].since > MEAN_EXPIRY_SECONDS:
-                del known[place]
+        for data_centre in list(known):
+            if now - known[data_centre].since > MEAN_EXPIRY_SECONDS:
+                del known[data_centre]
 
     def _forget(self, sender: str) -> None:
         servers = self.view.servers.by_incarnation
@@ -319,7 +331,7 @@
 
 
 def _differ(before: OwnLoad, has: OwnLoad) -> bool:
-    """Returns whether some server has much more, or less, to read."""
+    """Returns whether the load at some server changed by an urgent amount."""
     nothing = (0, 0, 0)
     return any(
         abs(has.get(name, nothing)[2] - before.get(name, nothing)[2])
@@ -329,5 +341,5 @@
 
 
 def _is_long(prompt: peer_messages.PromptReport) -> bool:
-    """Returns whether another router should know of a prompt at once."""
+    """Returns whether a prompt is long enough to be reported at once."""
     return sum(tokens for _, tokens in prompt.parts) > URGENT_TOKENS
--- a/pimentoledge/routing/saved_parts.py
+++ b/pimentoledge/routing/saved_parts.py
@@ -1,30 +1,31 @@
-"""Which shared parts the KV cache servers keep, as far as routers know."""
+"""Shared prompt parts that KV cache servers hold, as far as routers know."""
 
 import collections
 
 from pimentoledge.routing import request_types
 
-# From a reader's first event until the part can be fetched from the KV cache
-# server: 2,520 tokens of 131 KB take some 15 ms, twice that between data
-# centres.
+# Time from a runner's first event until its parts can be fetched from the KV
+# cache server: 2,520 tokens of 131 KB take some 15 ms to transfer, twice that
+# between data centres.
 SAVE_SECONDS = 0.05
-# A part that was saved so long ago may have yielded in the KV cache server.
+# A part that was saved longer ago may have been evicted by the KV cache server.
 RETENTION_SECONDS = 20.0
-# A part that was to be saved is taken to be on its way for so long. Without
-# this each router that meets it before its reader is done has it saved again.
+# For this long a part counts as being saved. Otherwise each router that sends a
+# request with the part before the first runner is done has it saved again.
 SAVING_SECONDS = 2.0
-# How many parts are remembered: some 200 bytes each.
+# Maximum number of tracked parts, some 200 bytes each.
 MAX_PARTS = 8000
 
 Key = tuple[str, str, str]
 
 
 class SavedParts:
-    """What was saved, by this router's requests or as others tell.
+    """Parts saved by this router's requests or reported by its peers.
 
     Attributes:
-        saved: when each part was saved, by KV cache server, namespace, name.
-        saving: when a request was sent that is to save it, likewise.
+        saved: when each part was saved, by address of the KV cache server,
+            namespace and name.
+        saving: when the request that is to save it was sent, by the same key.
     """
 
     def __init__(self):
@@ -42,7 +43,7 @@
         parts: tuple[request_types.Part, ...],
         now: float,
     ) -> None:
-        """Notes that a request was sent that will save these parts."""
+        """Records that a request was sent that will save these parts."""
         _note(self.saving, address, namespace, parts, now)
 
     def note_saved(
@@ -52,7 +53,7 @@
         parts: tuple[request_types.Part, ...],
         now: float,
     ) -> None:
-        """Notes that a runner has read these parts, and saves them."""
+        """Records that a runner has prefilled these parts and saves them."""
         _note(self.saved, address, namespace, parts, now + SAVE_SECONDS)
 
     def unsaved_tokens(
@@ -62,11 +63,11 @@
         parts: tuple[request_types.Part, ...],
         now: float,
     ) -> int:
-        """Returns how many tokens of the parts are neither saved nor coming.
+        """Returns how many tokens of the parts are neither saved nor pending.
 
-        Saving takes along the part that no other request shares. Saved each
-        time, those push the shared ones out: 15 prompts a second fill a KV
-        cache server of 839,000 tokens within 20 s.
+        Saving always includes the last part, which no other request shares. If
+        every request were saved, these parts would evict the shared ones: 15
+        prompts per second fill a KV cache server of 839,000 tokens within 20 s.
         """
         total = 0
         for part in parts:
@@ -84,7 +85,7 @@
         parts: tuple[request_types.Part, ...],
         now: float,
     ) -> int:
-        """Returns how many of a prompt's first tokens were saved."""
+        """Returns the number of leading tokens of a prompt that are saved."""
         total = 0
         for part in parts:
             saved = self.saved.get((address, namespace, part.name))
@@ -101,9 +102,9 @@
         moment: float,
         now: float,
     ) -> bool:
-        """Returns whether all these parts were saved by a moment.
+        """Returns whether all these parts were saved at a given time.
 
-        Parts that may have yielded since don't count.
+        Parts that may have been evicted since don't count.
         """
         times = [
             self.saved.get((address, namespace, part.name)) for part in parts
@@ -116,10 +117,10 @@
         )
 
     def clear(self) -> None:
-        """Notes that a KV cache server may have lost its parts.
+        """Removes all parts, since a KV cache server may have lost its own.
 
-        Else they would count as saved for 20 s more: every runner would read
-        them for itself, and no request would save them again.
+        Otherwise they would count as saved for up to 20 s more, in which every
+        runner would prefill them itself and no request would save them again.
         """
         self.saved.clear()
         self.saving.clear()
--- a/pimentoledge/tests/test_router_work_reports.py
+++ b/pimentoledge/tests/test_router_work_reports.py
@@ -1,4 +1,4 @@
-"""What routers tell each other of the work that servers have."""
+"""Tests of the load reports between routers."""
 
 import pytest
 
@@ -14,23 +14,23 @@
 PARTS = [("manual", 4000), ("own", 900)]
 
 
-class Net:
-    """Routers that hear each other, with what was sent.
+class Network:
+    """Routers that are all connected, with a record of their messages.
 
     Attributes:
-        routers: by mailbox.
-        sent: how many messages, by sender and receiver.
+        routers: load reports of each router, by mailbox.
+        sent: sender and receiver of each message.
         now: the time.
     """
 
-    def __init__(self, count, places=2):
+    def __init__(self, count, data_centres=2):
         self.routers = {}
         self.sent = []
         self.now = 10.0
-        names = {f"tcp://r{n}": f"d{n % places}" for n in range(count)}
-        for name, place in names.items():
+        names = {f"tcp://r{n}": f"d{n % data_centres}" for n in range(count)}
+        for name, data_centre in names.items():
             view = cluster_views.ClusterView(
-                name=name, data_centre=place, born=0.0
+                name=name, data_centre=data_centre, born=0.0
             )
             view.configuration = self.configuration()
             for server, where in (("h", "d0"), ("t", "d1")):
@@ -45,7 +45,7 @@
                         weights={"m": 1},
                     )
                 )
-            roster = rosters.Roster(own=name, data_centre=place)
+            roster = rosters.Roster(own=name, data_centre=data_centre)
             for other, where in names.items():
                 if other != name:
                     roster.known[other] = rosters.Peer(
@@ -96,36 +96,37 @@
                 )
             each.tick(self.now)
 
-    def place(self, router):
+    def data_centre_of(self, router):
         return self.routers[router].view.data_centre
 
 
 @pytest.fixture
 def many():
-    return Net(30)
+    return Network(30)
 
 
-def test_a_router_knows_what_its_neighbours_have_sent(many):
-    """A third of the prompts queued behind others while runners stood idle.
+def test_a_router_knows_the_load_that_its_neighbours_cause(many):
+    """Guards against prompts that queue while other runners are idle.
 
-    Of 68 routers each had heard a runner's load nine seconds ago, so all of
-    them took for idle what the others had just filled.
+    With 68 routers, the load that each knows of a runner is nine seconds old
+    without reports. All then take a runner for idle to which the others have
+    just sent prompts, and a third of the prompts queue.
     """
     sender = many.server("tcp://r0")
     sender.open, sender.unbegun, sender.reading = 2, 1, 9000
     many.tick()
     for name in many.routers:
-        near = many.place(name) == "d0" and name != "tcp://r0"
-        found = many.server(name)
-        assert found.estimated_requests(10.0) == (
+        near = many.data_centre_of(name) == "d0" and name != "tcp://r0"
+        backend = many.server(name)
+        assert backend.estimated_requests(10.0) == (
             2 if near or name == "tcp://r0" else 0
         )
-        assert found.outstanding() == (
+        assert backend.outstanding() == (
             9000 if near or name == "tcp://r0" else 0
         )
 
 
-def test_what_has_ended_counts_no_more(many):
+def test_ended_requests_no_longer_count(many):
     sender = many.server("tcp://r0")
     sender.open, sender.unbegun, sender.reading = 1, 1, 9000
     many.tick()
@@ -135,8 +136,8 @@
     assert many.server("tcp://r2").outstanding() == 0
 
 
-def test_what_a_router_had_is_forgotten_when_it_falls_silent(many):
-    """A router that died would have kept its runners busy for ever."""
+def test_the_load_of_an_absent_router_is_removed(many):
+    """Otherwise the runners of a dead router would count as busy for ever."""
     sender = many.server("tcp://r0")
     sender.open, sender.reading = 5, 20000
     many.tick()
@@ -147,19 +148,21 @@
     assert many.server("tcp://r2").estimated_requests(10.0) == 0
 
 
-def test_what_a_server_said_is_passed_on_once(many):
-    told = many.server("tcp://r0")
-    told.update_load(
+def test_load_that_a_server_reported_is_forwarded_once(many):
+    sender = many.server("tcp://r0")
+    sender.update_load(
         request_types.ServerLoad(running=3, waiting=2, slots=8), many.now
     )
     many.tick(load_reports.REPEAT_SECONDS)
-    heard = many.server("tcp://r2")
-    assert heard.load == request_types.ServerLoad(running=3, waiting=2, slots=8)
-    assert heard.load_at == pytest.approx(10.0, abs=0.01)
-    assert not heard.load_first_hand
+    receiver = many.server("tcp://r2")
+    assert receiver.load == request_types.ServerLoad(
+        running=3, waiting=2, slots=8
+    )
+    assert receiver.load_at == pytest.approx(10.0, abs=0.01)
+    assert not receiver.load_first_hand
 
 
-def test_an_older_word_does_not_go_before_a_newer_one(many):
+def test_an_older_load_does_not_replace_a_newer_one(many):
     newer = many.server("tcp://r2")
     older = many.server("tcp://r0")
     older.update_load(
@@ -172,10 +175,11 @@
     assert newer.load.running == 7
 
 
-def test_all_routers_learn_which_runner_keeps_a_part(many):
-    """A manual was read by six runners in ten seconds.
+def test_all_routers_learn_which_runner_has_cached_a_part(many):
+    """Guards against a shared part that many runners prefill.
 
-    Each router knew only of its own requests which runner keeps what.
+    If each router knows the cached parts of its own requests only, six runners
+    prefill the same manual within ten seconds.
     """
     sender = many.routers["tcp://r0"]
     sender.view.prompts_sent.append(
@@ -186,12 +190,12 @@
     parts = (request_types.Part(name="manual", tokens=4000),)
     for name in many.routers:
         if name != "tcp://r0":
-            found = many.server(name, "t")
-            assert found.cached_tokens("1", parts) == 4000, name
+            backend = many.server(name, "t")
+            assert backend.cached_tokens("1", parts) == 4000, name
 
 
-def test_a_prompt_goes_to_another_data_centre_once(many):
-    """Bytes between data centres are dear."""
+def test_a_prompt_is_reported_to_another_data_centre_once(many):
+    """Traffic between data centres is expensive."""
     sender = many.routers["tcp://r0"]
     sender.view.prompts_sent.append(
         peer_messages.PromptReport(server="t", namespace="1", parts=PARTS)
@@ -200,27 +204,27 @@
     far = [
         address
         for source, address in many.sent
-        if many.place(source) != many.place(address)
+        if many.data_centre_of(source) != many.data_centre_of(address)
     ]
     assert len(far) == 1
 
 
-def test_a_data_centre_is_told_what_runners_elsewhere_have(many):
+def test_a_data_centre_receives_the_mean_load_of_another(many):
     for name in many.routers:
-        if many.place(name) == "d1":
+        if many.data_centre_of(name) == "d1":
             busy = many.server(name, "t")
             busy.open, busy.unbegun, busy.reading = 1, 1, 3000
     many.tick(load_reports.REPEAT_SECONDS)
     many.tick(load_reports.REPEAT_SECONDS)
     for name in many.routers:
-        if many.place(name) == "d0":
+        if many.data_centre_of(name) == "d0":
             mean = many.routers[name].view.elsewhere["d1"]
             assert mean.busy >= 10
             assert mean.unread >= 30000
     assert "d0" not in many.routers["tcp://r0"].view.elsewhere
 
 
-def test_what_was_told_of_a_data_centre_that_is_cut_off_is_forgotten(many):
+def test_the_mean_load_of_an_unreachable_data_centre_expires(many):
     many.tick(load_reports.REPEAT_SECONDS)
     many.tick(load_reports.REPEAT_SECONDS)
     alone = many.routers["tcp://r0"]
@@ -229,11 +233,11 @@
     assert not alone.view.elsewhere
 
 
-def test_a_router_without_a_configuration_takes_reports(many):
-    """A router that had just started lost what the others told it.
+def test_a_router_without_a_configuration_accepts_reports(many):
+    """Guards against reports that a router loses after its start.
 
-    It knew servers from another router and no configuration yet; each report
-    that named a prompt ended in an error, and what it told of load with it.
+    It may have servers from a peer before it has a configuration. If a prompt
+    in a report then raises an error, the report's load is lost too.
     """
     started = many.routers["tcp://r2"]
     started.view.configuration = None
@@ -246,8 +250,8 @@
     assert many.server("tcp://r2").estimated_requests(10.0) == 2
 
 
-def test_few_routers_tell_each_other_everything():
-    few = Net(heartbeat_rings.ALL_TO_ALL)
+def test_a_small_fleet_reports_to_all_routers():
+    few = Network(heartbeat_rings.ALL_TO_ALL)
     sender = few.server("tcp://r0")
     sender.open, sender.reading = 2, 9000
     few.tick()
@@ -255,17 +259,17 @@
         assert few.server(name).estimated_requests(10.0) == 2
 
 
-def test_a_report_goes_to_so_many_whatever_the_size_of_the_fleet():
-    large = Net(200)
+def test_the_number_of_receivers_is_independent_of_the_fleet_size():
+    large = Network(200)
     sender = large.server("tcp://r0")
     sender.open, sender.reading = 2, 9000
     large.routers["tcp://r0"].tick(large.now + 0.1)
-    near = [a for _, a in large.sent if large.place(a) == "d0"]
+    near = [a for _, a in large.sent if large.data_centre_of(a) == "d0"]
     assert len(near) == load_reports.MAX_RECEIVERS
 
 
-def test_short_answers_that_come_and_go_are_told_only_now_and_then(many):
-    """Each change told at once would be a message to each of thirteen."""
+def test_small_changes_of_load_are_reported_at_intervals_only(many):
+    """At once, each change would cost a message to each of 13 routers."""
     many.tick(load_reports.REPEAT_SECONDS)
     many.sent.clear()
     sender = many.server("tcp://r0")
