--- a/pimentoledge/routing/heartbeat_rings.py
+++ b/pimentoledge/routing/heartbeat_rings.py
@@ -6,9 +6,9 @@
 
 import xxhash
 
-# With up to this many others, a router sends to all of them. If 23 routers all
-# send to each other, heartbeats alone take some 10 MB a day between data
-# centres.
+# With up to this many others, a router sends to all of them. When 23 routers
+# all sent to each other, heartbeats alone took some 10 MB between data centres
+# on a quiet day.
 ALL_TO_ALL = 8
 RING_SIZE = 2**64
 # Number of adjacent routers on the ring to link with, in each direction.
@@ -95,15 +95,15 @@
     here = ring_position(own)
     index = bisect.bisect_left(positions, here)
     before = positions[index - 1]
-    found = {
+    links = {
         ring[(index + offset) % len(ring)]
         for offset in range(-ADJACENT_LINKS, ADJACENT_LINKS)
     }
     for span in _spans(len(others)):
         at = bisect.bisect_left(positions, (here + span) % RING_SIZE)
-        found.add(ring[at % len(ring)])
-        found.update(_between(ring, positions, before - span, here - span))
-    return sorted(found, key=ring_position)
+        links.add(ring[at % len(ring)])
+        links.update(_between(ring, positions, before - span, here - span))
+    return sorted(links, key=ring_position)
 
 
 def _spans(count: int) -> list[int]:
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -303,10 +303,10 @@
             )
 
     def _handle_crash_report(self, crash: peer_messages.CrashReport) -> None:
-        is_news = self.view.suspects.crashed(
+        is_new = self.view.suspects.crashed(
             crash.content, crash.incarnation, clocks.now()
         )
-        if is_news and not self.roster.reaches_all():
+        if is_new and not self.roster.reaches_all():
             self._send_all(self.roster.partners, crash)
 
     def _handle_heartbeat(
@@ -343,18 +343,18 @@
     def _sent_at(
         self, sender: str, clock: tuple[int, int], now: float
     ) -> float:
-        """Returns the latest time at which a message was surely current.
+        """Returns the time as of which a message is known to be valid.
 
         A message that was delayed, or lay in the socket of a paused process,
         is older than its arrival.
         """
-        held = self.delays.held(sender, clock, now)
-        if held and sender not in self._delayed_senders:
+        delay = self.delays.held(sender, clock, now)
+        if delay and sender not in self._delayed_senders:
             self._delayed_senders.add(sender)
-            self.lines.write("held_up", router=sender, seconds=round(held, 2))
-        if not held:
+            self.lines.write("held_up", router=sender, seconds=round(delay, 2))
+        if not delay:
             self._delayed_senders.discard(sender)
-        return min(self.arrived(now), now - held)
+        return min(self.arrived(now), now - delay)
 
     def _reconnect(self, address: str, now: float) -> None:
         """Reopens the connection to a router.
--- a/pimentoledge/routing/replicators.py
+++ b/pimentoledge/routing/replicators.py
@@ -120,8 +120,8 @@
         return 0 if first else 2
 
     def _mirror(self, kind: str) -> object_caches.ObjectCache | None:
-        found = self.watching.get(kind)
-        return None if found is None else found.mirror
+        watcher = self.watching.get(kind)
+        return None if watcher is None else watcher.mirror
 
     def follows(self) -> bool:
         """Returns whether this router relies on the watches of others."""
@@ -231,8 +231,10 @@
         return self._lacks_configuration(peer) or self._lacks_servers(peer)
 
     def _lacks_configuration(self, peer: rosters.Peer) -> bool:
-        held = self.view.configuration
-        return peer.configuration > (held.version if held else 0)
+        configuration = self.view.configuration
+        return peer.configuration > (
+            configuration.version if configuration else 0
+        )
 
     def _lacks_servers(self, peer: rosters.Peer) -> bool:
         changed_at, _ = peer.beat.known.get("servers", (-1, 0))
--- a/pimentoledge/tests/test_router_peers.py
+++ b/pimentoledge/tests/test_router_peers.py
@@ -1,4 +1,4 @@
-"""Several routers: what they tell each other, and who gives orders."""
+"""Tests of several routers: shared state, and orders by the lease holder."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 MODEL = router_world.MODEL
 
 
-def _hear(*routers):
-    """Returns whether all routers hear each other."""
+def _connected(*routers):
+    """Returns whether all routers receive heartbeats from each other."""
     now = clocks.now()
     return all(
         len(each.peers.roster.present(now)) == len(routers) - 1
@@ -23,7 +23,7 @@
 
 
 def _cut_from_store(router):
-    """Lets a router reach the store no more."""
+    """Makes the store unreachable for a router."""
     for each in router.watchers:
         each.close()
         each.reached = False
@@ -37,12 +37,12 @@
 
 
 @played(routers=1, runners=1)
-async def test_an_order_that_comes_late_cannot_bring_old_weights_back(world):
+async def test_a_late_order_cannot_restore_old_weights(world):
     """Requests must not fall back to old weights seconds after a rollout.
 
-    A runner takes an order for version 2 without an answer; the next one,
-    for the same count of orders, replaces it, and the late one then finds
-    another count.
+    A runner accepts an order for version 2 and sends no answer. The repeated
+    order has the same precondition, so that only one of the two applies; the
+    other finds a different count of orders.
     """
     runner = world.servers["r0"]
     runner.silent_orders = 1
@@ -54,14 +54,14 @@
 
 
 @played(routers=2)
-async def test_a_router_cut_from_the_store_hears_of_changes(world):
-    """A revoked key must stop working at a router that the store turns away.
+async def test_a_router_without_the_store_receives_changes(world):
+    """A revoked key must stop working at a router that cannot reach the store.
 
-    The store answers one router only; the other learns of the configuration,
+    Only one router reaches the store; the other receives the configuration,
     the weights and the servers from it.
     """
     first, second = world.routers
-    await world.until(lambda: _hear(first, second))
+    await world.until(lambda: _connected(first, second))
     _cut_from_store(second)
     world.store.put(
         "config", "main", router_world.configuration(version=9, tenants=[])
@@ -78,9 +78,10 @@
 
 @played(routers=2)
 async def test_a_restarted_router_takes_the_age_of_weights_from_others(world):
-    """A router that has just started must not take old news for new.
+    """A router that has just started must not take an old change for a new one.
 
-    It would send requests to runners with old weights for as long again.
+    It would again send requests to runners with old weights, for as long as
+    after a new change.
     """
     first, second = world.routers
     for router, seconds in ((first, -100.0), (second, 1.0)):
@@ -95,14 +96,14 @@
 
 
 @played(routers=2)
-async def test_content_that_killed_servers_is_refused_by_all_routers(world):
-    """A request that crashes its server comes again through other routers.
+async def test_content_that_crashed_servers_is_refused_by_all_routers(world):
+    """A request that crashes servers may be repeated through other routers.
 
-    After two dead servers no router sends it to a third; other content is
+    After two crashes no router sends it to a third server; other content is
     served.
     """
     first, second = world.routers
-    await world.until(lambda: _hear(first, second))
+    await world.until(lambda: _connected(first, second))
     for incarnation in ("p0", "p1"):
         server = world.servers[incarnation]
         other = world.servers["p1" if incarnation == "p0" else "p0"]
@@ -132,10 +133,10 @@
 
 
 @played(routers=2)
-async def test_a_router_that_is_gone_for_good_is_forgotten(world):
-    """VMs are replaced every day; their addresses must not pile up."""
+async def test_a_router_that_is_gone_for_good_is_removed(world):
+    """VMs are replaced every day; their addresses must not accumulate."""
     first, second = world.routers
-    await world.until(lambda: _hear(first, second))
+    await world.until(lambda: _connected(first, second))
     gone = "tcp://127.0.0.1:9"
     first.peers.roster.known[gone] = rosters.Peer(
         first_seen_at=clocks.now() - 1
@@ -149,10 +150,10 @@
 
 
 @played(routers=2)
-async def test_a_router_started_in_an_outage_takes_all_from_the_others(world):
-    """A VM that restarts while the store is down must serve, not refuse."""
+async def test_a_router_started_in_an_outage_gets_its_state_from_peers(world):
+    """A VM that restarts while the store is down must serve requests."""
     first, second = world.routers
-    await world.until(lambda: _hear(first, second))
+    await world.until(lambda: _connected(first, second))
     world.store.objects.down = True
     port = router_world.free_port()
     seeds = [int(each.rpartition(":")[2]) for each in first.peers.roster.seeds]
@@ -164,9 +165,9 @@
 
 
 @played(routers=2)
-async def test_a_router_that_falls_silent_is_not_waited_for(world):
-    """A holder that is frozen or cut off must not keep others from orders."""
+async def test_a_router_without_recent_heartbeats_is_not_present(world):
+    """A paused or unreachable holder must not block orders by others."""
     first, second = world.routers
-    await world.until(lambda: _hear(first, second))
+    await world.until(lambda: _connected(first, second))
     later = clocks.now() + rosters.AWAY_SECONDS + 0.1
     assert not first.peers.roster.present(later)
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -1,4 +1,4 @@
-"""Many routers: whom each writes to, and what all of them hear."""
+"""Tests of large fleets: heartbeat partners, and forwarding of changes."""
 
 import math
 import random
@@ -26,7 +26,7 @@
 
 
 def where(address):
-    """Returns an address's data centre: its second number."""
+    """Returns an address's data centre, which is its second number."""
     return address.split(".")[1]
 
 
@@ -36,15 +36,15 @@
 
 
 def graph(members):
-    found = {}
+    links = {}
     for each in members:
         near, far = links_of(each, members)
-        found[each] = near + far
-    return found
+        links[each] = near + far
+    return links
 
 
 def steps_to_reach_all(links, alive):
-    """Returns in how many steps news passes from one router to all."""
+    """Returns the number of steps in which a change reaches all routers."""
     reached = {alive[0]}
     edge = set(reached)
     steps = 0
@@ -58,42 +58,42 @@
 
 
 class TestRings:
-    """Whom a router writes to."""
+    """Heartbeat partners of a router."""
 
-    def test_few_routers_write_to_each_other(self):
+    def test_small_fleets_are_fully_connected(self):
         members = addresses(heartbeat_rings.ALL_TO_ALL + 1)
-        for each, found in graph(members).items():
-            assert sorted([*found, each]) == sorted(members)
+        for each, partners in graph(members).items():
+            assert sorted([*partners, each]) == sorted(members)
 
-    def test_what_a_router_sends_grows_with_the_logarithm(self):
-        """At 350 routers heartbeats to all would take 650 KB/s of each."""
+    def test_number_of_partners_grows_logarithmically(self):
+        """With 350 routers, heartbeats to all would cost each 650 KB/s."""
         for count in (23, 100, 350):
             links = graph(addresses(count))
-            degrees = [len(found) for found in links.values()]
+            degrees = [len(partners) for partners in links.values()]
             assert sum(degrees) / count <= math.log2(count) + 5
             assert max(degrees) <= 4 * math.log2(count) + 6
 
-    def test_links_hold_both_ways(self):
-        """A router that is written to by few would hear news late."""
+    def test_links_are_symmetric(self):
+        """A router with few senders would receive changes late."""
         links = graph(addresses(100))
-        for each, found in links.items():
-            assert all(each in links[other] for other in found)
+        for each, partners in links.items():
+            assert all(each in links[other] for other in partners)
 
     def test_few_links_leave_a_data_centre(self):
-        """Bytes between data centres cost more than all calls to the store."""
+        """Traffic between data centres costs more than all store calls."""
         for count in (24, 100, 350):
             members = addresses(count)
             far = [len(links_of(each, members)[1]) for each in members]
             assert sum(far) / count <= 2.1
 
-    def test_news_reach_all_in_few_steps(self):
+    def test_changes_reach_all_routers_in_few_steps(self):
         for count in (23, 100, 350):
             members = addresses(count)
             steps = steps_to_reach_all(graph(members), members)
             assert steps <= math.ceil(math.log2(count)) + 1
 
-    def test_the_death_of_a_third_parts_nobody(self):
-        """Many VMs lose power at once; the others must go on hearing news."""
+    def test_loss_of_a_third_of_routers_causes_no_partition(self):
+        """Changes must still reach all routers after many VMs lose power."""
         members = addresses(120)
         links = graph(members)
         for seed in range(20):
@@ -102,15 +102,15 @@
 
 
 class TestRosters:
-    """Who is believed to live."""
+    """Membership of routers."""
 
     def roster(self):
-        found = rosters.Roster(own="tcp://me:1", data_centre="0")
-        found.add_seeds(["tcp://seed:1"], 100.0)
-        return found
+        new_roster = rosters.Roster(own="tcp://me:1", data_centre="0")
+        new_roster.add_seeds(["tcp://seed:1"], 100.0)
+        return new_roster
 
-    def test_a_router_heard_by_others_alone_is_a_member(self):
-        """The budget of repeats is shared by all, not by those heard here."""
+    def test_a_router_known_only_through_peers_is_a_member(self):
+        """All routers share the retry budget, not only direct neighbours."""
         roster = self.roster()
         roster.merge_ages(
             {"1": {"tcp://far:1": 4000}, "0": {"tcp://me:1": 0}}, 100.0
@@ -118,12 +118,12 @@
         roster.tick(100.0)
         assert roster.count(100.0) == 2
         assert "tcp://far:1" in roster.partners
-        # Heard nobody for so long, it goes by all that it ever knew.
+        # Without any members it counts all routers that it knows of.
         assert roster.count(100.0 + rosters.MEMBER_SECONDS) == 3
         assert not roster.ages(100.0 + rosters.MEMBER_SECONDS)
 
-    def test_who_died_is_not_kept_alive_by_hearsay(self):
-        """Two routers that tell each other of a third must let it go."""
+    def test_forwarded_ages_do_not_keep_a_dead_router_alive(self):
+        """Two routers that report a third to each other must remove it."""
         one, two = self.roster(), self.roster()
         one.merge_ages({"0": {"tcp://gone:1": 0}}, 100.0)
         now = 100.0
@@ -136,10 +136,12 @@
         assert "tcp://gone:1" not in one.known
         assert "tcp://gone:1" not in two.known
 
-    def test_one_that_just_started_goes_by_what_others_count(self):
-        """All VMs are killed at once; each then has heard three seeds.
+    def test_a_router_that_just_started_uses_the_count_of_peers(self):
+        """A restarted router must not take too large a share of the budget.
 
-        It would take a hundredth of the budget of repeats for a quarter.
+        After all VMs were killed at once, each has heartbeats of three seeds
+        only. By its own count it would use a quarter of the retry budget
+        instead of a hundredth.
         """
         roster = self.roster()
         roster.merge_ages({"0": {"tcp://seed:1": 0}}, 100.0)
@@ -150,16 +152,16 @@
         assert roster.count_report(101.0) == (300, 2000)
         assert roster.count(100.0 + rosters.COUNT_SECONDS) == 2
 
-    def test_one_that_is_not_heard_is_still_tried(self):
-        """Two halves cut apart for minutes must find each other again."""
+    def test_a_router_without_heartbeats_is_still_probed(self):
+        """Two halves must reconnect after a partition of some minutes."""
         roster = self.roster()
         roster.merge_ages({"0": dict.fromkeys(addresses(40), 0)}, 500.0)
         roster.tick(500.0)
         assert "tcp://seed:1" in roster.partners
 
 
-class TestPulses:
-    """Signs of life of the router that gives orders."""
+class TestHolderHeartbeats:
+    """Heartbeats of the lease holder."""
 
     def parts(self):
         view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
@@ -186,12 +188,13 @@
             loading=of.loading_servers(now),
         )
 
-    def test_an_older_sign_does_not_bring_back_what_has_loaded(self):
-        """A runner that has loaded must not be left alone again.
+    def test_an_older_heartbeat_does_not_mark_a_server_as_loading_again(self):
+        """A runner that has finished loading must stay usable.
 
-        Signs come over several ways, late ones after newer ones.
+        Heartbeats are forwarded on several paths, so that older ones can
+        arrive after newer ones.
         """
-        holder, lease, held = self.parts()
+        holder, lease, holder_view = self.parts()
         other, _, view = self.parts()
         registration = registrations.Registration(
             server="r",
@@ -203,13 +206,13 @@
             weights={"m": 1},
         )
         backend = view.servers.put(registration)
-        held.servers.put(registration).loading_until = 20.9
+        holder_view.servers.put(registration).loading_until = 20.9
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
         holder.record_own(20.0)
         early = self.beat(holder, 20.0)
         assert other.merge(early, 20.0)
         assert backend.loading_until == pytest.approx(20.9, abs=0.002)
-        held.servers.by_incarnation["r"].loading_until = 0.0
+        holder_view.servers.by_incarnation["r"].loading_until = 0.0
         backend.loaded()
         holder.record_own(20.5)
         assert other.merge(self.beat(holder, 20.5), 20.5)
@@ -217,8 +220,8 @@
         assert backend.usable(20.6)
         assert other.holder_is_alive(20.6)
 
-    def test_a_holder_that_lost_the_lease_says_so(self):
-        """A successor need not wait for its silence."""
+    def test_a_holder_that_lost_the_lease_announces_it(self):
+        """Its successor must not have to wait until its heartbeats expire."""
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
@@ -235,7 +238,7 @@
         holder.record_own(20.8)
         assert holder.newest == before
 
-    def test_silence_ends_a_holder(self):
+    def test_a_holder_without_recent_heartbeats_is_not_alive(self):
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
         lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
@@ -247,12 +250,12 @@
 
 
 class TestWatchShares:
-    """Who watches the servers for all."""
+    """Choice of the routers that watch the servers for all."""
 
     def shares(self, watching, own="tcp://me:1"):
-        found = watch_shares.WatchShares(own=own)
-        found.merge_ages(dict.fromkeys(watching, 0), 100.0)
-        return found
+        new_shares = watch_shares.WatchShares(own=own)
+        new_shares.merge_ages(dict.fromkeys(watching, 0), 100.0)
+        return new_shares
 
     def test_the_first_by_rank_watch_for_the_rest(self):
         members = sorted(addresses(20), key=heartbeat_rings.ring_position)
@@ -264,8 +267,8 @@
                 rank >= watch_shares.WATCHERS
             )
 
-    def test_the_death_of_one_makes_only_the_next_watch(self):
-        """All that follow would call the store at once."""
+    def test_after_a_watcher_dies_only_the_standbys_watch(self):
+        """Otherwise all routers relying on it would call the store at once."""
         members = sorted(addresses(20), key=heartbeat_rings.ring_position)
         left = members[1 : watch_shares.WATCHERS]
         watch = [
@@ -278,33 +281,33 @@
         assert members[watch_shares.WATCHERS] in watch
         assert len(watch) <= watch_shares.STANDBYS
 
-    def test_who_hears_of_no_watcher_watches(self):
+    def test_a_router_without_known_watchers_watches_itself(self):
         shares = self.shares(addresses(3))
         assert shares.has_enough(15, 100.0)
         later = 100.0 + watch_shares.FRESH_SECONDS + 0.1
         assert not shares.has_enough(15, later)
 
 
-class TestTold:
-    """Copies that are kept by what others tell."""
+class TestForwardedChanges:
+    """Copies of stored objects that are updated by forwarded changes."""
 
     def mirror(self):
-        found = object_caches.ObjectCache(
+        cache = object_caches.ObjectCache(
             kind="servers", take=lambda changed, gone: None
         )
-        found.apply(
+        cache.apply(
             registrations.Listing(objects=[self.stored("a", 3)], revision=5)
         )
-        return found
+        return cache
 
     def stored(self, name, revision):
         return registrations.Stored(name=name, revision=revision, value=None)
 
-    def test_news_of_a_going_do_not_take_away_what_came_back(self):
-        """A server that lapsed in an outage is back; all must use it.
+    def test_a_repeated_removal_does_not_remove_a_server_that_returned(self):
+        """A server whose entry expired in an outage and returned must be used.
 
-        One watcher tells that it is gone, and that it is back; another, whose
-        answer held both, tells again; then the first news arrive once more.
+        Watchers forward its removal and its return, so that the removal can
+        arrive again after the return.
         """
         mirror = self.mirror()
         gone = registrations.Changes(
@@ -318,7 +321,7 @@
         assert not mirror.apply(gone)
         assert "a" in mirror.objects
 
-    def test_the_newest_change_is_known_also_where_it_is_a_going(self):
+    def test_a_removal_counts_as_the_newest_change(self):
         mirror = self.mirror()
         assert mirror.changed_at == 3
         mirror.apply(
@@ -333,10 +336,10 @@
     return [each for each in routers if each.kinds["servers"].watching]
 
 
-async def _all_met(world):
-    """Waits until each router knows of all others.
+async def _all_known(world):
+    """Waits until each router has all others as members.
 
-    What it counts may be what others count, long before that.
+    Its count of routers doesn't show that, since it may come from peers.
     """
     others = len(world.routers) - 1
     await world.until(
@@ -349,12 +352,12 @@
 
 
 async def _few_watch(world):
-    """Waits until all routers but two let others watch.
+    """Waits until all routers but two rely on the watches of others.
 
-    Which two depends on whose watch ended first: later ones of better rank
-    find enough who watch.
+    Which two depends on whose watch ended first: a router of a better rank
+    whose watch ends later finds enough watchers.
     """
-    await _all_met(world)
+    await _all_known(world)
     await world.until(
         lambda: sum(
             not each.peers.replicator.follows() for each in world.routers
@@ -362,7 +365,7 @@
         == watch_shares.WATCHERS,
         seconds=9,
     )
-    # A change ends the watches that were begun before.
+    # A change ends the watches that are still open.
     world.tell(world.servers["r0"], leaving=True)
     await world.until(
         lambda: 0 < len(_watching(world.routers)) <= watch_shares.STANDBYS
@@ -370,38 +373,39 @@
 
 
 @played(routers=13, plain=2, runners=2)
-async def test_few_routers_watch_and_all_hear(world):
-    """Each change would else cost a call to the store for each router.
+async def test_few_routers_watch_and_all_receive_changes(world):
+    """Guards against a call to the store per change from each router.
 
-    Then those who watch fall silent: the others must hear of a server that
-    leaves all the same.
+    After the watchers are cut off, the other routers must still receive a
+    server's drain.
     """
     routers = world.routers
     await _few_watch(world)
     before = world.store.counts.get("GET servers", 0)
     world.tell(world.servers["p0"], leaving=True)
 
-    def heard(who, name):
+    def seen_leaving(by, name):
         return all(
             each.view.servers.by_incarnation[name].registration.leaving
-            for each in who
+            for each in by
         )
 
-    await world.until(lambda: heard(routers, "p0"), seconds=1)
+    await world.until(lambda: seen_leaving(routers, "p0"), seconds=1)
     calls = world.store.counts.get("GET servers", 0) - before
     assert calls < len(routers)
-    silent = _watching(routers)
-    for each in silent:
+    cut_off = _watching(routers)
+    for each in cut_off:
         _cut_off(each)
-    others = [each for each in routers if each not in silent]
+    others = [each for each in routers if each not in cut_off]
     world.tell(world.servers["p1"], leaving=True)
     await world.until(
-        lambda: heard(others, "p1"), seconds=watch_shares.FRESH_SECONDS + 1.0
+        lambda: seen_leaving(others, "p1"),
+        seconds=watch_shares.FRESH_SECONDS + 1.0,
     )
 
 
 def _cut_off(router):
-    """Lets a router neither watch nor write to others."""
+    """Stops a router's watches and its messages to peers."""
     for each in router.watchers:
         each.close()
     router.peers.beat = lambda now: None
@@ -409,15 +413,15 @@
 
 
 @played(routers=13, plain=2, runners=2)
-async def test_a_router_that_missed_news_asks_the_store_once(world):
-    """One that was frozen has a list that may be minutes old.
+async def test_a_router_that_missed_changes_catches_up(world):
+    """A router that was paused may have a list that is minutes old.
 
-    What it is told next tells it that it missed something.
+    The next changes that it receives show that it has missed some.
     """
     routers = world.routers
     await _few_watch(world)
     late = next(each for each in routers if each not in _watching(routers))
-    take = late.peers.handle
+    handle = late.peers.handle
     late.peers.handle = lambda event: None
     world.tell(world.servers["p0"], leaving=True)
     await world.until(
@@ -427,7 +431,7 @@
             if each is not late
         )
     )
-    late.peers.handle = take
+    late.peers.handle = handle
     world.tell(world.servers["p1"], leaving=True)
     await world.until(
         lambda: all(
@@ -439,14 +443,14 @@
 
 
 @played(routers=13, plain=2, runners=4)
-async def test_news_reach_routers_that_the_teller_does_not_write_to(world):
-    """A job card that crashes servers comes again through a far router.
+async def test_crash_reports_reach_routers_that_are_not_partners(world):
+    """A request that crashes servers may be repeated through any router.
 
-    With more routers than each writes to, what one of them tells must be
-    passed on: content that killed servers, and runners that load.
+    In a fleet with more routers than each has partners, reports of such
+    requests must be forwarded.
     """
-    await _all_met(world)
-    # Where each stands follows from its port, and one before a large gap may
+    await _all_known(world)
+    # Ring positions follow from the ports, and a router before a large gap may
     # be linked with all others; the one with the fewest links never is.
     first = min(world.routers, key=lambda each: len(each.peers.roster.partners))
     far = [
@@ -468,7 +472,7 @@
 
 
 @played(routers=13, plain=1, runners=4)
-async def test_one_of_many_routers_gives_the_orders(world):
-    """Each runner must load once, however many routers see that it is due."""
+async def test_one_of_many_routers_sends_the_rollout_orders(world):
+    """Each runner must load once, though many routers see that it is due."""
     await world.roll_out(2)
     assert world.routers[0].view.wanted[MODEL].version == 2
--- a/pimentoledge/tests/test_router_silent_peers.py
+++ b/pimentoledge/tests/test_router_silent_peers.py
@@ -1,4 +1,4 @@
-"""Connections between routers that go silent are opened anew."""
+"""Tests that silent connections between routers are reopened."""
 
 import pytest
 
@@ -6,22 +6,22 @@
 from pimentoledge.tests import router_world
 
 played = router_world.played
-# Within this routers that were cut off from each other count as in touch.
+# Time limit for routers to reconnect after their connections went silent.
 TOUCH_SECONDS = 3.0
 
 
-class Silent:
-    """A socket whose connection stands and carries nothing.
+class SilentSocket:
+    """A socket whose connection stays open and loses all messages.
 
     Attributes:
-        real: the socket that it stands for.
+        real: the socket that it replaces.
     """
 
     def __init__(self, real):
         self.real = real
 
     def send(self, data, block):
-        """Loses a message."""
+        """Drops a message."""
 
     def close(self):
         """Closes the connection."""
@@ -29,13 +29,13 @@
 
 
 def silence(router):
-    """Lets all connections that a router has opened go silent for good."""
+    """Makes all connections that a router has opened drop their messages."""
     for peer in router.peers._mailbox.peers.values():
-        peer.socket = Silent(peer.socket)
+        peer.socket = SilentSocket(peer.socket)
 
 
-def hear_each_other(world, since):
-    """Returns whether all routers have heard all others since a time."""
+def all_connected(world, since):
+    """Returns whether all routers got heartbeats of all others since a time."""
     return all(
         sum(
             peer.last_heard_at > since
@@ -47,28 +47,28 @@
 
 
 @pytest.mark.parametrize("both", [True, False])
-def test_routers_hear_each_other_again_after_connections_fell_silent(both):
-    """Guards against routers that count themselves as all, each for itself."""
+def test_routers_reconnect_after_connections_went_silent(both):
+    """Guards against routers that each count themselves as the whole fleet."""
 
     @played(routers=3, plain=1, runners=0)
     async def test(world):
         began = clocks.now()
-        await world.until(lambda: hear_each_other(world, began))
+        await world.until(lambda: all_connected(world, began))
         for each in world.routers if both else world.routers[:1]:
             silence(each)
         later = clocks.now() + 0.1
         await world.until(
-            lambda: hear_each_other(world, later), seconds=TOUCH_SECONDS
+            lambda: all_connected(world, later), seconds=TOUCH_SECONDS
         )
 
     test()
 
 
 @played(routers=2, plain=1, runners=0)
-async def test_connections_that_are_heard_stay_open(world):
-    """Guards against connections opened anew without a reason."""
+async def test_working_connections_stay_open(world):
+    """Guards against connections that are reopened without a reason."""
     began = clocks.now()
-    await world.until(lambda: hear_each_other(world, began))
+    await world.until(lambda: all_connected(world, began))
     boxes = [each.peers._mailbox for each in world.routers]
     before = [
         {name: peer.generation for name, peer in box.peers.items()}
