--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -74,7 +74,7 @@
     told = []
     reports = first.peers.limit_reports
     reports.send_all = lambda addresses, message: told.append(message)
-    reports.greet("second", clocks.now())
+    reports.send_all_limits("second", clocks.now())
     limits.update(
         "p0", 2.0, sent_at=clocks.now(), received_at=clocks.now() - 1.0
     )
@@ -87,7 +87,7 @@
     """Guards against stale listings that count as recent after a partition."""
     first, second = await meet(world)
     mirror = second.kinds["servers"].mirror
-    beat = first.peers._own_beat(clocks.now())
+    beat = first.peers._own_heartbeat(clocks.now())
     mirror.known_at = before = clocks.now() - 4.0
     deliver(second, first, attrs.evolve(beat, known=_known(beat)))
     assert mirror.known_at == before
@@ -104,7 +104,7 @@
     first, second = await meet(world)
     first.view.want(MODEL, 2, clocks.now())
     now = clocks.now()
-    deliver(second, first, first.peers._own_beat(now))
+    deliver(second, first, first.peers._own_heartbeat(now))
     [*_, newest] = second.view.wanted[MODEL].named
     assert newest.version == 2
     assert newest.since < now - HELD_SECONDS + 0.5
