--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -308,7 +308,7 @@
             permits=self.permits,
         )
 
-    def look_for_a_pause(self, now: float) -> None:
+    def detect_pause(self, now: float) -> None:
         """Trusts no connection or list older than a pause of this process.
 
         A VM that was frozen finds its idle connections open though servers
@@ -330,7 +330,7 @@
         await self.start()
         self._ticked = clocks.now()
         while not self._told.is_set():
-            self.look_for_a_pause(clocks.now())
+            self.detect_pause(clocks.now())
             self.tick()
             try:
                 async with asyncio.timeout(TICK_SECONDS):
--- a/pimentoledge/routing/exchanges.py
+++ b/pimentoledge/routing/exchanges.py
@@ -370,7 +370,7 @@
         if not self.history.sends:
             budget.note_request(now)
             return True
-        return budget.take(now, self.view.members)
+        return budget.try_consume(now, self.view.members)
 
     def _take(self, choice: placements.Choice) -> backends.Backend:
         """Keeps what a choice went by, as it was then, for the log."""
@@ -560,7 +560,7 @@
                 retry_rules.AttemptOutcome.NOT_RUN,
                 f"{answer.status}: not run, load {_load_text(answer.load)}",
             )
-        if answer.status in router_responses.PROMISES or answer.encoded:
+        if answer.status in router_responses.NOT_RUN_STATUSES or answer.encoded:
             # It bears no "not run", so passing on a status that promises as
             # much could be untrue.
             raise _broke(f"status {answer.status}")
--- a/pimentoledge/routing/retry_budgets.py
+++ b/pimentoledge/routing/retry_budgets.py
@@ -52,7 +52,7 @@
         most = PRUDENCE * (self.ratio * len(self._asked) + slack)
         return most - len(self._repeated)
 
-    def take(self, now: float, members: int) -> bool:
+    def try_consume(self, now: float, members: int) -> bool:
         """Returns whether a repeat may be made, and counts it."""
         if self.allowance(now, members) < 1:
             return False
--- a/pimentoledge/routing/router_responses.py
+++ b/pimentoledge/routing/router_responses.py
@@ -10,7 +10,7 @@
 
 # Statuses by which a client is promised that its request did not run and
 # never will.
-PROMISES = frozenset((408, 421, 429, 503))
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 # After so long a client may come back; servers that were full or loading are
 # free again within half a second or so.
 RETRY_SECONDS = 0.3
@@ -42,7 +42,7 @@
 
     Only a refusal that promises that the request was not run says so.
     """
-    if results.MEANINGS[code].status not in PROMISES:
+    if results.MEANINGS[code].status not in NOT_RUN_STATUSES:
         return None
     match code:
         case results.Code.CONFIGURATION_INCOMPLETE:
--- a/pimentoledge/tests/soak/checks.py
+++ b/pimentoledge/tests/soak/checks.py
@@ -136,7 +136,7 @@
     """Checks that what was promised not to have run did not."""
     for identity, runs in _runs(record).items():
         request = record.requests.get(identity)
-        if request and request.status in router_responses.PROMISES:
+        if request and request.status in router_responses.NOT_RUN_STATUSES:
             yield Violation(
                 line="not_run",
                 at=request.ended,
--- a/pimentoledge/tests/soak/reports.py
+++ b/pimentoledge/tests/soak/reports.py
@@ -22,7 +22,7 @@
     """Returns which of OUTCOMES a request came to."""
     if request.whole and 200 <= (request.status or 0) < 300:
         return "served"
-    if request.status in router_responses.PROMISES:
+    if request.status in router_responses.NOT_RUN_STATUSES:
         return "refused"
     return "failed"
 
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -82,7 +82,7 @@
             for entry in entries:
                 if tick % 10 == 0:
                     entry.note_request(now)
-                spent += entry.take(now, 4)
+                spent += entry.try_consume(now, 4)
         assert spent <= 0.2 * 400 + 40
 
     def test_a_restarted_entry_leaves_room_for_its_former_life(self):
@@ -91,10 +91,10 @@
 
     def test_what_was_spent_comes_back_after_the_window(self):
         entry = self.budget()
-        while entry.take(0.0, 1):
+        while entry.try_consume(0.0, 1):
             pass
-        assert not entry.take(9.9, 1)
-        assert entry.take(10.1, 1)
+        assert not entry.try_consume(9.9, 1)
+        assert entry.try_consume(10.1, 1)
 
 
 class TestVerdicts:
--- a/pimentoledge/tests/test_router_evidence.py
+++ b/pimentoledge/tests/test_router_evidence.py
@@ -119,7 +119,7 @@
     assert any(router.pool.idle.values())
     watches = world.store.counts["GET servers"]
     router._ticked = clocks.now() - daemons.PAUSE_SECONDS - 5
-    router.look_for_a_pause(clocks.now())
+    router.detect_pause(clocks.now())
     assert not any(router.pool.idle.values())
     opened = router.pool.opened
     got = await world.ask("/cards/", body=b"after")
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -223,7 +223,7 @@
     await asyncio.sleep(0.1)
     assert not knows(router)
     router._ticked = clocks.now() - 5.0
-    router.look_for_a_pause(clocks.now())
+    router.detect_pause(clocks.now())
     await world.until(lambda: knows(router), seconds=0.3)
 
 
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -391,7 +391,7 @@
     [router] = world.routers
     await world.ask("/cards/", body=b"c")
     assert any(router.pool.idle.values())
-    router.look_for_a_pause(clocks.now() + 5)
+    router.detect_pause(clocks.now() + 5)
     assert not any(router.pool.idle.values())
     assert (await world.ask("/cards/", body=b"c")).status == 200
 
