--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -51,7 +51,7 @@
 # A tick that comes so late shows that the process did not run.
 PAUSE_SECONDS = 1.0
 # Settings may change without a signal.
-LOOK_SECONDS = 1.0
+SETTINGS_CHECK_SECONDS = 1.0
 BAD_SETTING_EXIT = 2
 CONFIG_VARIABLE = settings.ENVIRONMENT_PREFIX + "CONFIG"
 
@@ -272,7 +272,7 @@
         """Reads the settings file again when it changed without a signal."""
         if now < self._next_look:
             return
-        self._next_look = now + LOOK_SECONDS
+        self._next_look = now + SETTINGS_CHECK_SECONDS
         written = _written(self.chosen.text("config"))
         if written != self._written:
             self._written = written
--- a/pimentoledge/tests/test_router_faults.py
+++ b/pimentoledge/tests/test_router_faults.py
@@ -137,7 +137,7 @@
     usual = 'name = "r"\nstore-address = "127.0.0.1:9"\n'
     path.write_text(usual + 'retry-slack = "20"\n')
     monkeypatch.setenv(daemons.CONFIG_VARIABLE, str(path))
-    monkeypatch.setattr(daemons, "LOOK_SECONDS", 0.0)
+    monkeypatch.setattr(daemons, "SETTINGS_CHECK_SECONDS", 0.0)
     match daemons.read_settings(dict(os.environ)):
         case result.Success(chosen):
             router = daemons.Router(chosen=chosen)
