--- a/pimentoledge/routing/backoffs.py
+++ b/pimentoledge/routing/backoffs.py
@@ -1,4 +1,4 @@
-"""When servers that take no request now take some again."""
+"""The end of the backoff of a route's servers."""
 
 from pimentoledge.routing import cluster_views
 from pimentoledge.routing import configurations
@@ -12,15 +12,15 @@
 ) -> float | None:
     """Returns when the first server of a route may be tried again.
 
-    None where some server might take a request before, or where none of them
-    has asked for no request or has a limit that is used up: what they lack is
-    not told beforehand.
+    Returns None if some server might accept a request earlier, or if none of
+    them has requested a backoff or has a used-up limit: the time at which a
+    server becomes free for other reasons isn't known in advance.
 
     Args:
-        view: what the process believes.
-        route: whose servers are meant.
-        now: the time.
-        without: servers, by incarnation, that can take the request no more.
+        view: cached state of the cluster.
+        route: the route whose servers are considered.
+        now: the time, in seconds of clocks.now.
+        without: incarnations of servers that this request is not sent to.
     """
     servers = [
         each
@@ -32,9 +32,11 @@
             or each.registration.incarnation not in without
         )
     ]
-    away = [
+    blocked = [
         each.is_unavailable(now) or each.is_unreachable(now) for each in servers
     ]
-    if not all(away) or not any(each.is_unavailable(now) for each in servers):
+    if not all(blocked) or not any(
+        each.is_unavailable(now) for each in servers
+    ):
         return None
     return min(each.available_at() for each in servers)
--- a/pimentoledge/routing/retry_budgets.py
+++ b/pimentoledge/routing/retry_budgets.py
@@ -1,23 +1,23 @@
-"""How often requests may be sent once more, over all entries together."""
+"""The retry budget, which all routers share."""
 
 import collections
 
-# Part of the common allowance that is used: other entries may believe in
-# fewer members than there are, and windows slide.
-PRUDENCE = 0.9
+# Part of the shared budget that is used. The rest is a margin for routers that
+# count too few members, and for sliding windows that are not aligned.
+SAFETY_FACTOR = 0.9
 
 
 class Budget:
-    """This entry's part of the repeats of one service.
+    """This router's part of the retry budget of one service.
 
-    The bound holds for all entries together in any window; each keeps to its
-    own requests' ratio and to its part of the constant.
+    The limit holds for all routers together in any window. Each router applies
+    the ratio to its own requests and uses an equal part of the slack.
 
     Attributes:
-        ratio: repeats for each request.
-        slack: repeats besides, for all entries together.
-        window_seconds: length of the window.
-        born: when this process started.
+        ratio: number of retries allowed for each request.
+        slack: number of retries allowed in addition, for all routers together.
+        window_seconds: length of the sliding window.
+        born: when this process started, in seconds of clocks.now.
     """
 
     def __init__(
@@ -27,34 +27,39 @@
         self.slack = slack
         self.window_seconds = window_seconds
         self.born = born
-        self._asked: collections.deque[float] = collections.deque()
-        self._repeated: collections.deque[float] = collections.deque()
+        self._requests: collections.deque[float] = collections.deque()
+        self._retries: collections.deque[float] = collections.deque()
 
     def note_request(self, now: float) -> None:
         """Counts a client's request."""
-        self._asked.append(now)
+        self._requests.append(now)
         self._expire(now)
 
     def _expire(self, now: float) -> None:
         start = now - self.window_seconds
-        for times in (self._asked, self._repeated):
+        for times in (self._requests, self._retries):
             while times and times[0] < start:
                 times.popleft()
 
     def allowance(self, now: float, members: int) -> float:
-        """Returns how many more repeats may be made now."""
+        """Returns how many more retries may be made now.
+
+        Args:
+            now: the time, in seconds of clocks.now.
+            members: number of routers that share the budget.
+        """
         self._expire(now)
         slack = self.slack / max(1, members)
         if now - self.born < self.window_seconds:
-            # A former life of this process may have spent its part in the
-            # same window.
+            # Before a restart, this router may have used its part in the same
+            # window.
             slack /= 2
-        most = PRUDENCE * (self.ratio * len(self._asked) + slack)
-        return most - len(self._repeated)
+        limit = SAFETY_FACTOR * (self.ratio * len(self._requests) + slack)
+        return limit - len(self._retries)
 
     def try_consume(self, now: float, members: int) -> bool:
-        """Returns whether a repeat may be made, and counts it."""
+        """Counts a retry if the budget allows it; returns whether it does."""
         if self.allowance(now, members) < 1:
             return False
-        self._repeated.append(now)
+        self._retries.append(now)
         return True
--- a/pimentoledge/routing/retry_rules.py
+++ b/pimentoledge/routing/retry_rules.py
@@ -1,4 +1,4 @@
-"""What follows from an attempt: on elsewhere, pass on, refuse, or fail."""
+"""Rules for retrying a request after a failed attempt."""
 
 import enum
 
@@ -9,31 +9,31 @@
 
 
 class AttemptOutcome(enum.StrEnum):
-    """How an attempt at one server ended without an answer to pass on."""
+    """How an attempt at one server ended without a response to relay."""
 
     # Nothing was sent.
     UNSENT = "unsent"
-    # The server said that it did not run the request and never will.
+    # The server reported that it did not run the request and never will.
     NOT_RUN = "not_run"
-    # The server answered that it failed.
+    # The server reported a failure.
     FAILED = "failed"
-    # It was sent; what became of it is unknown.
+    # The request was sent; its outcome is unknown.
     BROKE = "broke"
-    # It was sent, and the router gave it up before it was known to have begun.
+    # The request was sent; the router cancelled it before it got a response.
     WITHDRAWN = "withdrawn"
 
 
 @attrs.define(kw_only=True)
 class AttemptHistory:
-    """What was done for one request so far.
+    """The attempts of one request so far.
 
     Attributes:
-        sends: how often it was sent.
-        ran_on: servers that may have run it, by incarnation.
-        refused_by: servers that didn't run it, by incarnation.
-        unsent: how often no connection could be opened.
-        pending: the server that has it now, by incarnation, or None.
-        undone: how often it was sent and surely not run.
+        sends: how often the request was sent.
+        ran_on: incarnations of servers that may have run it.
+        refused_by: incarnations of servers that didn't run it.
+        unsent: number of attempts that ended before the request was sent.
+        pending: incarnation of the server that has it now, or None.
+        undone: how often it was sent and certainly not run.
     """
 
     sends: int = 0
@@ -44,16 +44,16 @@
     undone: int = 0
 
     def runs(self) -> int:
-        """Returns how often it may have run."""
+        """Returns how often the request may have run."""
         return self.sends - self.undone
 
     def sent(self, incarnation: str) -> None:
-        """Notes that the request is being sent to a server."""
+        """Records that the request is being sent to a server."""
         self.sends += 1
         self.pending = incarnation
 
     def note_outcome(self, incarnation: str, outcome: AttemptOutcome) -> None:
-        """Takes the end of an attempt."""
+        """Records the outcome of an attempt."""
         never_ran = outcome in (AttemptOutcome.UNSENT, AttemptOutcome.NOT_RUN)
         if self.pending is not None and never_ran:
             self.undone += 1
@@ -72,21 +72,22 @@
                 self.ran_on.add(incarnation)
 
     def excluded_servers(self) -> set[str]:
-        """Returns the servers that it need not be sent to again."""
+        """Returns the servers that further attempts leave out."""
         return self.ran_on | self.refused_by
 
 
-# Connections that fail cost no server anything, but time.
+# Failed connections cause no load on servers, but cost time.
 MOST_UNSENT = 4
-# Refusals by servers count against the budget that all entries share.
+# Limits retries after refusals, which count against the retry budget that all
+# routers share.
 MOST_SENDS = 4
 
 
 def may_retry(history: AttemptHistory, route: configurations.Route) -> bool:
     """Returns whether a request may be sent to a further server.
 
-    A request that may not be repeated must not be sent again once a server
-    may have run it: a doubled job card bills a client twice.
+    A request that is not repeatable must not be sent again once a server may
+    have run it: a duplicated order, for example, bills a customer twice.
     """
     if history.unsent >= MOST_UNSENT or history.sends >= MOST_SENDS:
         return False
@@ -96,9 +97,10 @@
 
 
 def final_code(history: AttemptHistory) -> results.Code:
-    """Returns the code of a request that is given up.
+    """Returns the code of a request that is not retried any more.
 
-    Only one that no server may have run is refused with a promise.
+    The client is assured that the request did not run only if no server may
+    have run it.
     """
     if history.ran_on:
         return results.Code.SERVICE_FAILED
@@ -106,10 +108,10 @@
 
 
 def timeout_code(history: AttemptHistory) -> results.Code:
-    """Returns the code of a request whose time is over.
+    """Returns the code of a request whose deadline has passed.
 
-    One that a server has now, or may have run before, is never promised as
-    not run: its client would ask for it a second time.
+    A request that is at a server now, or that one may have run before, is
+    never reported as not run: the client would send it again.
     """
     if history.ran_on or history.pending is not None:
         return results.Code.DEADLINE_PASSED
