--- a/pimentoledge/routing/counters.py
+++ b/pimentoledge/routing/counters.py
@@ -1,23 +1,23 @@
-"""Counts of decisions and of times to the first event, as a page of text.
+"""Counters of decisions and of times to the first event.
 
-The counts are plain numbers; prometheus_client is only imported when the page
-is asked for, as it holds 5 MB that no request needs.
+They are plain numbers. prometheus_client is imported only when the metrics are
+requested, since it takes 5 MB that serving requests doesn't need.
 """
 
 import bisect
 
-# Upper bounds in seconds: around the objectives of 0.2 to 0.8 s.
+# Upper bounds in seconds, around the usual latency objectives of 0.2 to 0.8 s.
 BUCKETS = (0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 6.0)
 
 
 class Counters:
-    """What a router counts.
+    """The counters of one router.
 
     Attributes:
-        decisions: by kind and outcome.
-        first_events: streams by bucket of the time to their first event; the
-            last holds those beyond all bounds.
-        first_seconds: sum of those times.
+        decisions: number of decisions by kind and outcome.
+        first_events: number of streams by bucket of the time to their first
+            event; the last bucket holds those beyond all bounds.
+        first_seconds: sum of these times in seconds.
     """
 
     def __init__(self):
@@ -36,10 +36,10 @@
         self.first_seconds += seconds
 
     def page(self, gauges: dict[str, float]) -> bytes:
-        """Returns all in Prometheus's text form.
+        """Returns all metrics in Prometheus's text format.
 
         Args:
-            gauges: further values, by name.
+            gauges: values of further metrics, by name.
         """
         import prometheus_client  # noqa: PLC0415
         from prometheus_client import core  # noqa: PLC0415
@@ -57,7 +57,7 @@
         self.core = core
 
     def collect(self):
-        """Yields all families."""
+        """Yields all metric families."""
         family = self.core.CounterMetricFamily(
             "pimentoledge_router_decisions",
             "Decisions, by kind and outcome",
--- a/pimentoledge/routing/event_streams.py
+++ b/pimentoledge/routing/event_streams.py
@@ -1,4 +1,4 @@
-"""Streams of events: whole events only, each passed on once."""
+"""Splitting of server-sent event streams into complete events."""
 
 import attrs
 
@@ -8,11 +8,11 @@
 
 @attrs.frozen(kw_only=True)
 class Event:
-    """One whole event.
+    """One complete event.
 
     Attributes:
-        number: its id, or None.
-        data: its bytes with the empty line that ends it.
+        number: the event's id, or None if it has no numeric id.
+        data: its bytes, including the empty line that ends it.
     """
 
     number: int | None
@@ -20,19 +20,21 @@
 
 
 class Splitter:
-    """Cuts bytes into whole events.
+    """Splits bytes into complete events.
 
     Attributes:
-        rest: bytes of an event that is not whole yet.
+        rest: bytes of the last, still incomplete event.
     """
 
     def __init__(self):
         self.rest = b""
 
     def feed(self, data: bytes) -> list[Event]:
-        """Takes bytes and returns the events that became whole."""
-        *whole, self.rest = (self.rest + data).split(_END)
-        return [Event(number=_number(each), data=each + _END) for each in whole]
+        """Adds bytes and returns the events that they complete."""
+        *complete, self.rest = (self.rest + data).split(_END)
+        return [
+            Event(number=_number(each), data=each + _END) for each in complete
+        ]
 
 
 def _number(event: bytes) -> int | None:
--- a/pimentoledge/routing/log_lines.py
+++ b/pimentoledge/routing/log_lines.py
@@ -1,4 +1,4 @@
-"""Structured log lines: bounded, and never blocking."""
+"""Structured log lines with a rate limit and non-blocking output."""
 
 import os
 import sys
@@ -10,7 +10,7 @@
 from pimentoledge.routing import clocks
 from pimentoledge.routing import counters as counters_module
 
-# A kind of line beyond this rate is counted instead of written: 100 lines of
+# Lines of one kind beyond this rate are counted and not written. 100 lines of
 # 200 bytes a second cost about half a percent of a core.
 LINES_PER_SECOND = 100
 CHANNEL = "decisions"
@@ -22,15 +22,16 @@
 class _Window:
     started: float = 0.0
     written: int = 0
-    left_out: int = 0
+    suppressed: int = 0
 
 
 class LineHandler(logbook.Handler):
-    """Writes each record as one JSON line to a descriptor.
+    """Writes each record as one JSON line to a file descriptor.
 
     Attributes:
-        descriptor: where to; made non-blocking.
-        dropped: lines that a full pipe did not take.
+        descriptor: the file descriptor, which is made non-blocking.
+        dropped: number of lines dropped since the last written one because the
+            pipe was full.
     """
 
     def __init__(self, *, descriptor: int, level: str = "INFO"):
@@ -40,7 +41,7 @@
         os.set_blocking(descriptor, False)
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Writes a record, or counts it where the reader doesn't keep up."""
+        """Writes a record, or counts it as dropped if the pipe is full."""
         line = {
             "time": record.time.isoformat(timespec="milliseconds") + "Z",
             "channel": record.channel,
@@ -59,25 +60,25 @@
             )
             self.dropped = 0
         except OSError:
-            # A full pipe must not hold up requests; the next line that fits
-            # tells how many are missing.
+            # A full pipe must not block requests. The next line written
+            # contains the number of dropped lines.
             self.dropped += 1
 
 
 def to_standard_output(*, level: str) -> LineHandler:
-    """Returns the handler of a daemon.
+    """Returns a handler that writes to the standard output.
 
     Args:
-        level: lowest level, by logbook's name in any case.
+        level: name of the lowest logged level in logbook, in any case.
     """
     return LineHandler(descriptor=sys.stdout.fileno(), level=level.upper())
 
 
 class Lines:
-    """Decisions as log lines, at most so many of a kind in a second.
+    """Writes decisions as log lines, at most LINES_PER_SECOND of each kind.
 
     Attributes:
-        counters: where every decision is counted, written or not.
+        counters: counts every decision, written or not.
     """
 
     def __init__(self, *, counters: counters_module.Counters):
@@ -85,7 +86,12 @@
         self._windows: dict[str, _Window] = {}
 
     def write(self, message: str, **fields: object) -> None:
-        """Writes a decision, or counts it if its kind came too often."""
+        """Counts a decision, and logs it unless its kind is over the limit.
+
+        Args:
+            message: kind of the decision.
+            **fields: fields of the log line.
+        """
         outcome = (
             fields.get("code") or fields.get("verdict") or fields.get("late")
         )
@@ -93,11 +99,11 @@
         now = clocks.now()
         window = self._windows.setdefault(message, _Window())
         if now - window.started >= 1.0:
-            if window.left_out:
-                fields["left_out_before"] = window.left_out
-            window.started, window.written, window.left_out = now, 0, 0
+            if window.suppressed:
+                fields["left_out_before"] = window.suppressed
+            window.started, window.written, window.suppressed = now, 0, 0
         if window.written >= LINES_PER_SECOND:
-            window.left_out += 1
+            window.suppressed += 1
             return
         window.written += 1
         logger.info(message, extra={"fields": fields})
--- a/pimentoledge/routing/pages.py
+++ b/pimentoledge/routing/pages.py
@@ -1,4 +1,4 @@
-"""The page of counters, over HTTP."""
+"""The HTTP endpoint for Prometheus metrics."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,43 +7,43 @@
 from pimentoledge.routing import http_messages
 
 PATH = b"/metrics"
-MOST_HEADER_BYTES = 8192
+MAX_HEADER_BYTES = 8192
 
 
 class PageConnection(asyncio.Protocol):
-    """One connection to the page of counters; ends after its answer.
+    """One connection to the metrics endpoint; closes after its response.
 
     Attributes:
-        page: returns the page.
+        page: returns the metrics in Prometheus's text format.
     """
 
     def __init__(self, *, page: Callable[[], bytes]):
         self.page = page
         self._transport: asyncio.Transport | None = None
         self._parser = http_messages.RequestParser(
-            max_header_bytes=MOST_HEADER_BYTES, max_body_bytes=0
+            max_header_bytes=MAX_HEADER_BYTES, max_body_bytes=0
         )
 
     def connection_made(self, transport) -> None:
-        """Takes the transport."""
+        """Stores the transport."""
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes; answers the first whole request."""
+        """Parses received bytes and responds to the first complete request."""
         try:
             self._parser.feed(data)
         except http_messages.BadMessageError as error:
-            self._answer(error.status, b"")
+            self._respond(error.status, b"")
             return
         if not self._parser.requests:
             return
         head, _ = self._parser.requests[0]
         if head.target != PATH:
-            self._answer(404, b"")
+            self._respond(404, b"")
             return
-        self._answer(200, self.page())
+        self._respond(200, self.page())
 
-    def _answer(self, status: int, body: bytes) -> None:
+    def _respond(self, status: int, body: bytes) -> None:
         self._transport.write(
             requests.encode_own_answer(
                 status=status, request="", body=body, closes=True
