--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -1,4 +1,4 @@
-"""Routers before stand-ins of the platform, for tests of the whole path."""
+"""Routers with fakes of the platform, for tests of the request path."""
 
 import asyncio
 import contextlib
@@ -20,33 +20,33 @@
 configuration = stand_in_platforms.configuration
 
 
-# Below the ports that the system gives to clients' connections: one of those
-# could be taken between its choice and its use.
+# Below the ephemeral ports of the system: one of those could be assigned to a
+# connection between its choice and its use.
 PORTS = range(20000, 32000)
-# Ports that one process takes at a time. It listens at the first of them for as
-# long as it lives, so that no other process of tests gives them.
-SHARE = 200
+# Number of ports that a test process reserves at a time. It listens on the
+# first of them until it ends, so that no other test process uses the block.
+BLOCK_SIZE = 200
 _guards = []
 _ports = []
 
 
-def _take_share():
-    """Takes ports that no other process of tests gives."""
-    for first in random.sample(PORTS[::SHARE], len(PORTS[::SHARE])):
+def _reserve_block():
+    """Reserves a block of ports that no other test process uses."""
+    for first in random.sample(PORTS[::BLOCK_SIZE], len(PORTS[::BLOCK_SIZE])):
         try:
             _guards.append(socket.create_server(("127.0.0.1", first)))
         except OSError:
             continue
-        _ports.extend(range(first + 1, first + SHARE))
+        _ports.extend(range(first + 1, first + BLOCK_SIZE))
         return
-    raise OSError("no share of the tests' ports is free")
+    raise OSError("no block of test ports is free")
 
 
 def free_port():
-    """Returns a port that nobody listens at, and that was not given before."""
+    """Returns a port that is not in use and was not returned before."""
     while True:
         if not _ports:
-            _take_share()
+            _reserve_block()
         port = _ports.pop()
         try:
             with socket.create_server(("127.0.0.1", port)):
@@ -56,13 +56,13 @@
 
 
 class World:
-    """A store, servers and routers.
+    """A fake store, fake servers and real routers.
 
     Attributes:
-        store: the stand-in of the store.
-        servers: the stand-ins of backend servers, by incarnation.
-        kept: the stand-in of the KV cache server.
-        routers: the routers; their loop is the test's.
+        store: the fake store.
+        servers: the fake backend servers by incarnation.
+        kept: the fake KV cache server.
+        routers: the routers, which run on the test's event loop.
     """
 
     def __init__(self):
@@ -120,7 +120,7 @@
             await asyncio.sleep(daemons.TICK_SECONDS)
 
     async def until(self, condition, seconds=5.0):
-        """Waits for a condition; fails the test if it doesn't come."""
+        """Waits for a condition; raises TimeoutError if it isn't met."""
         async with asyncio.timeout(seconds):
             while not condition():
                 await asyncio.sleep(0.01)
@@ -130,8 +130,8 @@
             each.cancel()
         for router in self.routers:
             router.close()
-        # Lets cancelled tasks close their connections, for which the
-        # stand-ins' ends would wait.
+        # Lets cancelled tasks close their connections; closing the fakes waits
+        # for them.
         await asyncio.sleep(0.05)
         self.platform.close()
         await asyncio.sleep(0)
@@ -140,7 +140,7 @@
         return Client(self.routers[number].chosen.text("listen"), **more)
 
     async def ask(self, path, number=0, **more):
-        """Sends one request on a connection of its own."""
+        """Sends one request on a new connection and returns the response."""
         client = self.client(number)
         await client.open()
         try:
@@ -149,9 +149,9 @@
             client.close()
 
     async def ask_while_opening(self, server, other):
-        """Returns a request whose connection to a server is being opened.
+        """Returns the task of a request that is connecting to `server`.
 
-        The other server of the service takes no request at first.
+        The other server of the service is avoided for the first 0.3 s.
         """
         [router] = self.routers
         known = router.view.servers.by_incarnation
@@ -172,10 +172,10 @@
         return asked
 
     async def roll_out(self, version):
-        """Names new weights; returns the orders that brought them everywhere.
+        """Announces new weights; returns the orders that rolled them out.
 
         Fails the test if a runner doesn't get them by exactly one order, or
-        if two routers gave orders.
+        if two routers sent orders.
         """
         named = {"model": MODEL, "version": version}
         self.store.put("versions", MODEL, named)
@@ -192,7 +192,7 @@
         return orders
 
     def ran(self, service):
-        """Returns the requests that servers of a service worked on."""
+        """Returns the requests that servers of a service have run."""
         return [
             call
             for server in self.servers.values()
@@ -203,13 +203,13 @@
 
 
 class WorldAnswer:
-    """What a client got.
+    """The response that a client received.
 
     Attributes:
-        status: HTTP status, or None without an answer.
-        headers: by lower-case name.
-        body: the body as far as it came.
-        whole: whether the answer has its end.
+        status: HTTP status, or None without a response.
+        headers: values by lower-case name.
+        body: the received part of the body.
+        whole: whether the response is complete.
     """
 
     def __init__(self, status, headers, body, whole):
@@ -220,7 +220,7 @@
 
 
 class Client:
-    """A client's connection."""
+    """A client's connection to a router."""
 
     def __init__(self, address):
         self.host, _, port = address.rpartition(":")
@@ -236,29 +236,29 @@
         self.writer.close()
 
     def send(self, path, *, method="POST", body=b"", key=KEY, headers=()):
-        """Sends a request's bytes."""
+        """Sends a request without reading the response."""
         self.number += 1
-        given = {
+        fields = {
             "Host": HOST,
             "Request-Id": f"q-{id(self)}-{self.number}",
             "Deadline-Ms": "2500",
             "Content-Length": str(len(body)),
         }
         if key is not None:
-            given["Authorization"] = f"Bearer {key}"
-        given.update(headers)
+            fields["Authorization"] = f"Bearer {key}"
+        fields.update(headers)
         lines = [f"{method} {path} HTTP/1.1"]
-        lines += [f"{name}: {value}" for name, value in given.items()]
+        lines += [f"{name}: {value}" for name, value in fields.items()]
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
     async def ask(self, path, **more):
-        """Sends a request and reads its answer."""
+        """Sends a request and returns the response."""
         self.send(path, **more)
         async with asyncio.timeout(8):
             return await self.read()
 
     async def read(self):
-        """Reads an answer to its end, or to the connection's."""
+        """Reads a response until its end or the connection's end."""
         head = await self._head()
         if head is None:
             return WorldAnswer(None, {}, b"", whole=False)
@@ -301,7 +301,11 @@
 
 
 def played(**sizes):
-    """Makes a test of a coroutine that is given a started world."""
+    """Returns a decorator that runs a coroutine with a started World.
+
+    Args:
+        **sizes: numbers of routers and servers; see World.start.
+    """
 
     def decorate(test):
         def run():
@@ -314,7 +318,7 @@
                     await world.close()
 
             asyncio.run(whole())
-            # A thread left behind would hold up the next test's ports.
+            # Threads left behind would keep ports of the next test in use.
             assert threading.active_count() < 200
 
         run.__name__ = test.__name__
@@ -325,7 +329,7 @@
 
 
 def stream_headers(parts="aa:600,bb:900,own:40", **more):
-    """Returns the headers of a request for a model."""
+    """Returns the headers of a request to a model."""
     return {
         "Model": MODEL,
         "Token-Usage": "1540,20",
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -1,4 +1,4 @@
-"""A server that refuses with Retry-After gets nothing before that time."""
+"""Tests that a server gets no request before the end of its Retry-After."""
 
 import asyncio
 import time
@@ -18,12 +18,12 @@
 taker = test_router_notices.taker
 MODEL = router_world.MODEL
 REGISTRATION = test_router_notices.REGISTRATION
-# Long, as a request waits for a server for a part of it.
+# Large, as a request waits for a server for a part of its latency objective.
 OBJECTIVE_MS = 10_000
 
 
 def busy(seconds, **more):
-    """Returns an answer by which a server backs off for some seconds."""
+    """Returns a refusal with which a server announces a backoff."""
     return answer(
         status=503,
         not_run=True,
@@ -35,15 +35,15 @@
 
 
 def server_backed_off(seconds=60.0):
-    """Returns servers and the one of them that backs off."""
+    """Returns a set of servers and the one of them that backs off."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
     taker(servers).take(backend, busy(seconds))
     return servers, backend
 
 
-async def _patient_route(world):
-    """Configures the route so that a request waits over a second."""
+async def _configure_long_wait(world):
+    """Configures a route whose requests wait over a second for a server."""
     route = router_world.route(
         "notices", service="plain", kind="safe", targetLatencyMs=OBJECTIVE_MS
     )
@@ -88,7 +88,7 @@
 
 
 @played(plain=2, runners=1)
-async def test_a_server_that_backs_off_while_it_is_reached_gets_nothing(world):
+async def test_server_that_backs_off_while_connecting_gets_no_request(world):
     [router] = world.routers
     known = router.view.servers.by_incarnation
     asked = await world.ask_while_opening("p0", "p1")
@@ -98,8 +98,8 @@
 
 
 @played(plain=2, runners=1)
-async def test_a_request_is_not_held_while_all_servers_back_off(world):
-    await _patient_route(world)
+async def test_request_is_refused_at_once_while_all_servers_back_off(world):
+    await _configure_long_wait(world)
     [router] = world.routers
     known = router.view.servers.by_incarnation
     router.notices.take(known["p0"], busy(5.0))
@@ -118,10 +118,10 @@
 
 
 @played(plain=1, runners=1)
-async def test_a_request_refused_by_the_last_server_is_told_when_to_return(
+async def test_refusal_by_the_last_server_has_its_retry_after(
     world,
 ):
-    await _patient_route(world)
+    await _configure_long_wait(world)
     server = world.servers["p0"]
     server.refuse, server.retry_after = 1, "2"
     began = time.monotonic()
@@ -132,10 +132,10 @@
 
 
 @played(plain=2, runners=1)
-async def test_a_request_that_failed_is_not_held_while_the_others_back_off(
+async def test_failed_request_does_not_wait_while_the_others_back_off(
     world,
 ):
-    await _patient_route(world)
+    await _configure_long_wait(world)
     [router] = world.routers
     known = router.view.servers.by_incarnation
     world.servers["p0"].fail = 1
@@ -146,8 +146,8 @@
 
 
 @played(plain=1, runners=1)
-async def test_a_request_waits_for_a_server_that_is_back_in_time(world):
-    await _patient_route(world)
+async def test_request_waits_for_a_server_whose_backoff_ends_in_time(world):
+    await _configure_long_wait(world)
     [router] = world.routers
     known = router.view.servers.by_incarnation["p0"]
     router.notices.take(known, busy(0.3))
@@ -155,7 +155,7 @@
 
 
 @played(routers=2, plain=1, runners=1)
-async def test_a_server_backs_off_from_the_router_alone_that_it_told(world):
+async def test_backoff_applies_only_to_the_router_that_received_it(world):
     server = world.servers["p0"]
     server.refuse, server.retry_after = 1, "60"
     assert (await world.ask("/notices/", 0, body=b"n")).status == 503
@@ -165,22 +165,22 @@
 
 
 @played(plain=1, runners=2)
-async def test_a_runner_that_backs_off_gets_no_report_call_either(world):
+async def test_runner_that_backs_off_gets_no_status_check(world):
     [router] = world.routers
-    doubted = []
-    router.rechecks.doubt = doubted.append
+    rechecked = []
+    router.rechecks.doubt = rechecked.append
     runner = world.servers["r0"]
     runner.refuse, runner.retry_after = 1, "60"
     while not runner.calls:
         await world.ask("/lookups/", headers=router_world.stream_headers())
-    assert not doubted
+    assert not rechecked
 
 
 @played(plain=1, runners=2)
-async def test_an_order_that_is_refused_with_retry_after_is_not_repeated(
+async def test_order_refused_with_retry_after_is_not_repeated_early(
     world,
 ):
-    """Weights wait for the end of the time that the runner asked for."""
+    """No order to load weights is sent before the runner's backoff ends."""
     [router] = world.routers
     known = router.view.servers.by_incarnation["r0"]
     runner = world.servers["r0"]
@@ -195,7 +195,7 @@
     await world.until(lambda: runner.weights[MODEL] == 2)
 
 
-def test_no_runner_is_told_to_load_before_its_retry_after():
+def test_no_runner_gets_a_load_order_before_its_retry_after():
     view = cluster_views.ClusterView(name="b", data_centre="a", born=0.0)
     view.want(MODEL, 2, 0.0)
     backend = view.servers.put(REGISTRATION)
@@ -207,7 +207,7 @@
     assert due.backend is backend
 
 
-def test_nothing_but_time_ends_what_a_server_asked_for():
+def test_only_time_ends_a_backoff():
     servers, backend = server_backed_off()
     now = clocks.now()
     backend.served()
@@ -221,26 +221,26 @@
     assert servers.put(REGISTRATION).usable(now + 61.0)
 
 
-def test_a_server_that_backs_off_does_not_count_as_down():
+def test_server_that_backs_off_is_not_unreachable():
     _, backend = server_backed_off()
     now = clocks.now()
     assert not backend.is_unreachable(now)
     assert not backend.is_leaving()
 
 
-def test_a_retry_after_of_zero_asks_for_nothing():
+def test_retry_after_of_zero_causes_no_backoff():
     _, backend = server_backed_off(0.0)
     assert not backend.notice.retry_at
 
 
-def test_a_new_life_does_not_back_off():
+def test_new_incarnation_does_not_back_off():
     servers, _ = server_backed_off()
     present = servers.put(attrs.evolve(REGISTRATION, born=200))
     assert present.usable(clocks.now())
 
 
 @pytest.mark.parametrize("status", [200, 500, 421])
-def test_only_a_refusal_for_load_counts(status):
+def test_only_a_refusal_for_load_causes_a_backoff(status):
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
     found = attrs.evolve(busy(60.0), status=status, server="s0")
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -1,4 +1,4 @@
-"""The router's whole path, before stand-ins of the platform."""
+"""Tests of the request path of a router with fakes of the platform."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 @played()
-async def test_a_call_gets_the_servers_own_answer_and_the_servers_headers(
+async def test_call_is_relayed_with_its_response_and_headers(
     world,
 ):
     got = await world.ask(
@@ -44,7 +44,7 @@
 
 
 @played()
-async def test_what_the_configuration_does_not_allow_is_refused(world):
+async def test_requests_the_configuration_does_not_allow_are_refused(world):
     cases = [
         ("/nowhere/", {}, 404),
         ("/cards/", {"key": None}, 401),
@@ -59,10 +59,11 @@
     assert not world.ran("plain")
 
 
-def test_a_router_without_a_configuration_promises_not_run():
-    """A client must hear "come back" from a router that knows nothing yet.
+def test_router_without_configuration_refuses_with_retry_after():
+    """A router without a configuration must refuse with 503 and Retry-After.
 
-    The router starts while the store is down; a 404 or 401 would be false.
+    It starts while the store is down, so it can't know routes or keys; a 404
+    or 401 would be wrong.
     """
 
     async def play():
@@ -84,13 +85,13 @@
 
 
 @played()
-async def test_a_call_that_may_not_be_repeated_runs_once_though_unanswered(
+async def test_unrepeatable_call_without_response_is_not_retried(
     world,
 ):
-    """A job card whose answer is lost must not be posted a second time.
+    """Guards against a duplicate run of a call that is not repeatable.
 
-    The server runs the call and its connection breaks; sent on to another
-    server, two mechanics would strip the same wheel.
+    The server runs the call and its connection breaks before the response. A
+    retry at another server would run it twice.
     """
     for server in world.servers.values():
         server.lose = 1
@@ -100,7 +101,7 @@
 
 
 @played()
-async def test_a_call_that_did_not_run_goes_elsewhere(world):
+async def test_call_refused_as_not_run_is_retried_elsewhere(world):
     world.servers["p0"].refuse = 1
     world.servers["p1"].refuse = 0
     for _ in range(3):
@@ -110,7 +111,7 @@
 
 
 @played()
-async def test_when_nobody_runs_it_the_refusal_says_when_to_come_back(world):
+async def test_refusal_by_all_servers_has_retry_after(world):
     for server in world.servers.values():
         server.refuse = 9
     got = await world.ask("/cards/", body=b"card")
@@ -121,7 +122,7 @@
 
 
 @played()
-async def test_a_repeatable_call_that_failed_is_tried_elsewhere(world):
+async def test_failed_repeatable_call_is_retried_elsewhere(world):
     for server in world.servers.values():
         server.fail = 1
     got = await world.ask("/notices/", method="GET")
@@ -132,10 +133,10 @@
 
 
 @played(plain=1)
-async def test_another_requests_late_answer_is_not_passed_on(world):
-    """An answer that belongs to another request must reach no client.
+async def test_response_to_another_request_is_not_relayed(world):
+    """Guards against relaying the response to another request.
 
-    The server answers with another id: what comes is no answer to this one.
+    The server's response bears another request id than the one sent.
     """
     world.servers["p0"].misnumber = 1
     got = await world.ask("/cards/", body=b"card")
@@ -145,7 +146,7 @@
 
 
 @played()
-async def test_a_stream_is_passed_on_whole(world):
+async def test_stream_is_relayed_completely(world):
     got = await world.ask("/drafts/", headers=stream_headers())
     assert got.status == 200 and got.whole
     assert [int(n) for n in _numbers(got.body)] == [1, 2, 3, 4, 5]
@@ -158,7 +159,7 @@
 
 
 @played()
-async def test_isolated_organisations_share_no_namespace(world):
+async def test_isolated_organisations_share_no_cache_namespace(world):
     await world.ask("/drafts/", key="key-of-walled", headers=stream_headers())
     [call] = world.ran("runners")
     assert call.headers["cache-salt"] == "1.walled"
@@ -173,16 +174,16 @@
 
 
 @played()
-async def test_a_stream_that_breaks_goes_on_elsewhere_without_a_gap(world):
-    """A client must get each event once though the runner dies in an event.
+async def test_broken_stream_resumes_elsewhere_without_a_gap(world):
+    """A client must get each event once although a runner's stream breaks.
 
-    The first runner is cut within its fourth event; another goes on behind
-    the third, in the same answer.
+    The first runner's stream ends within its fourth event; another runner
+    resumes after the third event, in the same response.
     """
     for server in world.servers.values():
         server.cut_after = 3 if server.service == "runners" else None
     got = await world.ask("/lookups/", headers=stream_headers())
-    # The second runner is cut as well, after all its events but two.
+    # The second runner's stream breaks as well, before its last two events.
     assert _numbers(got.body)[:3] == ["1", "2", "3"]
     assert got.status == 200
     resumed = [
@@ -194,8 +195,8 @@
 
 
 @played()
-async def test_a_stream_that_may_not_be_resumed_never_looks_whole(world):
-    """A draft that breaks off must not look complete, nor run again."""
+async def test_broken_stream_without_resumption_does_not_look_complete(world):
+    """A stream that breaks must not look complete, nor run again."""
     for server in world.servers.values():
         server.cut_after = 3
     got = await world.ask("/drafts/", headers=stream_headers())
@@ -205,8 +206,8 @@
 
 
 @played(runners=1)
-async def test_a_client_that_leaves_stops_its_stream(world):
-    """A runner must not make tokens for a client that has gone."""
+async def test_stream_is_cancelled_when_client_disconnects(world):
+    """A runner must stop generating once the client has disconnected."""
     runner = world.servers["r0"]
     runner.events, runner.event_seconds = 1000, 0.02
     client = world.client()
@@ -218,7 +219,7 @@
 
 
 @played(plain=1)
-async def test_a_posted_call_is_finished_though_its_client_left(world):
+async def test_unrepeatable_call_finishes_after_client_disconnects(world):
     client = world.client()
     await client.open()
     client.send("/cards/", body=b"card")
@@ -243,14 +244,14 @@
     assert (await world.ask("/cards/")).status == 404
     assert (await world.ask("/new/", method="GET")).status == 401
     assert (await world.ask("/new/", method="GET", key="fresh")).status == 200
-    # An older one that comes late changes nothing.
+    # A late update with an older version is ignored.
     world.store.put("config", "main", {**first, "version": 3})
     await asyncio.sleep(0.2)
     assert router.view.configuration.version == 5
 
 
 @played()
-async def test_a_leaving_server_gets_no_new_work(world):
+async def test_leaving_server_gets_no_new_requests(world):
     world.tell(world.servers["p0"], leaving=True)
     [router] = world.routers
     await world.until(
@@ -262,19 +263,23 @@
 
 
 @played(plain=2)
-async def test_a_dead_server_costs_no_call(world):
-    """A job card sent to a dead server goes to another: nothing was sent."""
+async def test_call_to_a_dead_server_is_retried(world):
+    """A call is retried when the connection to a dead server fails.
+
+    Nothing was sent, so even a call that is not repeatable may be retried.
+    """
     world.servers["p0"].close()
     for _ in range(4):
         assert (await world.ask("/cards/", body=b"c")).status == 200
 
 
 @played(plain=1)
-async def test_another_server_at_the_address_runs_nothing(world):
-    """An address is used again by another server after a crash.
+async def test_other_server_at_a_reused_address_runs_nothing(world):
+    """A request must not run on a server that took over another's address.
 
-    The router still believes in the first life; the server says that it is
-    another one, and the router leaves the first alone for good.
+    After a crash another incarnation uses the address, while the router has
+    the former one cached. The response reports the new incarnation, and the
+    router sends nothing more to the former one.
     """
     server = world.servers["p0"]
     server.incarnation = "somebody-else"
@@ -284,13 +289,13 @@
 
 
 @played(plain=1)
-async def test_leaving_router_finishes_what_it_read_and_takes_nothing_late(
+async def test_draining_router_finishes_requests_and_refuses_late_ones(
     world,
 ):
-    """A call read before SIGTERM is answered; the balancer is told at once.
+    """A draining router fails its readiness probe and finishes its requests.
 
-    Later than the balancer needs, a new call is refused with "not run", so
-    that none is cut when the grace time ends.
+    Once the load balancer has removed it, it refuses new calls with "not run",
+    so that the end of the grace time interrupts none.
     """
     [router] = world.routers
     kept = world.client()
@@ -320,7 +325,7 @@
 
 
 @played(plain=1)
-async def test_the_page_of_counters_counts_decisions(world):
+async def test_metrics_count_decisions(world):
     await world.ask("/cards/", body=b"c")
     [router] = world.routers
     client = router_world.Client(router.chosen.text("metrics-listen"))
@@ -331,11 +336,11 @@
 
 
 @played(runners=2)
-async def test_without_the_kv_cache_server_parts_come_from_a_runner(world):
-    """A fetch from a dead KV cache server would cost some hundred ms.
+async def test_prompt_parts_come_from_a_runner_without_kv_cache_server(world):
+    """Guards against fetches from a dead KV cache server, some 100 ms each.
 
-    The server dies; nothing is saved to it or fetched from it any more, and
-    what another runner read for this router is fetched there.
+    After the server dies, nothing is saved to it or fetched from it. Prompt
+    parts that another runner has cached are fetched from that runner.
     """
     [router] = world.routers
     await world.ask("/drafts/", headers=stream_headers())
@@ -357,14 +362,14 @@
 
 
 @played(plain=2)
-async def test_servers_that_lapsed_in_an_outage_are_used_until_they_are_back(
+async def test_servers_expired_in_an_outage_are_used_until_they_are_back(
     world,
 ):
-    """After an outage the store has lost entries of servers that live.
+    """Guards against refusals after an outage in which entries expired.
 
-    Calls in the two seconds until the servers have written again must not be
-    refused. An outage takes entries only if servers can't write for two of the
-    intervals at which they do.
+    The store loses entries of live servers if they can't renew them for two
+    renewal intervals. Calls in the two seconds until the servers have written
+    their entries again must not be refused.
     """
     [router] = world.routers
     world.store.objects.down = True
@@ -383,10 +388,11 @@
 
 
 @played(plain=1)
-async def test_after_a_pause_no_older_connection_is_used(world):
-    """A frozen VM wakes with connections that its servers closed meanwhile.
+async def test_connections_from_before_a_pause_are_not_reused(world):
+    """Guards against idle connections that look open after a VM was suspended.
 
-    A job card sent on one would be lost: it may have run, or not.
+    Servers close them meanwhile. Whether a call sent on one has run would be
+    unknown.
     """
     [router] = world.routers
     await world.ask("/cards/", body=b"c")
@@ -397,11 +403,11 @@
 
 
 @played(plain=1)
-async def test_a_new_connection_of_a_leaving_router_may_still_ask(world):
-    """A request that is on its way must be read, not met by a closed door.
+async def test_draining_router_serves_first_request_on_new_connection(world):
+    """Guards against closing a new connection before its first request.
 
-    The client opens its connection, the router looks for idle connections,
-    and only then the request comes.
+    The client opens a connection to a draining router, the router closes idle
+    connections, and only then the request arrives.
     """
     [router] = world.routers
     router.view.leaving = True
@@ -414,13 +420,13 @@
 
 
 @played(plain=2)
-async def test_a_call_under_way_at_its_deadline_is_not_promised_as_not_run(
+async def test_call_in_progress_at_its_deadline_is_not_reported_as_not_run(
     world,
 ):
-    """A refusal that says "not run" would make the client post it again.
+    """Guards against a false "not run", which makes the client retry the call.
 
-    The first server takes no connection; the second has the job card when
-    the deadline comes, and works on it still.
+    The first server accepts no connection; the second is still executing the
+    call at the deadline.
     """
     [router] = world.routers
     dead, slow = world.servers["p0"], world.servers["p1"]
@@ -436,13 +442,13 @@
 
 
 @played(runners=2)
-async def test_a_failed_resumption_never_puts_a_second_answer_into_a_stream(
+async def test_failed_resumption_sends_no_second_response_in_a_stream(
     world,
 ):
-    """A stream that breaks must end as broken, not with another answer in it.
+    """Guards against a second response within a stream that has started.
 
-    The first runner is cut after three events; the one that should go on
-    answers with an error of its own.
+    The first runner's stream breaks after three events; the runner that should
+    resume it responds with an error.
     """
     [router] = world.routers
     for server in world.servers.values():
@@ -462,13 +468,14 @@
 
 
 @played(plain=2)
-async def test_a_server_that_left_after_an_outage_is_not_taken_for_lapsed(
+async def test_server_that_left_after_an_outage_is_not_used_as_expired(
     world,
 ):
-    """A request reached a server 2,003 ms after it had left the store.
+    """Guards against treating a server that left as one whose entry expired.
 
-    The store came back, a server's entry was taken away 1.4 s later, as it
-    left, and the router used it for two seconds more from then.
+    A server left and removed its entry 1.4 s after an outage of the store. The
+    router took the entry for expired and used the server for two seconds
+    more: a request reached it 2,003 ms after its removal.
     """
     [router] = world.routers
     servers = router.kinds["servers"]
@@ -481,13 +488,13 @@
 
 
 @played(plain=1, runners=1)
-async def test_at_the_end_of_the_grace_time_nothing_looks_whole_or_unanswered(
+async def test_requests_at_the_end_of_the_grace_time_get_final_responses(
     world,
 ):
-    """What can't be finished before SIGKILL gets its final answer.
+    """Requests that can't finish before SIGKILL must get a final response.
 
-    A job card at work is answered 504, as it may have run; a stream breaks
-    off without the end mark that would make it look complete.
+    A call in progress gets a 504, as it may have run; a stream is aborted
+    without the last chunk, which would make it look complete.
     """
     [router] = world.routers
     world.servers["p0"].work_seconds = 3.0
@@ -508,8 +515,8 @@
 
 
 @played(plain=1)
-async def test_a_leaving_router_finishes_the_call_of_a_client_that_left(world):
-    """A job card whose client left must not be cut by the process's end."""
+async def test_draining_router_finishes_call_of_disconnected_client(world):
+    """A draining router must finish a call whose client has disconnected."""
     [router] = world.routers
     world.servers["p0"].work_seconds = 0.6
     client = world.client()
@@ -523,11 +530,11 @@
 
 
 @played()
-async def test_a_client_that_waits_for_leave_to_send_its_body_gets_it(world):
-    """A mechanic's upload hangs for a second before each job card.
+async def test_expect_100_continue_gets_interim_response(world):
+    """Guards against uploads that stall for a second.
 
-    The client sends the head with "Expect: 100-continue" and waits; without
-    an interim answer it sends the body only when its own patience is over.
+    The client sends "Expect: 100-continue" and waits; without an interim
+    response it sends the body only after its own timeout.
     """
     client = world.client()
     await client.open()
@@ -545,11 +552,12 @@
 
 
 @played()
-async def test_leave_to_send_waits_until_earlier_answers_are_out(world):
-    """An interim answer before an earlier request's answer would be its own.
+async def test_interim_response_waits_for_earlier_responses(world):
+    """Guards against an interim response that precedes an earlier response.
 
-    A client sends a whole request and at once the head of the next, which
-    waits for leave: the first answer must come first.
+    A client sends a complete request and at once the head of the next one with
+    "Expect: 100-continue". An interim response sent first would be taken as
+    belonging to the first request.
     """
     client = world.client()
     await client.open()
@@ -567,8 +575,8 @@
 
 
 @played()
-async def test_a_body_that_is_refused_by_its_length_is_not_asked_for(world):
-    """A client must not send 20 KB to hear that they are too many."""
+async def test_too_large_body_is_refused_without_interim_response(world):
+    """A client must not have to send 20 KB to get a 413."""
     expects = {"Expect": "100-continue", "Content-Length": "20000"}
     got = await world.ask("/cards/1", headers=expects)
     assert got.status == 413
