--- a/pimentoledge/tests/test_router_fleets.py
+++ b/pimentoledge/tests/test_router_fleets.py
@@ -1,4 +1,4 @@
-"""Many routers before many engines in virtual time: what clients get."""
+"""Simulations of many routers and engines in virtual time."""
 
 import attrs
 import pytest
@@ -6,8 +6,8 @@
 from benches import fleet_engines
 from benches import fleet_runs
 
-# A third of a large deployment, at three fifths of what it can read.
-CALM = fleet_runs.Plan(
+# A third of a large deployment, at three fifths of its prefill capacity.
+BELOW_CAPACITY = fleet_runs.Plan(
     routers=24,
     engines=20,
     data_centres=2,
@@ -15,70 +15,79 @@
     rate=50.0,
     organisations=40,
 )
-# The same with more than its engines can read.
-FULL = attrs.evolve(CALM, rate=110.0)
+# The same with a load beyond the prefill capacity of the engines.
+OVER_CAPACITY = attrs.evolve(BELOW_CAPACITY, rate=110.0)
 
 
-def played(plan):
+def simulate(plan):
     return fleet_runs.Fleet(plan).play()
 
 
-def test_prompts_go_to_engines_that_have_nothing_to_read():
-    """A third of the look-ups came late while half of the engines were idle.
+def test_prompts_are_placed_on_idle_engines():
+    """Guards against routers that all choose the same engines.
 
-    Each router knew its own requests alone, so all chose what the others had
-    just filled. Placed at random a fifth of them come late at this load.
+    A router that knows its own requests only chooses engines that others have
+    just filled. Then a third of the look-ups are late while half of the engines
+    are idle; with random placement a fifth are late at this load.
     """
-    found = played(CALM)
+    found = simulate(BELOW_CAPACITY)
     assert found.outcomes["look-up"].share_in_time() > 0.8
     assert found.outcomes["draft"].share_in_time() > 0.93
 
 
-def test_short_answers_are_in_time_beside_more_prompts_than_can_be_read():
-    """A draft of seventy short events held its slot for twelve seconds.
+def test_short_streams_are_in_time_beside_too_many_prompts():
+    """Guards against short streams delayed by the prefill of long prompts.
 
-    Every engine always read a long prompt, so each step took seven times as
-    long; the slots filled with drafts that were slow, and two of three drafts
-    came late or not at all, though they were the most urgent.
+    If every engine always reads a long prompt, each step takes seven times as
+    long. A draft of seventy short events then holds its slot for twelve
+    seconds, slow drafts fill the slots, and two of three drafts are late or
+    fail although they are the most urgent.
     """
-    found = played(FULL)
+    found = simulate(OVER_CAPACITY)
     assert found.outcomes["draft"].share_in_time() > 0.8
     looked_up = found.outcomes["look-up"]
-    # What can't be read in time is refused, not kept waiting for nothing.
+    # Prompts that can't be read in time are refused without a wait.
     assert looked_up.failed <= 0.02 * looked_up.asked
 
 
-def test_shared_parts_are_read_again_seldom():
-    """Each manual was read by every runner that met it.
+def test_shared_parts_are_seldom_read_again():
+    """Guards against every runner reading each shared prompt part itself.
 
-    A router knew of a part only what its own requests had left, a 24th.
+    This happens when a router knows only the cached parts that its own
+    requests have left, one 24th of all.
     """
-    found = played(CALM)
+    found = simulate(BELOW_CAPACITY)
     assert found.totals.again < 0.12 * found.totals.read
 
 
 @pytest.mark.parametrize("routers", [3, 60])
-def test_the_number_of_routers_changes_little(routers):
-    """With ten times as many routers look-ups were in time half as often."""
-    found = played(attrs.evolve(CALM, routers=routers))
+def test_the_number_of_routers_has_little_effect(routers):
+    """Guards against placement that gets worse with the number of routers.
+
+    With ten times as many routers, half as many look-ups were in time.
+    """
+    found = simulate(attrs.evolve(BELOW_CAPACITY, routers=routers))
     assert found.outcomes["look-up"].share_in_time() > 0.75
 
 
-def test_what_is_saved_is_no_more_than_a_slow_link_carries():
-    """What was saved came two seconds late, and was read again meanwhile.
+def test_no_more_is_saved_than_a_slow_link_carries():
+    """Guards against saving more prompt parts than the cache link can carry.
 
-    All prompts were saved, whatever the link had to carry: here 160 transfers
-    would wait longer than two seconds, and come to nothing.
+    If all prompts are saved, 160 transfers here wait longer than two seconds
+    and are of no use, since the prompts are read again meanwhile.
     """
     slow = attrs.evolve(
-        CALM, cache_link_bytes=80e9 / 8, seconds=10.0, weights_at=(3.0,)
+        BELOW_CAPACITY,
+        cache_link_bytes=80e9 / 8,
+        seconds=10.0,
+        weights_at=(3.0,),
     )
-    found = played(slow)
+    found = simulate(slow)
     assert found.totals.not_started < 40
 
 
 class TestEngine:
-    """The engine in virtual time keeps its accounts."""
+    """Tests of the simulated engine's cache, steps and memory."""
 
     def engine(self, **more):
         agenda = fleet_engines.Agenda()
@@ -100,9 +109,9 @@
             request_types.Part(name=f"own-{id(name)}-{own}", tokens=own),
         )
         client_request = attrs.evolve(
-            fleet_runs.Fleet(attrs.evolve(CALM, routers=1, engines=1))._ask(
-                fleet_runs.DRAFT
-            ),
+            fleet_runs.Fleet(
+                attrs.evolve(BELOW_CAPACITY, routers=1, engines=1)
+            )._ask(fleet_runs.DRAFT),
             parts=parts,
             prompt_tokens=shared + own,
         )
@@ -120,7 +129,7 @@
         assert engine.submit(run)
         return times
 
-    def test_a_kept_part_is_not_read_again(self):
+    def test_a_cached_part_is_not_read_again(self):
         agenda, engine = self.engine()
         first = self.run(agenda, engine, 4000, 500)
         agenda.run(2.0)
@@ -130,7 +139,7 @@
         assert again["first"] - 2.0 < 0.11
         assert engine.totals.read == 4500 + 600
 
-    def test_a_long_prompt_slows_the_answers_beside_it_sevenfold(self):
+    def test_a_long_prompt_slows_concurrent_streams_sevenfold(self):
         agenda, engine = self.engine()
         short = self.run(agenda, engine, 100, 100, events=40, name="s")
         agenda.run(0.5)
@@ -141,7 +150,7 @@
         agenda.run(1.0)
         assert short["pause"] > 5 * 4 * 0.00612
 
-    def test_what_runs_and_what_is_kept_share_the_memory(self):
+    def test_running_requests_and_cached_parts_share_the_memory(self):
         agenda, engine = self.engine(memory_tokens=10000)
         for number in range(6):
             self.run(agenda, engine, 3000, 50 + number, name=f"p{number}")
--- a/pimentoledge/tests/test_router_logs.py
+++ b/pimentoledge/tests/test_router_logs.py
@@ -1,4 +1,4 @@
-"""The router's log lines: bounded, and never in a request's way."""
+"""Tests of the router's log lines: contents, rate limit and full pipes."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
     return [msgspec.json.decode(line) for line in data.splitlines()]
 
 
-def test_a_kind_beyond_its_rate_is_counted_and_told_later():
+def test_lines_beyond_the_rate_limit_are_counted_and_reported_later():
     reader, writer = os.pipe()
     counted = counters.Counters()
     lines = log_lines.Lines(counters=counted)
@@ -45,8 +45,8 @@
     assert counted.decisions[("refused", "X")] == total
 
 
-def test_a_full_pipe_drops_lines_and_says_how_many():
-    """A reader of the log that stands still must not hold up requests."""
+def test_a_full_pipe_drops_lines_and_logs_their_number():
+    """Guards against requests blocked by a log reader that doesn't read."""
     reader, writer = os.pipe()
     lines = log_lines.Lines(counters=counters.Counters())
     handler = log_lines.LineHandler(descriptor=writer)
@@ -62,7 +62,7 @@
 
 @contextlib.contextmanager
 def fields_of_lines():
-    """Gives the fields of the lines written within, by message."""
+    """Yields a dict of the fields of lines logged in the block, by message."""
     handler = logbook.TestHandler(level="INFO")
     found = {}
     with handler.applicationbound():
@@ -73,13 +73,13 @@
 
 
 @played()
-async def test_an_answer_tells_what_its_server_was_chosen_by_and_how_old(
+async def test_answered_line_has_the_data_that_the_choice_was_based_on(
     world,
 ):
-    """Why did this lookup go to that slow server?
+    """Guards against log lines that don't explain the choice of a server.
 
-    A line that names only the server can't tell: it needs the costs that were
-    compared, the load and the versions believed, and how old each was.
+    To find out why a request went to a slow server, an operator needs the
+    compared costs, the cached load and versions, and the age of each.
     """
     with fields_of_lines() as lines:
         await world.ask("/cards/1", body=b"a")
@@ -104,11 +104,12 @@
 
 
 @played(plain=1, runners=1)
-async def test_it_shows_how_old_what_is_known_of_the_servers_is(world):
-    """Requests went to a server that had left: was that known there or not?
+async def test_log_and_metrics_have_the_age_of_cached_objects(world):
+    """Guards against caches of server entries whose age can't be determined.
 
-    Each call that waits for changes is told as it begins, with the age of what
-    was known; the page of counters has the ages of all kinds.
+    To find out whether a router knew that a server had left, each watch call
+    is logged at its start with the age of the cached entries; the metrics
+    contain the ages of all kinds of objects.
     """
     [router] = world.routers
     with fields_of_lines() as lines:
@@ -126,10 +127,10 @@
 
 
 @played()
-async def test_a_stream_that_came_late_by_its_routes_terms_is_counted(world):
-    """Riders complain of slow drafts, yet every stream was whole.
+async def test_late_stream_is_logged_and_counted(world):
+    """Guards against complete but late streams that go unnoticed.
 
-    The count of late streams, by what was late, shows it without a search.
+    They are counted by the objective of the route that they missed.
     """
     [router] = world.routers
     routes = router.view.configuration.routes
@@ -146,11 +147,11 @@
 
 
 @played(runners=1)
-async def test_a_client_that_leaves_is_told_with_the_server_that_had_it(world):
-    """Clients leave by the dozen in the same two seconds: because of whom?
+async def test_client_disconnect_is_logged_with_its_server(world):
+    """Guards against disconnects that can't be traced to a server.
 
-    The line names the server that had the request, and for how long the
-    client had got nothing.
+    When many clients disconnect at once, the log line names the server that
+    had the request and how long the client had received nothing.
     """
     world.servers["r0"].event_seconds = 0.6
     [router] = world.routers
@@ -169,10 +170,14 @@
 
 
 @played(plain=1, runners=1)
-async def test_an_answer_that_tells_of_its_servers_leaving_is_logged_once(
+async def test_response_announcing_that_its_server_leaves_is_logged_once(
     world,
 ):
-    """A request reached a server that had said so: had this router heard it?"""
+    """Guards against a router that doesn't log a server's announced leaving.
+
+    Without the line, nobody can tell whether it was known when a request was
+    sent to that server.
+    """
     server = world.servers["p0"]
     with fields_of_lines() as lines:
         await world.ask("/notices/", body=b"n")
@@ -185,8 +190,12 @@
 
 
 @played(plain=1, runners=1)
-async def test_a_refusal_with_retry_after_is_logged_with_its_seconds(world):
-    """A server got requests that it had asked not to: was that read?"""
+async def test_refusal_with_retry_after_is_logged_with_its_seconds(world):
+    """Guards against a received Retry-After that isn't logged.
+
+    Without the line, nobody can tell why a server got requests during its
+    backoff: whether the header was received and could be parsed.
+    """
     server = world.servers["p0"]
     server.refuse = 2
     server.retry_after = "0.25"
