--- a/pimentoledge/routing/attempts.py
+++ b/pimentoledge/routing/attempts.py
@@ -123,7 +123,7 @@
                     if head.ends_by_close or answer.request is None:
                         raise BrokenError(
                             retry_rules.AttemptOutcome.BROKE,
-                            "another request's answer",
+                            "response to another request",
                         )
                 case server_connections.ConnectionBroken(reason=reason):
                     outcome = retry_rules.AttemptOutcome.BROKE
--- a/pimentoledge/routing/exchanges.py
+++ b/pimentoledge/routing/exchanges.py
@@ -357,6 +357,7 @@
         return results.Code.OVERLOADED
 
     def _may_retry(self) -> bool:
+        """Returns whether a further attempt is allowed and of use."""
         more = retry_rules.may_retry(self.history, self.route)
         return more and self.answer.can_resume()
 
@@ -370,6 +371,7 @@
             self.view.suspects.broke(self.content, incarnation, clocks.now())
 
     def _consume_retry_budget(self, backend: backends.Backend) -> bool:
+        """Counts a first send or a retry; returns whether it may be sent."""
         service = backend.registration.service
         budget = self.view.budget(service)
         now = clocks.now()
