--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -82,7 +82,7 @@
             for budget in budgets:
                 if tick % 10 == 0:
                     budget.note_request(now)
-                spent += budget.take(now, 4)
+                spent += budget.try_consume(now, 4)
         assert spent <= 0.2 * 400 + 40
 
     def test_a_restarted_router_allows_for_its_former_process(self):
@@ -91,10 +91,10 @@
 
     def test_spent_retries_are_available_again_after_the_window(self):
         budget = self.budget()
-        while budget.take(0.0, 1):
+        while budget.try_consume(0.0, 1):
             pass
-        assert not budget.take(9.9, 1)
-        assert budget.take(10.1, 1)
+        assert not budget.try_consume(9.9, 1)
+        assert budget.try_consume(10.1, 1)
 
 
 class TestVerdicts:
