--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -656,7 +656,7 @@
         for router in self.routers:
             router.view.want(MODEL, self.version, now)
         waves = list(self.engines.values())
-        size = max(1, int(len(waves) * rollouts.AT_ONCE_SHARE))
+        size = max(1, int(len(waves) * rollouts.CONCURRENT_LOAD_SHARE))
         load = self.plan.shape.load_seconds
         for number in range(0, len(waves), size):
             for engine in waves[number : number + size]:
--- a/benches/quota_ways.py
+++ b/benches/quota_ways.py
@@ -194,7 +194,7 @@
     def tick(self, now):
         """Looks at late answers."""
         self.hold(OWN_SHARE * self.share(now), now)
-        self.limiter._look_at_questions(now)
+        self.limiter._check_pending(now)
 
     def handle(self, sender, message, now):
         """Takes questions and answers."""
--- a/pimentoledge/routing/cluster_views.py
+++ b/pimentoledge/routing/cluster_views.py
@@ -162,12 +162,12 @@
             since: when it was named, as far as known.
             source: where that time comes from.
         """
-        named = wanted_weights.Named(
+        named = wanted_weights.NamedVersion(
             version=version, since=since, source=source
         )
         known = self.wanted.get(model)
         if known is not None:
-            return known.take(named)
+            return known.add(named)
         self.wanted[model] = wanted_weights.WantedWeights(named)
         return True
 
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -262,7 +262,7 @@
         self.chosen = chosen
         self.view.bounds = _bounds(chosen)
         self.view.rebound()
-        self.peers.limiter.rebound(self.view.bounds.limits)
+        self.peers.limiter.set_bounds(self.view.bounds.limits)
         self.lease.lease_seconds = self.view.bounds.lease_seconds
         self.store.address = chosen.text("store-address")
         self.peers.add_seeds(chosen.listed("peer-seeds"))
--- a/pimentoledge/routing/lease_holders.py
+++ b/pimentoledge/routing/lease_holders.py
@@ -107,7 +107,7 @@
             case leases.Step.ORDER | leases.Step.WAIT:
                 pass
         if self.lease.may_order(clocks.now()):
-            self._order(clocks.now())
+            self._start_orders(clocks.now())
 
     def _is_turn(self, now: float) -> bool:
         """Returns whether this router should act on the lease.
@@ -161,7 +161,7 @@
         )
         match found:
             case registrations.Stored():
-                self.lease.wrote(found, now)
+                self.lease.record_write(found, now)
                 if before != self.lease.holder:
                     self.lines.write(
                         "lease_taken",
@@ -175,28 +175,30 @@
             case registrations.Conflict(found=held):
                 self.lines.write("lease_conflict", before=before)
                 if held is None:
-                    self.lease.unsure()
+                    self.lease.mark_unknown()
                 else:
                     self.lease.learn(held, clocks.now())
             case registrations.Unavailable(reason=reason):
                 self.lines.write("lease_write_failed", why=reason)
-                self.lease.unsure()
+                self.lease.mark_unknown()
                 await asyncio.sleep(RETRY_SECONDS)
 
-    def _order(self, now: float) -> None:
+    def _start_orders(self, now: float) -> None:
         due = self.rollout.due(now)
         if not due:
             return
         for each in due:
-            progress = self.rollout.of(each.backend)
+            progress = self.rollout.progress_of(each.backend)
             progress.calling = True
             each.backend.loading_until = now + AVOID_SECONDS
-            task = asyncio.get_running_loop().create_task(self._tell(each))
+            task = asyncio.get_running_loop().create_task(
+                self._send_order(each)
+            )
             self._orders.add(task)
             task.add_done_callback(self._orders.discard)
         self.peers.beat_now()
 
-    async def _tell(self, due: rollouts.Due) -> None:
+    async def _send_order(self, due: rollouts.DueLoad) -> None:
         """Gives one order."""
         verdict = rollouts.OrderVerdict.UNREACHED
         try:
@@ -232,8 +234,8 @@
             self.peers.beat_now()
             await asyncio.sleep(backend.limited_until - now)
 
-    async def _load(self, due: rollouts.Due) -> rollouts.OrderVerdict:
-        progress = self.rollout.of(due.backend)
+    async def _load(self, due: rollouts.DueLoad) -> rollouts.OrderVerdict:
+        progress = self.rollout.progress_of(due.backend)
         registration = due.backend.registration
         if progress.orders_taken is None:
             if not await self._acquire_permit(due.backend):
--- a/pimentoledge/routing/leases.py
+++ b/pimentoledge/routing/leases.py
@@ -39,7 +39,7 @@
         revision: the lease's newest known revision; 0 if there is none;
             None if not known.
         held_by: its holder at that revision, or "".
-        learnt: when that revision became known here.
+        learnt_at: when that revision became known here.
         term_ends: until when this process may give orders.
         quiet_until: before this, a former holder's orders are too close.
         fence: this tenure's fencing token.
@@ -49,7 +49,7 @@
     lease_seconds: float
     revision: int | None = None
     held_by: str = ""
-    learnt: float = 0.0
+    learnt_at: float = 0.0
     term_ends: float = 0.0
     quiet_until: float = 0.0
     fence: int = 0
@@ -78,7 +78,7 @@
             return
         self.revision = revision
         self.held_by = _holder(stored)
-        self.learnt = now
+        self.learnt_at = now
         if self.held_by != self.holder:
             self.term_ends = 0.0
 
@@ -91,13 +91,13 @@
             learnt,
         )
         if revision == self.revision:
-            self.learnt = min(self.learnt, learnt)
+            self.learnt_at = min(self.learnt_at, learnt)
 
-    def unsure(self) -> None:
+    def mark_unknown(self) -> None:
         """Takes a write whose outcome is unknown."""
         self.revision = None
 
-    def wrote(self, stored: registrations.Stored, sent: float) -> None:
+    def record_write(self, stored: registrations.Stored, sent: float) -> None:
         """Takes this process's own successful write.
 
         Args:
@@ -107,14 +107,14 @@
         if self.held_by not in ("", self.holder):
             # The former holder's last successful write was sent before its
             # revision was learnt here.
-            last_order = self.learnt + TERM_SECONDS
+            last_order = self.learnt_at + TERM_SECONDS
             quiet = last_order + self.lease_seconds
             self.quiet_until = max(self.quiet_until, quiet)
         if self.held_by != self.holder or not self.fence:
             self.fence = stored.revision
         self.revision = stored.revision
         self.held_by = self.holder
-        self.learnt = sent
+        self.learnt_at = sent
         self.term_ends = sent + TERM_SECONDS
 
 
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -166,7 +166,7 @@
             self._tell_ages(now)
         self.load_reports.tick(now)
         self.limit_reports.tick(now)
-        if self.view.shares_limits() or self.limiter.questions:
+        if self.view.shares_limits() or self.limiter.pending:
             self.limiter.tick(now)
         self.view.members = self.roster.count(now)
 
@@ -217,7 +217,7 @@
             store_reached=self.replicator.store_reached(),
             lease_revision=-1 if lease.revision is None else lease.revision,
             lease_holder=lease.held_by,
-            lease_ms=int((now - lease.learnt) * 1000),
+            lease_ms=int((now - lease.learnt_at) * 1000),
             leaving=self.view.leaving,
             pulse=self.holder_heartbeats.newest,
             holding=self.holder_heartbeats.holding,
--- a/pimentoledge/routing/quotas/ledgers.py
+++ b/pimentoledge/routing/quotas/ledgers.py
@@ -31,7 +31,7 @@
 # Part of the tolerance that a pool holds besides the burst. Prompts come in
 # clumps, and one may be half of a small organisation's burst: what a limit
 # allows in a window isn't refused for coming together.
-HIGHER_SHARE = 2 / 5
+HEADROOM_SHARE = 2 / 5
 # A level so near the top counts as full.
 FULL_SHARE = 0.999
 
@@ -56,7 +56,7 @@
 
     def top(self, limit: "Limit") -> float:
         """Returns the most that a pool with all rights holds."""
-        return limit.burst + HIGHER_SHARE * self.tolerance(limit)
+        return limit.burst + HEADROOM_SHARE * self.tolerance(limit)
 
     def tolerance(self, limit: "Limit") -> float:
         """Returns how much more may run in a window than a limit allows."""
@@ -217,8 +217,8 @@
         self._lapses_at = float("inf")
         # Share before the newest change of it, and what had been earned by
         # it: a limit that nobody has asked for yet has filled by so much.
-        self._before = (0.0, 0.0)
-        self._changed_earned = 0.0
+        self._before_change = (0.0, 0.0)
+        self._earned_at_change = 0.0
 
     @property
     def window_seconds(self) -> float:
@@ -236,14 +236,14 @@
         """Takes a router's rights, or changes them."""
         self.advance(now)
         if allowance:
-            self.bring(router, lease.share, now)
+            self.add_allowance(router, lease.share, now)
         held = self.leases.get(router)
         self.leases[router] = lease
         self._lapses_at = min(self._lapses_at, lease.until)
         if held is None or held.share != lease.share:
-            self._changed()
+            self._update_share()
 
-    def bring(self, router: str, share: float, now: float) -> None:
+    def add_allowance(self, router: str, share: float, now: float) -> None:
         """Takes a router's allowance, unless it brought one in this window.
 
         A message may repeat it, and a new life of a router knows of none.
@@ -256,7 +256,7 @@
         self.allowances[router] = Allowance(share=share, at=now)
         self.brought += share
 
-    def withdraw(self, router: str) -> None:
+    def withdraw_allowance(self, router: str) -> None:
         """Takes away a router's allowance, which no pool has counted."""
         held = self.allowances.pop(router, None)
         if held is not None and not held.lapsed:
@@ -280,13 +280,13 @@
         if router not in self.leases:
             return
         self.advance(now)
-        self._settle_all()
+        self._refill_all()
         gone = self.leases.pop(router)
         kept = 1 - gone.share / self.share if self.share else 0.0
         for pool in self.pools.values():
             if pool.level > 0:
                 pool.level *= max(0.0, kept)
-        self._changed()
+        self._update_share()
 
     def expire_leases(self, now: float) -> None:
         """Takes away rights that have lapsed."""
@@ -312,17 +312,17 @@
             if self.is_full(pool):
                 del self.pools[name]
 
-    def _settle_all(self) -> None:
+    def _refill_all(self) -> None:
         for pool in self.pools.values():
             self._refill(pool)
 
-    def _changed(self) -> None:
+    def _update_share(self) -> None:
         share = sum(each.share for each in self.leases.values())
-        earned = self.earned - self._changed_earned
+        earned = self.earned - self._earned_at_change
         if share < self.share:
             earned *= share / self.share
-        self._before = (min(share, self.share), earned)
-        self._changed_earned = self.earned
+        self._before_change = (min(share, self.share), earned)
+        self._earned_at_change = self.earned
         self.share = share
 
     def _refill(self, pool: QuotaPool) -> None:
@@ -356,7 +356,7 @@
         if pool is None:
             pool = QuotaPool(
                 limit=limit,
-                level=self._level_unasked(limit),
+                level=self._initial_level(limit),
                 earned=self.earned,
                 brought=0.0,
             )
@@ -365,11 +365,11 @@
         if limit.version > pool.limit.version:
             pool.limit = limit
             pool.level = min(pool.level, self.top(pool))
-        self._allow(pool)
+        self._add_new_allowances(pool)
         pool.used_at = now
         return pool
 
-    def _allow(self, pool: QuotaPool) -> None:
+    def _add_new_allowances(self, pool: QuotaPool) -> None:
         """Adds the allowances that came since a pool was asked."""
         share = self.brought - max(pool.brought, self.lapsed)
         tolerance = self.bounds_of(pool.limit).tolerance(pool.limit)
@@ -377,12 +377,12 @@
         pool.level += allowance * min(1.0, max(0.0, share))
         pool.brought = self.brought
 
-    def _level_unasked(self, limit: Limit) -> float:
+    def _initial_level(self, limit: Limit) -> float:
         """Returns what a limit holds that nobody has used here yet."""
-        share, earned = self._before
+        share, earned = self._before_change
         top, rate = self.bounds_of(limit).top(limit), limit.per_second
         before = min(top * share, rate * earned)
-        since = rate * (self.earned - self._changed_earned)
+        since = rate * (self.earned - self._earned_at_change)
         return min(top * self.share, before + since)
 
 
@@ -398,7 +398,7 @@
         self.bounds = bounds
         self.slots = [Slot(bounds=bounds) for _ in range(SLOTS)]
 
-    def rebound(self, bounds: QuotaBounds) -> None:
+    def set_bounds(self, bounds: QuotaBounds) -> None:
         """Takes changed bounds."""
         self.bounds = bounds
         for each in self.slots:
@@ -417,7 +417,7 @@
             return Decision(granted=True, left=left, share=slot.share)
         return Decision(
             granted=False,
-            wait_seconds=self._wait(slot, pool, cost, now),
+            wait_seconds=self._wait_seconds(slot, pool, cost, now),
             left=left,
             share=slot.share,
         )
@@ -425,15 +425,15 @@
     def _has_room(self, slot: Slot, pool: QuotaPool, cost: float) -> bool:
         if pool.level >= cost:
             return True
-        return slot.is_full(pool) and cost <= self._most(slot, pool)
+        return slot.is_full(pool) and cost <= self._largest_request(slot, pool)
 
-    def _most(self, slot: Slot, pool: QuotaPool) -> float:
+    def _largest_request(self, slot: Slot, pool: QuotaPool) -> float:
         """Returns the largest request that can ever run."""
         tolerance = slot.bounds_of(pool.limit).tolerance(pool.limit)
         overdraft = OVERDRAFT_SHARE * tolerance * slot.share
         return slot.top(pool) + overdraft
 
-    def _wait(
+    def _wait_seconds(
         self, slot: Slot, pool: QuotaPool, cost: float, now: float
     ) -> float | None:
         """Returns when a refused client finds room.
@@ -443,7 +443,7 @@
         bounds = slot.bounds_of(pool.limit)
         longest = bounds.longest_wait_seconds
         rate = pool.limit.per_second * slot.share
-        if cost > self._most(slot, pool):
+        if cost > self._largest_request(slot, pool):
             # Only further rights can make room for it.
             return None if slot.share >= 1 else bounds.rights_wait_seconds
         if not rate:
--- a/pimentoledge/routing/quotas/limiters.py
+++ b/pimentoledge/routing/quotas/limiters.py
@@ -17,9 +17,9 @@
 # while, and the next one is asked.
 ANSWER_SECONDS = 0.15
 # How many owners are asked about a request before the own rights decide.
-MOST_ASKED = 2
+MAX_OWNERS_ASKED = 2
 # After so many messages without an answer the connections are opened anew.
-MOST_UNANSWERED = 3
+MAX_UNANSWERED = 3
 # Answers that come so late are of no use; what they granted is given back.
 FORGET_SECONDS = 10.0
 
@@ -75,7 +75,7 @@
         routers: returns the mailboxes of the others believed to live.
         send: sends a message to a mailbox.
         renew: opens the connection to a mailbox anew.
-        questions: requests that wait, by number.
+        pending: requests that wait, by number.
         leaving: whether this router ends.
     """
 
@@ -99,16 +99,16 @@
         self.routers = routers
         self.send = send
         self.renew = renew
-        self.questions: dict[int, PendingAcquire] = {}
+        self.pending: dict[int, PendingAcquire] = {}
         self.leaving = False
         self._number = 0
         self._stepped = False
-        self._next_talk = 0.0
-        self._heard: dict[str, tuple[int, int]] = {}
+        self._next_step_at = 0.0
+        self._newest_leases: dict[str, tuple[int, int]] = {}
 
-    def rebound(self, bounds: ledgers.QuotaBounds) -> None:
+    def set_bounds(self, bounds: ledgers.QuotaBounds) -> None:
         """Takes changed bounds; what is left of each limit stays."""
-        self.ledger.rebound(bounds)
+        self.ledger.set_bounds(bounds)
 
     def acquire(
         self,
@@ -133,18 +133,18 @@
             began=now,
             asked_at=now,
         )
-        return self._ask(question, now)
+        return self._send_or_decide(question, now)
 
     def _target(self, organisation: str, now: float) -> str:
         return self.rights.target(ledgers.slot_of(organisation), now)
 
-    def _ask(self, question: PendingAcquire, now: float) -> int:
+    def _send_or_decide(self, question: PendingAcquire, now: float) -> int:
         self._number += 1
         if question.owner == self.own:
             self._decide_here(question, now)
             return self._number
         question.asked_at = now
-        self.questions[self._number] = question
+        self.pending[self._number] = question
         limit = question.limit
         self.send(
             question.owner,
@@ -164,7 +164,7 @@
         decision = self.ledger.acquire(
             question.organisation, question.limit, question.cost, now
         )
-        if not decision.granted and self._asks_wanted(question, now):
+        if not decision.granted and self._try_next_owner(question, now):
             return
         question.decided(
             AcquireResult(
@@ -172,22 +172,22 @@
             )
         )
 
-    def _asks_wanted(self, question: PendingAcquire, now: float) -> bool:
+    def _try_next_owner(self, question: PendingAcquire, now: float) -> bool:
         """Asks the owner to which the own rights are about to go, if any.
 
         A router that has just started has few rights; who is to have them may
         have those of others already.
         """
         slot = ledgers.slot_of(question.organisation)
-        owner = self.rights.about_to_go(slot, now)
+        owner = self.rights.next_owner(slot, now)
         if owner is None or question.asked > 1:
             return False
-        self._ask(attrs.evolve(question, owner=owner, asked=2), now)
+        self._send_or_decide(attrs.evolve(question, owner=owner, asked=2), now)
         return True
 
     def cancel(self, number: int) -> None:
         """Takes that nobody waits for an answer any more."""
-        question = self.questions.get(number)
+        question = self.pending.get(number)
         if question is not None:
             question.decided = None
 
@@ -205,59 +205,57 @@
     def tick(self, now: float) -> None:
         """Does what is due: late answers, rights, and telling owners."""
         self.ledger.expire(now)
-        self._look_at_questions(now)
-        if now < self._next_talk:
+        self._check_pending(now)
+        if now < self._next_step_at:
             return
         self._step(now)
-        self._next_talk = now + self.rights.pause_seconds()
+        self._next_step_at = now + self.rights.pause_seconds()
 
     def _step(self, now: float) -> None:
         self._stepped = True
         share = self.share(now)
         for owner, message in self.rights.step(share, self.routers(now), now):
-            if message.unanswered > MOST_UNANSWERED:
+            if message.unanswered > MAX_UNANSWERED:
                 self.renew(owner, now)
             self.send(owner, message)
 
-    def _look_at_questions(self, now: float) -> None:
-        for number, question in list(self.questions.items()):
+    def _check_pending(self, now: float) -> None:
+        for number, question in list(self.pending.items()):
             late = now - question.asked_at
             if question.decided is not None and late >= ANSWER_SECONDS:
-                self._doubt(question.owner, now)
-                self._ask_another(number, question, now)
+                self._suspect(question.owner, now)
+                self._retry(number, question, now)
             elif late >= FORGET_SECONDS:
-                del self.questions[number]
+                del self.pending[number]
 
-    def _ask_another(
-        self, number: int, question: PendingAcquire, now: float
-    ) -> None:
+    def _retry(self, number: int, question: PendingAcquire, now: float) -> None:
         """Asks the next owner, or decides by the own rights."""
         again = attrs.evolve(question, asked=question.asked + 1)
         # A late answer still finds the question: what it grants is given back.
         question.decided = None
-        self._ask_again(again, question.owner, now)
+        self._retry_elsewhere(again, question.owner, now)
 
-    def _ask_again(
+    def _retry_elsewhere(
         self, again: PendingAcquire, before: str, now: float
     ) -> None:
         again.owner = self._target(again.organisation, now)
-        if again.asked > MOST_ASKED or again.owner == before:
+        if again.asked > MAX_OWNERS_ASKED or again.owner == before:
             again.owner = self.own
-        self._ask(again, now)
+        self._send_or_decide(again, now)
 
-    def _doubt(self, owner: str, now: float) -> None:
+    def _suspect(self, owner: str, now: float) -> None:
         """Tells the next owners at once that they will be asked."""
-        if self.rights.doubt(owner, now):
+        if self.rights.suspect(owner, now):
             self._step(now)
 
     def unreachable(self, address: str, now: float) -> None:
         """Takes that a connection to another router broke."""
-        if address not in self.rights.talks:
+        if address not in self.rights.owner_states:
             return
-        self._doubt(address, now)
-        for number, question in list(self.questions.items()):
+        self._suspect(address, now)
+        for number, question in list(self.pending.items()):
             if question.owner == address and question.decided is not None:
-                self._ask_another(number, question, now)
+                self._retry(number, question, now)
 
     def leave(self, now: float) -> None:
         """Lets go of all rights of others, since this router ends."""
@@ -276,31 +274,31 @@
         """Takes a message of another router."""
         match message:
             case messages.LeaseRights():
-                self._leased(sender, message, now)
+                self._handle_lease(sender, message, now)
             case messages.RightsLeased():
-                self._answered(sender, message, now)
+                self._handle_lease_answer(sender, message, now)
             case messages.Acquire():
-                self._acquire_for(sender, message, now)
+                self._handle_acquire(sender, message, now)
             case messages.Acquired():
-                self._acquired(sender, message, now)
+                self._handle_acquired(sender, message, now)
             case messages.GiveBack(organisation=organisation, cost=cost):
                 self.ledger.give_back(organisation, cost, now)
 
-    def _leased(
+    def _handle_lease(
         self, sender: str, lent: messages.LeaseRights, now: float
     ) -> None:
         """Takes another router's rights as they are from now on."""
-        if lent.unanswered > MOST_UNANSWERED:
+        if lent.unanswered > MAX_UNANSWERED:
             # Its messages come, so it is the answers that get lost.
             self.renew(sender, now)
         if self.leaving:
             self.ledger.remove(sender, now)
             self.send(sender, self._leaving_answer(lent.number))
             return
-        life, number = self._heard.get(sender, (0, 0))
+        life, number = self._newest_leases.get(sender, (0, 0))
         if life == lent.life and lent.number <= number:
             return
-        self._heard[sender] = (lent.life, lent.number)
+        self._newest_leases[sender] = (lent.life, lent.number)
         age_ms = int(1000 * now) - lent.echo_ms
         timely = lent.echo_ms > 0 and 0 <= age_ms < lent.term_ms
         until = (lent.echo_ms + lent.term_ms) / 1000
@@ -312,24 +310,24 @@
             elif number not in lent.slots:
                 slot.remove(sender, now)
                 if fresh:
-                    slot.bring(sender, lent.share, now)
+                    slot.add_allowance(sender, lent.share, now)
         answer = messages.RightsLeased(
             number=lent.number, clock_ms=int(1000 * now)
         )
         self.send(sender, answer)
 
-    def _answered(
+    def _handle_lease_answer(
         self, sender: str, answer: messages.RightsLeased, now: float
     ) -> None:
-        first = sender not in self.rights.talks or (
-            not self.rights.talk(sender).answered
+        first = sender not in self.rights.owner_states or (
+            not self.rights.owner_state(sender).answered
         )
-        self.rights.answered(sender, answer, now)
+        self.rights.handle_answer(sender, answer, now)
         if first or answer.leaving:
             # Rights that waited for a new owner's clock go there at once.
             self._step(now)
 
-    def _acquire_for(
+    def _handle_acquire(
         self, sender: str, asked: messages.Acquire, now: float
     ) -> None:
         limit = _limit_of(asked, now)
@@ -348,10 +346,10 @@
             ),
         )
 
-    def _acquired(
+    def _handle_acquired(
         self, sender: str, answer: messages.Acquired, now: float
     ) -> None:
-        question = self.questions.pop(answer.number, None)
+        question = self.pending.pop(answer.number, None)
         if question is None:
             return
         if question.decided is None:
@@ -362,9 +360,9 @@
             return
         if not answer.granted and not answer.share:
             # Who holds no rights knows nothing of the limit.
-            self._doubt(sender, now)
+            self._suspect(sender, now)
             again = attrs.evolve(question, asked=question.asked + 1)
-            self._ask_again(again, sender, now)
+            self._retry_elsewhere(again, sender, now)
             return
         wait = None if answer.wait_ms < 0 else answer.wait_ms / 1000
         question.decided(
--- a/pimentoledge/routing/quotas/rights.py
+++ b/pimentoledge/routing/quotas/rights.py
@@ -12,28 +12,28 @@
 from pimentoledge.routing.quotas import messages
 
 # Between two messages to an owner; of many routers each sends fewer.
-TALK_SECONDS = 0.25
+MESSAGE_INTERVAL_SECONDS = 0.25
 # An owner hears so many of these in a second at most.
-MOST_TALKS = 150
+MAX_MESSAGES_PER_SECOND = 150
 # The same while rights wait for an owner that has not answered yet.
-WAITING_TALK_SECONDS = 0.5
+WAITING_INTERVAL_SECONDS = 0.5
 # Rights are lent for so many intervals between messages.
-TERM_TALKS = 4
+TERM_INTERVALS = 4
 # An owner that leaves so many intervals' messages unanswered is silent.
-SILENT_TALKS = 2.4
+SILENT_INTERVALS = 2.4
 # A silent owner is not chosen again for so long, at first.
 AVOID_SECONDS = 2.0
 # At most; each time that it stays silent the time doubles.
-MOST_AVOID_SECONDS = 16.0
+MAX_AVOID_SECONDS = 16.0
 # The same for an owner that ends.
 LEAVING_SECONDS = 10.0
 # An owner that left a question unanswered is asked none for so long.
-DOUBT_SECONDS = 0.5
+SUSPECT_SECONDS = 0.5
 NEVER = float("inf")
 
 
 @attrs.define(kw_only=True)
-class Talk:
+class OwnerState:
     """What was said between this router and an owner.
 
     Attributes:
@@ -44,7 +44,7 @@
         waiting_since: when the first message without an answer was sent.
         avoided_until: before this, or an answer, no rights are lent to it.
         avoided_seconds: for how long it was avoided the last time.
-        doubted_until: before this it is asked nothing.
+        suspected_until: before this it is asked nothing.
     """
 
     number: int = 0
@@ -54,7 +54,7 @@
     waiting_since: float | None = None
     avoided_until: float = -NEVER
     avoided_seconds: float = 0.0
-    doubted_until: float = -NEVER
+    suspected_until: float = -NEVER
 
     def avoid(self, seconds: float, now: float) -> None:
         """Lends it nothing for a time."""
@@ -64,7 +64,7 @@
 
 
 @attrs.define(kw_only=True)
-class Home:
+class SlotLocation:
     """Where the rights of a slot lie.
 
     Attributes:
@@ -86,16 +86,20 @@
     brought_at: float = -NEVER
     fresh: bool = False
 
-    def bring(self, router: str, now: float, *, fresh: bool) -> None:
+    def send_allowance(self, router: str, now: float, *, fresh: bool) -> None:
         """Takes that the allowance goes to a router from now on."""
         self.brought_to = router
         self.brought_at = now
         self.fresh = fresh
 
 
-def talk_seconds(share: float) -> float:
+def message_interval_seconds(share: float) -> float:
     """Returns the time between messages, by a router's part of all."""
-    return max(TALK_SECONDS, 1 / share / MOST_TALKS) if share else TALK_SECONDS
+    return (
+        max(MESSAGE_INTERVAL_SECONDS, 1 / share / MAX_MESSAGES_PER_SECOND)
+        if share
+        else MESSAGE_INTERVAL_SECONDS
+    )
 
 
 def owner_of(slot: int, routers: list[str]) -> str:
@@ -115,9 +119,9 @@
         own: this router's mailbox.
         ledger: its own ledger.
         life: tells messages of this process from those of an earlier one.
-        homes: where the rights of each slot lie.
+        locations: where the rights of each slot lie.
         wanted: the router that is to have them.
-        talks: by owner.
+        owner_states: by owner.
         share: this router's part of every limit; 0 while it is not known.
     """
 
@@ -125,62 +129,66 @@
         self.own = own
         self.ledger = ledger
         self.life = life
-        self.homes = [Home(owner=own) for _ in range(ledgers.SLOTS)]
+        self.locations = [SlotLocation(owner=own) for _ in range(ledgers.SLOTS)]
         self.wanted = [own] * ledgers.SLOTS
-        self.talks: dict[str, Talk] = {}
+        self.owner_states: dict[str, OwnerState] = {}
         self.share = 0.0
 
     @property
     def term_seconds(self) -> float:
         """For how long rights are lent."""
-        return TERM_TALKS * talk_seconds(self.share)
+        return TERM_INTERVALS * message_interval_seconds(self.share)
 
     def pause_seconds(self) -> float:
         """Returns for how long owners need not be written to."""
-        pause = talk_seconds(self.share)
+        pause = message_interval_seconds(self.share)
         waits = any(
             home.owner == self.own and wanted != self.own
-            for home, wanted in zip(self.homes, self.wanted, strict=True)
+            for home, wanted in zip(self.locations, self.wanted, strict=True)
         )
-        return min(pause, WAITING_TALK_SECONDS) if waits else pause
+        return min(pause, WAITING_INTERVAL_SECONDS) if waits else pause
 
-    def talk(self, owner: str) -> Talk:
+    def owner_state(self, owner: str) -> OwnerState:
         """Returns what was said between this router and an owner."""
-        return self.talks.setdefault(owner, Talk())
+        return self.owner_states.setdefault(owner, OwnerState())
 
     def target(self, slot: int, now: float) -> str:
         """Returns whom to ask about a slot's organisations."""
-        owner = self.homes[slot].owner
-        if owner == self.own or not self._is_doubted(owner, now):
+        owner = self.locations[slot].owner
+        if owner == self.own or not self._is_suspected(owner, now):
             return owner
         wanted = self.wanted[slot]
-        return self.own if self._is_doubted(wanted, now) else wanted
+        return self.own if self._is_suspected(wanted, now) else wanted
 
-    def about_to_go(self, slot: int, now: float) -> str | None:
+    def next_owner(self, slot: int, now: float) -> str | None:
         """Returns where the rights of a slot go next, if not here."""
         wanted = self.wanted[slot]
-        lies_here = self.homes[slot].owner == self.own
-        if not lies_here or wanted == self.own or self._is_doubted(wanted, now):
+        lies_here = self.locations[slot].owner == self.own
+        if (
+            not lies_here
+            or wanted == self.own
+            or self._is_suspected(wanted, now)
+        ):
             return None
         return wanted
 
-    def doubt(self, owner: str, now: float) -> bool:
+    def suspect(self, owner: str, now: float) -> bool:
         """Takes that an owner gave no answer; returns whether it is news."""
-        news = not self._is_doubted(owner, now)
-        self.talk(owner).doubted_until = now + DOUBT_SECONDS
+        news = not self._is_suspected(owner, now)
+        self.owner_state(owner).suspected_until = now + SUSPECT_SECONDS
         return news
 
-    def _is_doubted(self, owner: str, now: float) -> bool:
+    def _is_suspected(self, owner: str, now: float) -> bool:
         if owner == self.own:
             return False
-        talk = self.talk(owner)
-        return now < max(talk.doubted_until, talk.avoided_until)
+        talk = self.owner_state(owner)
+        return now < max(talk.suspected_until, talk.avoided_until)
 
-    def _is_heard(self, owner: str, now: float) -> bool:
+    def _answered_recently(self, owner: str, now: float) -> bool:
         """Returns whether an owner's newest answer is new enough to lend by."""
         if owner == self.own:
             return True
-        return now - self.talk(owner).echo_at < self.term_seconds / 2
+        return now - self.owner_state(owner).echo_at < self.term_seconds / 2
 
     def step(
         self, share: float, routers: list[str], now: float
@@ -195,10 +203,14 @@
         self.share = share
         self._avoid_silent(now)
         trusted = [
-            each for each in routers if now >= self.talk(each).avoided_until
+            each
+            for each in routers
+            if now >= self.owner_state(each).avoided_until
         ]
         sure = [
-            each for each in trusted if now >= self.talk(each).doubted_until
+            each
+            for each in trusted
+            if now >= self.owner_state(each).suspected_until
         ]
         for slot in range(ledgers.SLOTS):
             self.wanted[slot] = owner_of(slot, [*sure, self.own])
@@ -206,29 +218,30 @@
         return self._messages(now)
 
     def _avoid_silent(self, now: float) -> None:
-        most = SILENT_TALKS * talk_seconds(self.share)
-        for talk in self.talks.values():
+        most = SILENT_INTERVALS * message_interval_seconds(self.share)
+        for talk in self.owner_states.values():
             if talk.waiting_since is None or now - talk.waiting_since < most:
                 continue
             seconds = max(AVOID_SECONDS, 2 * talk.avoided_seconds)
-            talk.avoid(min(seconds, MOST_AVOID_SECONDS), now)
+            talk.avoid(min(seconds, MAX_AVOID_SECONDS), now)
 
     def _step_slot(self, slot: int, now: float) -> None:
-        home, wanted = self.homes[slot], self.wanted[slot]
+        home, wanted = self.locations[slot], self.wanted[slot]
         if home.owner == self.own:
             if (
                 wanted != self.own
                 and self.share
-                and self._is_heard(wanted, now)
+                and self._answered_recently(wanted, now)
             ):
                 self._lend(slot, wanted, now)
             else:
                 self._keep(slot, now)
             return
-        talk = self.talk(home.owner)
+        talk = self.owner_state(home.owner)
         if wanted != home.owner:
             home.ending = now < talk.avoided_until or (
-                now >= talk.doubted_until and self._is_heard(wanted, now)
+                now >= talk.suspected_until
+                and self._answered_recently(wanted, now)
             )
         else:
             home.ending = False
@@ -244,17 +257,17 @@
             self._put(slot, now)
 
     def _put(self, slot: int, now: float) -> None:
-        home = self.homes[slot]
+        home = self.locations[slot]
         held = self.ledger.slots[slot]
         comes = self.own not in held.leases
         stays = self.wanted[slot] == self.own
         due = comes and stays and self._allowance_due(home, now)
         if due:
-            home.bring(self.own, now, fresh=False)
+            home.send_allowance(self.own, now, fresh=False)
         lease = ledgers.RightsLease(share=self.share, until=NEVER)
         held.put(self.own, lease, allowance=due, now=now)
 
-    def _allowance_due(self, home: Home, now: float) -> bool:
+    def _allowance_due(self, home: SlotLocation, now: float) -> bool:
         """Returns whether no allowance can be spent with that of before.
 
         It may have been counted anywhere until it lapsed.
@@ -263,22 +276,22 @@
         return now - home.brought_at >= window + ledgers.ALLOWANCE_SECONDS
 
     def _lend(self, slot: int, owner: str, now: float) -> None:
-        home = self.homes[slot]
+        home = self.locations[slot]
         held = self.ledger.slots[slot]
         unused = home.brought_to == self.own and not held.pools
         if unused:
-            held.withdraw(self.own)
+            held.withdraw_allowance(self.own)
         if unused or self._allowance_due(home, now):
-            home.bring(owner, now, fresh=True)
+            home.send_allowance(owner, now, fresh=True)
         held.remove(self.own, now)
         home.owner = owner
-        home.until = self.talk(owner).echo_at + self.term_seconds
+        home.until = self.owner_state(owner).echo_at + self.term_seconds
         home.ending = False
         home.left_out = None
 
     def take_back(self, slot: int, now: float) -> None:
         """Takes the rights of a slot back into the own ledger."""
-        home = self.homes[slot]
+        home = self.locations[slot]
         home.owner = self.own
         home.until = NEVER
         home.ending = False
@@ -287,24 +300,24 @@
             self._put(slot, now)
 
     def _messages(self, now: float) -> list[tuple[str, messages.LeaseRights]]:
-        owners = {home.owner for home in self.homes} | set(self.wanted)
+        owners = {home.owner for home in self.locations} | set(self.wanted)
         owners.discard(self.own)
         return [(each, self._message(each, now)) for each in sorted(owners)]
 
     def _message(self, owner: str, now: float) -> messages.LeaseRights:
-        talk = self.talk(owner)
+        talk = self.owner_state(owner)
         talk.number += 1
         if talk.waiting_since is None:
             talk.waiting_since = now
         lent, fresh = [], []
-        for slot, home in enumerate(self.homes):
+        for slot, home in enumerate(self.locations):
             if home.owner == owner and not home.ending:
                 lent.append(slot)
                 home.until = max(home.until, talk.echo_at + self.term_seconds)
             elif home.owner == owner and home.left_out is None:
                 home.left_out = talk.number
-            elif self._brings_allowance(slot, owner, now):
-                home.bring(owner, now, fresh=True)
+            elif self._sends_allowance_ahead(slot, owner, now):
+                home.send_allowance(owner, now, fresh=True)
             asked = owner in (home.owner, self.wanted[slot])
             if home.fresh and home.brought_to == owner and asked:
                 home.brought_at = now
@@ -320,10 +333,10 @@
             unanswered=talk.number - talk.answered,
         )
 
-    def _brings_allowance(self, slot: int, owner: str, now: float) -> bool:
+    def _sends_allowance_ahead(self, slot: int, owner: str, now: float) -> bool:
         """Returns whether an owner is asked before the rights can come."""
-        home = self.homes[slot]
-        waits = home.owner == self.own or self._is_doubted(home.owner, now)
+        home = self.locations[slot]
+        waits = home.owner == self.own or self._is_suspected(home.owner, now)
         return (
             self.wanted[slot] == owner
             and home.owner != owner
@@ -332,13 +345,13 @@
             and self._allowance_due(home, now)
         )
 
-    def answered(
+    def handle_answer(
         self, owner: str, answer: messages.RightsLeased, now: float
     ) -> None:
         """Takes an owner's answer."""
-        talk = self.talk(owner)
+        talk = self.owner_state(owner)
         if answer.leaving:
-            self._left(owner, now)
+            self._handle_leaving(owner, now)
             return
         if not talk.answered < answer.number <= talk.number:
             return
@@ -348,15 +361,15 @@
         talk.waiting_since = None
         talk.avoided_seconds = 0.0
         talk.avoided_until = -NEVER
-        for home in self.homes:
+        for home in self.locations:
             if home.brought_to == owner:
                 home.fresh = False
 
-    def _left(self, owner: str, now: float) -> None:
+    def _handle_leaving(self, owner: str, now: float) -> None:
         """Takes that an owner ends, and holds no rights any more."""
-        talk = self.talk(owner)
+        talk = self.owner_state(owner)
         talk.avoid(LEAVING_SECONDS, now)
         talk.echo_at = -NEVER
-        for slot, home in enumerate(self.homes):
+        for slot, home in enumerate(self.locations):
             if home.owner == owner:
                 self.take_back(slot, now)
--- a/pimentoledge/routing/rollouts.py
+++ b/pimentoledge/routing/rollouts.py
@@ -14,12 +14,12 @@
 # Part of a model's runners that load at one time: reading weights slows down
 # with more of them, and the others carry all requests meanwhile. Measured
 # rounds with 2, 3, 4 and 9 of 9 favoured 2 and 3.
-AT_ONCE_SHARE = 0.4
+CONCURRENT_LOAD_SHARE = 0.4
 # A load is believed to be under way so long, until the runner says that it
 # has the weights.
 LOAD_SECONDS = 1.5
 # A runner that refused or did not answer is asked again after this.
-AGAIN_SECONDS = 0.3
+RETRY_SECONDS = 0.3
 
 
 class OrderVerdict(enum.StrEnum):
@@ -93,7 +93,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Due:
+class DueLoad:
     """A runner that is to be told now.
 
     Attributes:
@@ -133,18 +133,18 @@
         """Returns whether any runner has older weights than wanted."""
         return any(self.behind(model) for model in self.view.wanted)
 
-    def due(self, now: float) -> list[Due]:
+    def due(self, now: float) -> list[DueLoad]:
         """Returns the runners to tell now."""
         self._forget_gone()
         found = []
         for model, wanted in self.view.wanted.items():
             behind = self.behind(model)
             loading = [each for each in behind if self._is_loading(each, now)]
-            room = self._room(model, loading, now)
+            room = self._free_loads(model, loading, now)
             waiting = [
                 each
                 for each in behind
-                if each not in loading and self._may_tell(each, now)
+                if each not in loading and self._may_order(each, now)
             ]
             chosen = self._idle(model, waiting, now)
             rest = [each for each in waiting if each not in chosen]
@@ -152,7 +152,7 @@
                 taken = loading + chosen
                 chosen += _spread(group, taken, room - len(chosen), now)
             found += [
-                Due(backend=each, model=model, version=wanted.version)
+                DueLoad(backend=each, model=model, version=wanted.version)
                 for each in chosen
             ]
         return found
@@ -188,7 +188,7 @@
             if incarnation not in known:
                 del self.progress[incarnation]
 
-    def _room(
+    def _free_loads(
         self, model: str, loading: list[backends.Backend], now: float
     ) -> int:
         """Returns how many more runners of a model may load now.
@@ -208,36 +208,40 @@
             for each in runners
             if each not in loading and each.is_unreachable(now)
         ]
-        room = int(len(runners) * AT_ONCE_SHARE) - len(loading) - len(down)
+        room = (
+            int(len(runners) * CONCURRENT_LOAD_SHARE) - len(loading) - len(down)
+        )
         return room if loading else max(1, room)
 
-    def of(self, backend: backends.Backend) -> Progress:
+    def progress_of(self, backend: backends.Backend) -> Progress:
         """Returns how far a runner is."""
         incarnation = backend.registration.incarnation
         return self.progress.setdefault(incarnation, Progress())
 
     def _is_loading(self, backend: backends.Backend, now: float) -> bool:
-        progress = self.of(backend)
+        progress = self.progress_of(backend)
         return progress.calling or now < progress.ends
 
-    def _may_tell(self, backend: backends.Backend, now: float) -> bool:
-        progress = self.of(backend)
+    def _may_order(self, backend: backends.Backend, now: float) -> bool:
+        progress = self.progress_of(backend)
         if backend.is_unreachable(now) or backend.is_unavailable(now):
             return False
         return not progress.calling and now >= progress.not_before
 
-    def note_verdict(self, due: Due, verdict: OrderVerdict, now: float) -> None:
+    def note_verdict(
+        self, due: DueLoad, verdict: OrderVerdict, now: float
+    ) -> None:
         """Takes a runner's word on an order."""
-        progress = self.of(due.backend)
+        progress = self.progress_of(due.backend)
         progress.calling = False
-        progress.not_before = now + AGAIN_SECONDS
+        progress.not_before = now + RETRY_SECONDS
         match verdict:
             case OrderVerdict.TAKEN:
                 progress.ends = now + LOAD_SECONDS
                 progress.orders_taken += 1
             case OrderVerdict.HOLDS:
                 # The store has not told yet that the runner has them.
-                progress.ends = now + AGAIN_SECONDS
+                progress.ends = now + RETRY_SECONDS
             case OrderVerdict.WRONG_SERVER:
                 due.backend.over = True
             case (
--- a/pimentoledge/routing/server_limits.py
+++ b/pimentoledge/routing/server_limits.py
@@ -8,7 +8,7 @@
 # Stands for no limit in what routers tell each other.
 NO_LIMIT = -1.0
 # A limit below this counts as this: only an answer can show that it has ended.
-LEAST_PER_SECOND = 0.1
+MIN_PER_SECOND = 0.1
 # An ended limit, and that of a server that is gone, is forgotten after this.
 FORGET_SECONDS = 60.0
 # Times of one limit that differ by less come from its way between routers.
@@ -93,7 +93,7 @@
         limit = self.advertised.get(server)
         if limit is None or limit.per_second is None:
             return None
-        return max(LEAST_PER_SECOND, limit.per_second)
+        return max(MIN_PER_SECOND, limit.per_second)
 
     def limited(self) -> set[str]:
         """Returns the servers that have a limit, by incarnation."""
--- a/pimentoledge/routing/wanted_weights.py
+++ b/pimentoledge/routing/wanted_weights.py
@@ -6,7 +6,7 @@
 
 # Versions kept besides the newest. Of more, the two oldest count as one that
 # was named when the older was.
-MOST_EARLIER = 8
+MAX_EARLIER = 8
 
 
 class Source(enum.IntEnum):
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Named:
+class NamedVersion:
     """A version that was named.
 
     Attributes:
@@ -34,7 +34,7 @@
     since: float
     source: Source = Source.HEARD
 
-    def or_better(self, other: "Named") -> "Named":
+    def merge(self, other: "NamedVersion") -> "NamedVersion":
         """Returns what is known of a version by two accounts of it.
 
         Of two times before which it was not named the later holds, of others
@@ -47,7 +47,7 @@
         return min(self, other, key=lambda each: each.since)
 
     @property
-    def is_sure(self) -> bool:
+    def is_exact(self) -> bool:
         """Whether nothing better can show that it was named later."""
         return self.source is Source.HEARD
 
@@ -60,11 +60,11 @@
             runner sooner than a newer one does is left out.
     """
 
-    def __init__(self, first: Named):
+    def __init__(self, first: NamedVersion):
         self.named = [first]
 
     @property
-    def newest(self) -> Named:
+    def newest(self) -> NamedVersion:
         """The newest that was named."""
         return self.named[-1]
 
@@ -83,34 +83,34 @@
         times = [each.since for each in self.named if each.version > version]
         return min(times, default=None)
 
-    def take(self, named: Named) -> bool:
+    def add(self, named: NamedVersion) -> bool:
         """Takes a named version; returns whether it is the newest, and new."""
         is_news = named.version > self.version
         by_version = {each.version: each for each in self.named}
         known = by_version.get(named.version)
-        better = named if known is None else known.or_better(named)
+        better = named if known is None else known.merge(named)
         by_version[named.version] = better
-        self.named = _settled(
+        self.named = _without_redundant(
             [by_version[version] for version in sorted(by_version)]
         )
         return is_news
 
 
-def _settled(named: list[Named]) -> list[Named]:
+def _without_redundant(named: list[NamedVersion]) -> list[NamedVersion]:
     """Returns the versions that some runner's weights may be judged by.
 
     A time that may yet turn out to be later makes no other needless.
     """
     *earlier, newest = named
     kept = [newest]
-    earliest = newest.since if newest.is_sure else None
+    earliest = newest.since if newest.is_exact else None
     for each in reversed(earlier):
         if earliest is None or each.since < earliest:
             kept.append(each)
-            if each.is_sure:
+            if each.is_exact:
                 earliest = each.since
     kept.reverse()
-    while len(kept) > MOST_EARLIER + 1:
+    while len(kept) > MAX_EARLIER + 1:
         oldest, second, *rest = kept
         earlier = min(oldest, second, key=lambda each: each.since)
         kept = [attrs.evolve(earlier, version=second.version), *rest]
--- a/pimentoledge/tests/test_leases.py
+++ b/pimentoledge/tests/test_leases.py
@@ -21,7 +21,7 @@
     assert mine.step(0.0) is leases.Step.READ
     mine.learn(None, 0.0)
     assert mine.step(0.0) is leases.Step.WRITE
-    mine.wrote(stored(5, "a"), 0.0)
+    mine.record_write(stored(5, "a"), 0.0)
     assert mine.step(0.1) is leases.Step.ORDER
     assert mine.fence == 5
     assert not mine.may_order(leases.TERM_SECONDS - 0.1)
@@ -36,10 +36,10 @@
     """
     mine = lease("b")
     mine.learn(stored(7, "a"), 10.0)
-    mine.wrote(stored(8, "b"), 10.4)
+    mine.record_write(stored(8, "b"), 10.4)
     assert mine.quiet_until == 10.0 + leases.TERM_SECONDS + LEASE_SECONDS
     assert not mine.may_order(11.0)
-    mine.wrote(stored(9, "b"), mine.quiet_until)
+    mine.record_write(stored(9, "b"), mine.quiet_until)
     assert mine.may_order(mine.quiet_until)
     assert mine.fence == 8
 
@@ -47,7 +47,7 @@
 def test_an_idle_holder_is_succeeded_at_once():
     mine = lease("b")
     mine.learn(stored(7, "a"), 10.0)
-    mine.wrote(stored(8, "b"), 60.0)
+    mine.record_write(stored(8, "b"), 60.0)
     assert mine.may_order(60.1)
 
 
@@ -60,14 +60,14 @@
     mine = lease("b")
     mine.learn(stored(7, "a"), 100.0)
     mine.merge_peer(7, "a", 40.0)
-    mine.wrote(stored(8, "b"), 100.2)
+    mine.record_write(stored(8, "b"), 100.2)
     assert mine.may_order(100.3)
 
 
 def test_a_holder_that_was_succeeded_orders_no_more():
     mine = lease()
     mine.learn(None, 0.0)
-    mine.wrote(stored(5, "a"), 0.0)
+    mine.record_write(stored(5, "a"), 0.0)
     mine.merge_peer(6, "b", 0.2)
     assert not mine.may_order(0.3)
     # What is told late of an older revision changes nothing.
@@ -78,7 +78,7 @@
 def test_a_write_of_unknown_outcome_gives_no_term():
     mine = lease()
     mine.learn(None, 0.0)
-    mine.unsure()
+    mine.mark_unknown()
     assert mine.step(0.1) is leases.Step.READ
     assert not mine.may_order(0.1)
 
@@ -86,9 +86,9 @@
 def test_a_holder_that_lost_its_term_keeps_its_quiet_time():
     mine = lease("b")
     mine.learn(stored(7, "a"), 10.0)
-    mine.wrote(stored(8, "b"), 10.0)
+    mine.record_write(stored(8, "b"), 10.0)
     quiet = mine.quiet_until
-    mine.unsure()
+    mine.mark_unknown()
     mine.learn(stored(8, "b"), 12.0)
-    mine.wrote(stored(9, "b"), 12.0)
+    mine.record_write(stored(9, "b"), 12.0)
     assert mine.quiet_until == quiet
--- a/pimentoledge/tests/test_rollouts.py
+++ b/pimentoledge/tests/test_rollouts.py
@@ -30,7 +30,7 @@
 
 def tell(rollout, due, verdict, now):
     for each in due:
-        progress = rollout.of(each.backend)
+        progress = rollout.progress_of(each.backend)
         progress.calling = True
         progress.orders_taken = progress.orders_taken or 0
         rollout.note_verdict(each, verdict, now)
@@ -82,9 +82,9 @@
     _, rollout = world(1)
     due = rollout.due(1.0)
     tell(rollout, due, rollouts.OrderVerdict.UNKNOWN, 1.0)
-    assert rollout.of(due[0].backend).orders_taken is None
+    assert rollout.progress_of(due[0].backend).orders_taken is None
     assert not rollout.due(1.1)
-    assert rollout.due(1.0 + rollouts.AGAIN_SECONDS)
+    assert rollout.due(1.0 + rollouts.RETRY_SECONDS)
 
 
 def test_runners_that_are_down_count_as_loading():
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -628,7 +628,7 @@
         older = TestOlderWeights()
         view = older.view(saved=None)
         view.wanted["m"] = wanted_weights.WantedWeights(
-            wanted_weights.Named(version=1, since=10.0)
+            wanted_weights.NamedVersion(version=1, since=10.0)
         )
         view.servers.put(registration("r", weights={"m": 1}))
         assert older.sent(view, 10.0).save_to == "10.0.0.1:80"
@@ -829,7 +829,7 @@
         view = self.view(saved=5.0)
         late = 5.0 + saved_parts.AGAIN_SECONDS + 0.2
         view.wanted["m"] = wanted_weights.WantedWeights(
-            wanted_weights.Named(version=2, since=late - 2.0)
+            wanted_weights.NamedVersion(version=2, since=late - 2.0)
         )
         assert self.fetched(view, late) is None
 
--- a/pimentoledge/tests/test_router_evidence.py
+++ b/pimentoledge/tests/test_router_evidence.py
@@ -136,7 +136,9 @@
     """
     lease = leases.Lease(holder="me", lease_seconds=3.0, revision=0)
     sent = 100.0
-    lease.wrote(registrations.Stored(name="", revision=7, value=None), sent)
+    lease.record_write(
+        registrations.Stored(name="", revision=7, value=None), sent
+    )
     assert lease.may_order(sent + 0.5)
     woke = sent + 4.0
     assert not lease.may_order(woke)
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -101,9 +101,9 @@
     taken = Taken()
     taken.view.want("m", 2, 0.0)
     rollout = rollouts.Rollout(view=taken.view)
-    rollout.of(taken.take()).orders_taken = 5
+    rollout.progress_of(taken.take()).orders_taken = 5
     after = taken.take(born=2000)
-    assert rollout.of(after).orders_taken is None
+    assert rollout.progress_of(after).orders_taken is None
 
 
 def test_a_crash_proven_of_one_life_is_not_the_next_ones():
--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -547,7 +547,7 @@
         owner, other = self.owner(), self.other()
         self.limiters[owner].leave(self.now)
         self.deliver()
-        assert self.limiters[other].rights.homes[
+        assert self.limiters[other].rights.locations[
             ledgers.slot_of("acme")
         ].owner in (other, owner)
         self.run(0.3)
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -204,7 +204,9 @@
         )
         backend = view.servers.put(registration)
         held.servers.put(registration).loading_until = 20.9
-        lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
+        lease.record_write(
+            registrations.Stored(name="", revision=7, value=None), 20.0
+        )
         holder.own(20.0)
         early = self.beat(holder, 20.0)
         assert other.merge(early, 20.0)
@@ -221,7 +223,9 @@
         """A successor need not wait for its silence."""
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
-        lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
+        lease.record_write(
+            registrations.Stored(name="", revision=7, value=None), 20.0
+        )
         holder.own(20.0)
         other.merge(self.beat(holder, 20.0), 20.0)
         lease.learn(
@@ -238,7 +242,9 @@
     def test_silence_ends_a_holder(self):
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
-        lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
+        lease.record_write(
+            registrations.Stored(name="", revision=7, value=None), 20.0
+        )
         holder.own(20.0)
         other.merge(self.beat(holder, 20.0), 20.0)
         assert not other.holder_is_alive(
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -116,7 +116,7 @@
 def test_a_limit_of_zero_lets_an_answer_tell_of_its_end():
     taking, backend = taker()
     taking.take(backend, limited(0.0), clocks.now())
-    assert taking.limits.get(SERVER) == server_limits.LEAST_PER_SECOND
+    assert taking.limits.get(SERVER) == server_limits.MIN_PER_SECOND
 
 
 @pytest.mark.parametrize(
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -148,7 +148,7 @@
     name_limit(router, "p0", 1.0)
     limiter.rights.target = lambda slot, now: "tcp://127.0.0.1:9"
     asked = asyncio.ensure_future(world.ask("/notices/", body=b"n"))
-    await world.until(lambda: limiter.questions)
+    await world.until(lambda: limiter.pending)
     router.view.server_limits.advertised.clear()
     began = clocks.now()
     await asked
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -117,19 +117,19 @@
     news, version
 ):
     named = [
-        wanted_weights.Named(version=number, since=since)
+        wanted_weights.NamedVersion(version=number, since=since)
         for number, since in news
     ]
     wanted = wanted_weights.WantedWeights(named[0])
     for each in named:
-        wanted.take(each)
+        wanted.add(each)
     later = [since for number, since in news if number > version]
     found = wanted.superseded(version)
     if not later:
         assert found is None
         return
     assert found <= min(later)
-    if len({number for number, _ in news}) <= wanted_weights.MOST_EARLIER:
+    if len({number for number, _ in news}) <= wanted_weights.MAX_EARLIER:
         assert found == min(later)
 
 
