--- a/pimentoledge/routing/quotas/ledgers.py
+++ b/pimentoledge/routing/quotas/ledgers.py
@@ -1,38 +1,39 @@
-"""What an owner has of limits, by the rights lent to it.
+"""Token buckets of an owner, filled by the rights that routers lend to it.
 
-Limits are those of organisations, and those that servers have named.
+Limits belong to organisations, or to servers that advertise one.
 
-Every router has a right to an equal part of each limit, which is in one
-ledger at a time: its own, or that of the owner that it lent the right to. A
-ledger lets in no more than the rights in it allow, so that the sum over all
-ledgers never exceeds the limit, whoever is cut off from whom. (The idea is
-that of a bounded counter, a CRDT whose replicas hand rights to each other.)
+Every router has a right to an equal part of each limit. The right is in one
+ledger at a time: the router's own, or that of the owner it is lent to. A
+ledger grants no more than its rights allow, so the sum over all ledgers never
+exceeds the limit during any network partition. This is a bounded counter: a
+CRDT whose replicas transfer rights to each other.
 """
 
 import attrs
 import xxhash
 
-# Organisations are dealt to so many slots, each with one owner: so many
-# owners share the work, and a router lends its rights to no more than that.
+# Number of slots that organisations are hashed to. Each slot has one owner, so
+# at most this many owners share the work, and a router lends its rights to no
+# more routers than this.
 SLOTS = 8
-# Longest wait told to a client that was refused.
+# Longest Retry-After sent to a refused client.
 LONGEST_WAIT_SECONDS = 5.0
-# A pool that is full and was not used for so long is forgotten.
+# A full pool that is unused for this long is dropped.
 IDLE_SECONDS = 30.0
-# Part of the tolerance that rights bring when they come to a ledger whose
-# past is unknown: a new owner can let requests in at once.
+# Part of the tolerance that rights add as an allowance when they arrive at a
+# ledger without history, so that a new owner can grant requests at once.
 ALLOWANCE_SHARE = 1 / 3
-# An allowance is for organisations that are asked for within this time: later
-# the rights have earned more.
+# An allowance only counts for organisations with a request within this time:
+# later the rights have earned more than the allowance.
 ALLOWANCE_SECONDS = 2.0
-# Part of the tolerance by which one request that is larger than a full pool
-# may overdraw it: else it could never run.
+# Part of the tolerance by which a request larger than a full pool may overdraw
+# it. Without it, such a request could never run.
 OVERDRAFT_SHARE = 1 / 6
-# Part of the tolerance that a pool holds besides the burst. Prompts come in
-# clumps, and one may be half of a small organisation's burst: what a limit
-# allows in a window isn't refused for coming together.
+# Part of the tolerance that a pool holds in addition to the burst. Prompts
+# arrive in clusters, and one may be half of a small organisation's burst:
+# requests within a window's limit must not be refused for arriving together.
 HEADROOM_SHARE = 2 / 5
-# A level so near the top counts as full.
+# A pool counts as full from this part of its capacity.
 FULL_SHARE = 0.999
 
 
@@ -41,11 +42,12 @@
     """By how much the sum over all routers may exceed a limit.
 
     Attributes:
-        window_seconds: of the window in which it is looked at.
-        over: part of what a limit allows in a window.
-        slack: besides, in the unit of the limits.
-        longest_wait_seconds: longest wait told to who was refused.
-        rights_wait_seconds: wait told where only further rights make room.
+        window_seconds: length of the window in which usage is measured.
+        over: permitted excess, as a part of what a limit allows in a window.
+        slack: additional permitted excess, in the unit of the limits.
+        longest_wait_seconds: longest wait returned with a refusal.
+        rights_wait_seconds: wait returned with a refusal if only further
+            rights can make room.
     """
 
     window_seconds: float = 8.0
@@ -55,18 +57,18 @@
     rights_wait_seconds: float = LONGEST_WAIT_SECONDS
 
     def top(self, limit: "Limit") -> float:
-        """Returns the most that a pool with all rights holds."""
+        """Returns the capacity of a pool that has all rights."""
         return limit.burst + HEADROOM_SHARE * self.tolerance(limit)
 
     def tolerance(self, limit: "Limit") -> float:
-        """Returns how much more may run in a window than a limit allows."""
+        """Returns the permitted excess over a limit in one window."""
         allowed = limit.per_second * self.window_seconds + limit.burst
         return self.over * allowed + self.slack
 
 
-# Of the limits that servers name, in requests. A window allows 5 more than half
-# of a limit more; what is left of that is for requests on their way while a
-# limit or an owner changes.
+# Bounds of the limits that servers advertise, in requests. A window may exceed
+# a limit by half of it plus 5 requests; what these bounds leave of that is for
+# requests in flight while a limit or an owner changes.
 SERVER_BOUNDS = QuotaBounds(
     window_seconds=4.0,
     over=0.5,
@@ -74,8 +76,8 @@
     longest_wait_seconds=10.0,
     rights_wait_seconds=2.0,
 )
-# Begins the names of servers' limits. No organisation's name has a line break,
-# as it is sent in a header.
+# Prefix of the names of servers' limits. No organisation's name contains a line
+# break, because it is sent in a header.
 SERVER_MARK = "\n"
 
 
@@ -84,10 +86,10 @@
     """One limit, of an organisation or of a server.
 
     Attributes:
-        version: of the configuration that it is from; of a server's limit the
-            time at which it was received, in ms of clocks.now.
+        version: version of the configuration that defines it; for a server's
+            limit, the time at which it was received, in ms of clocks.now.
         per_second: its rate, in its unit.
-        burst: what may come at once.
+        burst: amount that may be used at once.
         bounds: by how much it may be exceeded; None for the ledger's bounds.
     """
 
@@ -101,13 +103,13 @@
     """Returns the longest window of all limits, in seconds.
 
     Args:
-        bounds: of the limits of organisations.
+        bounds: bounds of the organisations' limits.
     """
     return max(bounds.window_seconds, SERVER_BOUNDS.window_seconds)
 
 
 def server_limit(per_second: float, received_at: float) -> Limit:
-    """Returns the limit that a server named.
+    """Returns the limit that a server advertised.
 
     Args:
         per_second: requests a second.
@@ -123,13 +125,14 @@
 
 @attrs.frozen(kw_only=True)
 class Decision:
-    """What a ledger says of a request.
+    """A ledger's decision on a request.
 
     Attributes:
         granted: whether it may run.
-        wait_seconds: else, when there will be room for it; None if never.
-        left: what the limit had left before, in its unit.
-        share: part of all rights that the ledger had.
+        wait_seconds: if refused, time until there is room for it; None if
+            there never will be.
+        left: level of the pool before the request, in the limit's unit.
+        share: part of all rights that the ledger has.
     """
 
     granted: bool
@@ -140,11 +143,11 @@
 
 @attrs.define(kw_only=True)
 class RightsLease:
-    """A router's rights, as a ledger holds them.
+    """A lease of a router's rights to a ledger.
 
     Attributes:
         share: part of each limit.
-        until: when they lapse.
+        until: when the lease expires.
     """
 
     share: float
@@ -153,11 +156,11 @@
 
 @attrs.define(kw_only=True)
 class Allowance:
-    """What a router's rights brought to a slot beside what they earn.
+    """An initial credit that a router's rights add to a slot once.
 
     Attributes:
         share: part of the whole allowance.
-        at: when it came.
+        at: when it was added.
         lapsed: whether it is too old for pools that have not counted it.
     """
 
@@ -168,17 +171,17 @@
 
 @attrs.define(kw_only=True)
 class QuotaPool:
-    """What is left of one organisation's limit in a ledger.
+    """Token bucket of one organisation's limit in a ledger.
 
     Attributes:
-        limit: the newest known.
-        level: what is left, in the limit's unit; below zero after a request
+        limit: the newest version known.
+        level: tokens left, in the limit's unit; below zero after a request
             that was larger than the pool.
-        earned: share-seconds of the slot up to which `level` counts.
-        brought: the slot's allowances up to which `level` counts.
-        promised_until: what refills until then was promised to clients that
-            were refused.
-        used_at: when it was last asked.
+        earned: the slot's `earned` that is included in `level`.
+        brought: the slot's `brought` that is included in `level`.
+        promised_until: refills before this time are promised to refused
+            clients, by the waits that they received.
+        used_at: time of the last request for it.
     """
 
     limit: Limit
@@ -194,13 +197,13 @@
 
     Attributes:
         bounds: by how much a limit may be exceeded.
-        leases: rights by router.
-        share: their sum.
-        earned: integral of the share over time.
-        brought: sum of the shares of all allowances.
-        lapsed: of that, what lapsed.
-        allowances: by router, those of the last window.
-        pools: by organisation.
+        leases: leased rights by router.
+        share: sum of the shares of all leases.
+        earned: integral of `share` over time, in share-seconds.
+        brought: sum of the shares of all allowances added so far.
+        lapsed: the part of `brought` whose allowances have lapsed.
+        allowances: allowances of the last window by router.
+        pools: pools by organisation.
     """
 
     def __init__(self, *, bounds: QuotaBounds):
@@ -213,27 +216,27 @@
         self.allowances: dict[str, Allowance] = {}
         self.pools: dict[str, QuotaPool] = {}
         self._counted_at = 0.0
-        # No lease lapses before; one that was prolonged may lapse later.
+        # Lower bound of the expiry times; renewed leases may expire later.
         self._lapses_at = float("inf")
-        # Share before the newest change of it, and what had been earned by
-        # it: a limit that nobody has asked for yet has filled by so much.
+        # Share before its last change, and the share-seconds earned with it:
+        # the initial level of a new pool includes these.
         self._before_change = (0.0, 0.0)
         self._earned_at_change = 0.0
 
     @property
     def window_seconds(self) -> float:
-        """The longest window in which some limit is looked at."""
+        """The longest window of all limits."""
         return longest_window(self.bounds)
 
     def advance(self, now: float) -> None:
-        """Lets time pass."""
+        """Accumulates `earned` up to `now`."""
         self.earned += self.share * max(0.0, now - self._counted_at)
         self._counted_at = max(now, self._counted_at)
 
     def put(
         self, router: str, lease: RightsLease, *, allowance: bool, now: float
     ) -> None:
-        """Takes a router's rights, or changes them."""
+        """Adds or replaces a router's lease."""
         self.advance(now)
         if allowance:
             self.add_allowance(router, lease.share, now)
@@ -244,9 +247,10 @@
             self._update_share()
 
     def add_allowance(self, router: str, share: float, now: float) -> None:
-        """Takes a router's allowance, unless it brought one in this window.
+        """Adds a router's allowance, unless it added one in this window.
 
-        A message may repeat it, and a new life of a router knows of none.
+        A message may be repeated, and a restarted router has no record of the
+        allowances of its former process.
         """
         held = self.allowances.get(router)
         if held is not None and now - held.at < self.window_seconds:
@@ -257,7 +261,7 @@
         self.brought += share
 
     def withdraw_allowance(self, router: str) -> None:
-        """Takes away a router's allowance, which no pool has counted."""
+        """Removes a router's allowance, which no pool has counted."""
         held = self.allowances.pop(router, None)
         if held is not None and not held.lapsed:
             self.brought -= held.share
@@ -276,7 +280,7 @@
                 del self.allowances[router]
 
     def remove(self, router: str, now: float) -> None:
-        """Takes a router's rights away, with their part of what is left."""
+        """Removes a router's rights and their part of the pools' levels."""
         if router not in self.leases:
             return
         self.advance(now)
@@ -289,7 +293,7 @@
         self._update_share()
 
     def expire_leases(self, now: float) -> None:
-        """Takes away rights that have lapsed."""
+        """Removes expired leases."""
         if now < self._lapses_at:
             return
         for router in [
@@ -301,7 +305,7 @@
         )
 
     def expire(self, now: float) -> None:
-        """Takes away rights that have lapsed, and forgets idle pools."""
+        """Removes expired leases and allowances, and idle pools."""
         self.expire_leases(now)
         self.advance(now)
         self._lapse_old(now)
@@ -326,14 +330,17 @@
         self.share = share
 
     def _refill(self, pool: QuotaPool) -> None:
-        """Adds what the rights have earned; an allowance may exceed the top."""
+        """Adds what the rights have earned since the last refill.
+
+        A level above the capacity, reached by an allowance, is kept.
+        """
         rate = pool.limit.per_second
         refill = rate * (self.earned - pool.earned)
         pool.earned = self.earned
         self.add(pool, refill)
 
     def add(self, pool: QuotaPool, tokens: float) -> None:
-        """Adds to what a limit has left, up to what it may hold."""
+        """Adds tokens to a pool, up to its capacity."""
         top = self.top(pool)
         pool.level = max(pool.level, min(pool.level + tokens, top))
 
@@ -342,15 +349,15 @@
         return limit.bounds or self.bounds
 
     def top(self, pool: QuotaPool) -> float:
-        """Returns the most that a pool may hold."""
+        """Returns the capacity of a pool with the slot's rights."""
         return self.bounds_of(pool.limit).top(pool.limit) * self.share
 
     def is_full(self, pool: QuotaPool) -> bool:
-        """Returns whether a limit has all that it can have here."""
+        """Returns whether a pool is at its capacity."""
         return pool.level >= FULL_SHARE * self.top(pool)
 
     def pool(self, organisation: str, limit: Limit, now: float) -> QuotaPool:
-        """Returns an organisation's pool as it is now."""
+        """Returns an organisation's pool, refilled up to `now`."""
         self.advance(now)
         pool = self.pools.get(organisation)
         if pool is None:
@@ -370,7 +377,7 @@
         return pool
 
     def _add_new_allowances(self, pool: QuotaPool) -> None:
-        """Adds the allowances that came since a pool was asked."""
+        """Adds the allowances since the last request for a pool."""
         share = self.brought - max(pool.brought, self.lapsed)
         tolerance = self.bounds_of(pool.limit).tolerance(pool.limit)
         allowance = ALLOWANCE_SHARE * tolerance
@@ -378,7 +385,7 @@
         pool.brought = self.brought
 
     def _initial_level(self, limit: Limit) -> float:
-        """Returns what a limit holds that nobody has used here yet."""
+        """Returns the level of a new pool: nothing of it has been used here."""
         share, earned = self._before_change
         top, rate = self.bounds_of(limit).top(limit), limit.per_second
         before = min(top * share, rate * earned)
@@ -391,7 +398,7 @@
 
     Attributes:
         bounds: by how much a limit may be exceeded.
-        slots: by number.
+        slots: slots by number.
     """
 
     def __init__(self, *, bounds: QuotaBounds):
@@ -399,7 +406,7 @@
         self.slots = [Slot(bounds=bounds) for _ in range(SLOTS)]
 
     def set_bounds(self, bounds: QuotaBounds) -> None:
-        """Takes changed bounds."""
+        """Replaces the bounds of all slots."""
         self.bounds = bounds
         for each in self.slots:
             each.bounds = bounds
@@ -428,7 +435,7 @@
         return slot.is_full(pool) and cost <= self._largest_request(slot, pool)
 
     def _largest_request(self, slot: Slot, pool: QuotaPool) -> float:
-        """Returns the largest request that can ever run."""
+        """Returns the largest cost that a full pool grants."""
         tolerance = slot.bounds_of(pool.limit).tolerance(pool.limit)
         overdraft = OVERDRAFT_SHARE * tolerance * slot.share
         return slot.top(pool) + overdraft
@@ -436,9 +443,10 @@
     def _wait_seconds(
         self, slot: Slot, pool: QuotaPool, cost: float, now: float
     ) -> float | None:
-        """Returns when a refused client finds room.
+        """Returns how long until a refused request fits, or None if never.
 
-        Clients refused one after another are told times one after another.
+        Successive refusals get successive times, so that the refused clients
+        do not return at once.
         """
         bounds = slot.bounds_of(pool.limit)
         longest = bounds.longest_wait_seconds
@@ -456,7 +464,7 @@
         return start - now
 
     def give_back(self, organisation: str, cost: float, now: float) -> None:
-        """Takes back what was granted to a request that never ran."""
+        """Refunds the cost of a granted request that never ran."""
         slot = self.slots[slot_of(organisation)]
         pool = slot.pools.get(organisation)
         if pool is None:
@@ -465,16 +473,16 @@
         slot.add(pool, cost)
 
     def expire(self, now: float) -> None:
-        """Takes away what has lapsed."""
+        """Removes everything that has expired."""
         for each in self.slots:
             each.expire(now)
 
     def remove(self, router: str, now: float) -> None:
-        """Takes away all rights of a router."""
+        """Removes all rights of a router."""
         for each in self.slots:
             each.remove(router, now)
 
 
 def slot_of(organisation: str) -> int:
-    """Returns the slot that an organisation is dealt to."""
+    """Returns the slot that an organisation is hashed to."""
     return xxhash.xxh3_64_intdigest(organisation.encode()) % SLOTS
--- a/pimentoledge/routing/quotas/limiters.py
+++ b/pimentoledge/routing/quotas/limiters.py
@@ -1,8 +1,8 @@
-"""One router's part of holding organisations' limits over all routers.
+"""One router's part of enforcing organisations' limits over all routers.
 
-A pure state machine. A request is asked for at the owner of its organisation's
-slot, which answers from its ledger; nothing else is agreed. While no owner
-answers, the router goes by the rights that it has itself.
+A pure state machine. For each request the router sends an acquire to the owner
+of the organisation's slot, which answers from its ledger; there is no other
+coordination. While no owner answers, the router decides by its own rights.
 """
 
 from collections.abc import Callable
@@ -13,24 +13,25 @@
 from pimentoledge.routing.quotas import messages
 from pimentoledge.routing.quotas import rights as rights_module
 
-# An owner that has not answered a question by then is asked no more for a
-# while, and the next one is asked.
+# Timeout of an acquire. The owner is then suspected and gets no acquires for a
+# while, and the next owner gets this one.
 ANSWER_SECONDS = 0.15
-# How many owners are asked about a request before the own rights decide.
+# Number of owners tried for a request before the router's own rights decide.
 MAX_OWNERS_ASKED = 2
-# After so many messages without an answer the connections are opened anew.
+# The connection is reopened after more unanswered messages than this.
 MAX_UNANSWERED = 3
-# Answers that come so late are of no use; what they granted is given back.
+# A pending acquire is dropped after this time. Until then a late grant is
+# matched to it and given back.
 FORGET_SECONDS = 10.0
 
 
 @attrs.frozen(kw_only=True)
 class AcquireResult:
-    """What became of a request that asked for its part of a limit.
+    """Result of an acquire.
 
     Attributes:
-        decision: what a ledger said.
-        owner: mailbox of the router whose ledger that was.
+        decision: the ledger's decision.
+        owner: mailbox of the router whose ledger decided.
         seconds: how long the answer took.
     """
 
@@ -41,17 +42,18 @@
 
 @attrs.define(kw_only=True)
 class PendingAcquire:
-    """A request that waits for an owner's answer.
+    """An acquire that waits for an owner's answer.
 
     Attributes:
-        organisation: whose it is.
-        limit: as this router knows it.
-        cost: in the limit's unit.
-        decided: called with the answer; None when nobody waits any more.
-        owner: who is asked.
-        began: when the request came.
-        asked_at: when that owner was asked.
-        asked: how many owners were asked.
+        organisation: organisation of the request.
+        limit: the limit in this router's configuration.
+        cost: cost in the limit's unit.
+        decided: callback for the result; None if the result is not needed any
+            more.
+        owner: mailbox of the owner that the acquire was sent to.
+        began: when the request arrived.
+        asked_at: when the acquire was sent to that owner.
+        asked: number of owners tried so far.
     """
 
     organisation: str
@@ -65,18 +67,18 @@
 
 
 class Limiter:
-    """Limits of organisations, as one router keeps them.
+    """Enforces organisations' limits at one router.
 
     Attributes:
         own: this router's mailbox.
-        ledger: what it owns.
-        rights: where its own rights lie.
-        share: returns its part of every limit; 0 while that is not known.
-        routers: returns the mailboxes of the others believed to live.
+        ledger: pools of the slots that it owns.
+        rights: where its own rights are.
+        share: returns its part of every limit; 0 while that is unknown.
+        routers: returns the mailboxes of the other routers considered alive.
         send: sends a message to a mailbox.
-        renew: opens the connection to a mailbox anew.
-        pending: requests that wait, by number.
-        leaving: whether this router ends.
+        renew: reopens the connection to a mailbox.
+        pending: acquires that wait for an answer, by number.
+        leaving: whether this router is shutting down.
     """
 
     def __init__(
@@ -107,7 +109,7 @@
         self._newest_leases: dict[str, tuple[int, int]] = {}
 
     def set_bounds(self, bounds: ledgers.QuotaBounds) -> None:
-        """Takes changed bounds; what is left of each limit stays."""
+        """Replaces the bounds; the levels of all pools stay."""
         self.ledger.set_bounds(bounds)
 
     def acquire(
@@ -118,13 +120,13 @@
         now: float,
         decided: Callable[[AcquireResult], None],
     ) -> int:
-        """Asks to let a request in; `decided` may be called at once.
+        """Acquires the cost of a request; may call `decided` before it returns.
 
-        Returns the number of the question, for `cancel`.
+        Returns the number of the acquire, for `cancel`.
         """
         if not self._stepped:
             self._step(now)
-        question = PendingAcquire(
+        pending_acquire = PendingAcquire(
             organisation=organisation,
             limit=limit,
             cost=cost,
@@ -133,25 +135,27 @@
             began=now,
             asked_at=now,
         )
-        return self._send_or_decide(question, now)
+        return self._send_or_decide(pending_acquire, now)
 
     def _target(self, organisation: str, now: float) -> str:
         return self.rights.target(ledgers.slot_of(organisation), now)
 
-    def _send_or_decide(self, question: PendingAcquire, now: float) -> int:
+    def _send_or_decide(
+        self, pending_acquire: PendingAcquire, now: float
+    ) -> int:
         self._number += 1
-        if question.owner == self.own:
-            self._decide_here(question, now)
+        if pending_acquire.owner == self.own:
+            self._decide_here(pending_acquire, now)
             return self._number
-        question.asked_at = now
-        self.pending[self._number] = question
-        limit = question.limit
+        pending_acquire.asked_at = now
+        self.pending[self._number] = pending_acquire
+        limit = pending_acquire.limit
         self.send(
-            question.owner,
+            pending_acquire.owner,
             messages.Acquire(
                 number=self._number,
-                organisation=question.organisation,
-                cost=question.cost,
+                organisation=pending_acquire.organisation,
+                cost=pending_acquire.cost,
                 version=limit.version,
                 per_second=limit.per_second,
                 burst=limit.burst,
@@ -160,41 +164,50 @@
         )
         return self._number
 
-    def _decide_here(self, question: PendingAcquire, now: float) -> None:
+    def _decide_here(self, pending_acquire: PendingAcquire, now: float) -> None:
         decision = self.ledger.acquire(
-            question.organisation, question.limit, question.cost, now
+            pending_acquire.organisation,
+            pending_acquire.limit,
+            pending_acquire.cost,
+            now,
         )
-        if not decision.granted and self._try_next_owner(question, now):
+        if not decision.granted and self._try_next_owner(pending_acquire, now):
             return
-        question.decided(
+        pending_acquire.decided(
             AcquireResult(
-                decision=decision, owner=self.own, seconds=now - question.began
+                decision=decision,
+                owner=self.own,
+                seconds=now - pending_acquire.began,
             )
         )
 
-    def _try_next_owner(self, question: PendingAcquire, now: float) -> bool:
-        """Asks the owner to which the own rights are about to go, if any.
+    def _try_next_owner(
+        self, pending_acquire: PendingAcquire, now: float
+    ) -> bool:
+        """Sends an acquire to the next owner of the slot, if there is one.
 
-        A router that has just started has few rights; who is to have them may
-        have those of others already.
+        A router that has just started has few rights; the next owner may
+        already have those of other routers. Returns whether it was sent.
         """
-        slot = ledgers.slot_of(question.organisation)
+        slot = ledgers.slot_of(pending_acquire.organisation)
         owner = self.rights.next_owner(slot, now)
-        if owner is None or question.asked > 1:
+        if owner is None or pending_acquire.asked > 1:
             return False
-        self._send_or_decide(attrs.evolve(question, owner=owner, asked=2), now)
+        self._send_or_decide(
+            attrs.evolve(pending_acquire, owner=owner, asked=2), now
+        )
         return True
 
     def cancel(self, number: int) -> None:
-        """Takes that nobody waits for an answer any more."""
-        question = self.pending.get(number)
-        if question is not None:
-            question.decided = None
+        """Cancels an acquire; a later grant is given back."""
+        pending_acquire = self.pending.get(number)
+        if pending_acquire is not None:
+            pending_acquire.decided = None
 
     def give_back(
         self, organisation: str, cost: float, owner: str, now: float
     ) -> None:
-        """Returns what was granted to a request that never ran."""
+        """Refunds the cost of a granted request that never ran."""
         if owner == self.own:
             self.ledger.give_back(organisation, cost, now)
             return
@@ -203,7 +216,7 @@
         )
 
     def tick(self, now: float) -> None:
-        """Does what is due: late answers, rights, and telling owners."""
+        """Handles timeouts of acquires, and moves and renews rights."""
         self.ledger.expire(now)
         self._check_pending(now)
         if now < self._next_step_at:
@@ -220,20 +233,25 @@
             self.send(owner, message)
 
     def _check_pending(self, now: float) -> None:
-        for number, question in list(self.pending.items()):
-            late = now - question.asked_at
-            if question.decided is not None and late >= ANSWER_SECONDS:
-                self._suspect(question.owner, now)
-                self._retry(number, question, now)
-            elif late >= FORGET_SECONDS:
+        for number, pending_acquire in list(self.pending.items()):
+            elapsed = now - pending_acquire.asked_at
+            if (
+                pending_acquire.decided is not None
+                and elapsed >= ANSWER_SECONDS
+            ):
+                self._suspect(pending_acquire.owner, now)
+                self._retry(number, pending_acquire, now)
+            elif elapsed >= FORGET_SECONDS:
                 del self.pending[number]
 
-    def _retry(self, number: int, question: PendingAcquire, now: float) -> None:
-        """Asks the next owner, or decides by the own rights."""
-        again = attrs.evolve(question, asked=question.asked + 1)
-        # A late answer still finds the question: what it grants is given back.
-        question.decided = None
-        self._retry_elsewhere(again, question.owner, now)
+    def _retry(
+        self, number: int, pending_acquire: PendingAcquire, now: float
+    ) -> None:
+        """Tries the next owner, or decides by the router's own rights."""
+        again = attrs.evolve(pending_acquire, asked=pending_acquire.asked + 1)
+        # The entry stays for a late answer, whose grant is given back.
+        pending_acquire.decided = None
+        self._retry_elsewhere(again, pending_acquire.owner, now)
 
     def _retry_elsewhere(
         self, again: PendingAcquire, before: str, now: float
@@ -244,21 +262,27 @@
         self._send_or_decide(again, now)
 
     def _suspect(self, owner: str, now: float) -> None:
-        """Tells the next owners at once that they will be asked."""
+        """Marks an owner as suspected, and sends leases to the next owners.
+
+        They get acquires from now on, so they need the allowances at once.
+        """
         if self.rights.suspect(owner, now):
             self._step(now)
 
     def unreachable(self, address: str, now: float) -> None:
-        """Takes that a connection to another router broke."""
+        """Handles a broken connection to another router."""
         if address not in self.rights.owner_states:
             return
         self._suspect(address, now)
-        for number, question in list(self.pending.items()):
-            if question.owner == address and question.decided is not None:
-                self._retry(number, question, now)
+        for number, pending_acquire in list(self.pending.items()):
+            if (
+                pending_acquire.owner == address
+                and pending_acquire.decided is not None
+            ):
+                self._retry(number, pending_acquire, now)
 
     def leave(self, now: float) -> None:
-        """Lets go of all rights of others, since this router ends."""
+        """Releases all rights of other routers, as this router shuts down."""
         self.leaving = True
         lenders = {
             each for slot in self.ledger.slots for each in slot.leases
@@ -271,7 +295,7 @@
         return messages.RightsLeased(number=number, clock_ms=0, leaving=True)
 
     def handle(self, sender: str, message: object, now: float) -> None:
-        """Takes a message of another router."""
+        """Handles a message of another router."""
         match message:
             case messages.LeaseRights():
                 self._handle_lease(sender, message, now)
@@ -287,9 +311,9 @@
     def _handle_lease(
         self, sender: str, lent: messages.LeaseRights, now: float
     ) -> None:
-        """Takes another router's rights as they are from now on."""
+        """Replaces the rights that another router lends to this one."""
         if lent.unanswered > MAX_UNANSWERED:
-            # Its messages come, so it is the answers that get lost.
+            # Its messages arrive, so the answers to it get lost.
             self.renew(sender, now)
         if self.leaving:
             self.ledger.remove(sender, now)
@@ -324,7 +348,7 @@
         )
         self.rights.handle_answer(sender, answer, now)
         if first or answer.leaving:
-            # Rights that waited for a new owner's clock go there at once.
+            # Rights that waited for a new owner's clock reading are lent now.
             self._step(now)
 
     def _handle_acquire(
@@ -349,23 +373,29 @@
     def _handle_acquired(
         self, sender: str, answer: messages.Acquired, now: float
     ) -> None:
-        question = self.pending.pop(answer.number, None)
-        if question is None:
+        pending_acquire = self.pending.pop(answer.number, None)
+        if pending_acquire is None:
             return
-        if question.decided is None:
+        if pending_acquire.decided is None:
             if answer.granted:
                 self.give_back(
-                    question.organisation, question.cost, sender, now
+                    pending_acquire.organisation,
+                    pending_acquire.cost,
+                    sender,
+                    now,
                 )
             return
         if not answer.granted and not answer.share:
-            # Who holds no rights knows nothing of the limit.
+            # A refusal by a router without rights does not mean that the
+            # limit is used up.
             self._suspect(sender, now)
-            again = attrs.evolve(question, asked=question.asked + 1)
+            again = attrs.evolve(
+                pending_acquire, asked=pending_acquire.asked + 1
+            )
             self._retry_elsewhere(again, sender, now)
             return
         wait = None if answer.wait_ms < 0 else answer.wait_ms / 1000
-        question.decided(
+        pending_acquire.decided(
             AcquireResult(
                 decision=ledgers.Decision(
                     granted=answer.granted,
@@ -374,7 +404,7 @@
                     share=answer.share,
                 ),
                 owner=sender,
-                seconds=now - question.began,
+                seconds=now - pending_acquire.began,
             )
         )
 
@@ -387,10 +417,10 @@
 
 
 def _limit_of(asked: messages.Acquire, now: float) -> ledgers.Limit:
-    """Returns the limit that a question is about, by this router's clock."""
+    """Returns the limit of an acquire, with times of this router's clock."""
     if asked.limit_age_ms >= 0:
-        heard = now - asked.limit_age_ms / 1000
-        return ledgers.server_limit(asked.per_second, heard)
+        received_at = now - asked.limit_age_ms / 1000
+        return ledgers.server_limit(asked.per_second, received_at)
     return ledgers.Limit(
         version=asked.version,
         per_second=asked.per_second,
--- a/pimentoledge/routing/quotas/messages.py
+++ b/pimentoledge/routing/quotas/messages.py
@@ -5,22 +5,23 @@
 
 @attrs.define(kw_only=True)
 class LeaseRights:
-    """Lends the sender's rights of some slots to the receiver.
+    """Leases the sender's rights of some slots to the receiver.
 
-    It names all slots whose rights the receiver has from then on.
+    The message lists all slots whose rights the receiver has from then on.
 
     Attributes:
-        number: grows with each message of a life to this receiver.
-        life: the sender's life.
-        echo_ms: the receiver's clock as in the newest answer, or 0: the rights
-            lapse a term after it.
-        term_ms: that term.
+        number: increases with each message of one process to this receiver.
+        life: identifies the sender's process among its restarts.
+        echo_ms: the receiver's clock reading in its newest answer, or 0; the
+            lease expires `term_ms` after it.
+        term_ms: length of the lease.
         share: the sender's part of every limit.
-        slots: those lent.
-        fresh: slots, lent or about to be, that bring the sender's part of the
-            allowance; said until it is answered, and counts once in a window.
-        unanswered: messages to the receiver, this one among them, since the
-            newest that it answered.
+        slots: slots that are lent.
+        fresh: slots, lent or about to be, that get the sender's part of the
+            allowance. Repeated until a message is answered; counts once in a
+            window.
+        unanswered: number of messages to the receiver, including this one,
+            since the newest that it answered.
     """
 
     number: int
@@ -38,9 +39,10 @@
     """Answers LeaseRights.
 
     Attributes:
-        number: of the message that it answers.
-        clock_ms: the sender's clock.
-        leaving: whether the sender ends, and holds nobody's rights any more.
+        number: number of the message that it answers.
+        clock_ms: the sender's clock reading.
+        leaving: whether the sender is shutting down and has released all
+            rights of other routers.
     """
 
     number: int
@@ -50,17 +52,17 @@
 
 @attrs.define(kw_only=True)
 class Acquire:
-    """Asks the owner of a slot to let a request in.
+    """Requests the cost of a request from the owner of a slot.
 
     Attributes:
-        number: of the question.
-        organisation: whose request it is, or the name of a server's limit.
-        cost: in the unit of the limit.
-        version: of the configuration that the limit is from.
+        number: number of the acquire.
+        organisation: organisation of the request, or the name of a server's
+            limit.
+        cost: cost in the unit of the limit.
+        version: version of the configuration that defines the limit.
         per_second: the limit's rate.
         burst: the limit's burst.
-        limit_age_ms: how long ago a server's limit was received; -1 for an
-            organisation's.
+        limit_age_ms: age of a server's limit; -1 for an organisation's.
     """
 
     number: int
@@ -77,11 +79,11 @@
     """Answers Acquire.
 
     Attributes:
-        number: of the question.
+        number: number of the acquire.
         granted: whether the request may run.
-        wait_ms: else, when there will be room for it; -1 if never.
-        left: what the limit had left, in its unit.
-        share: part of all rights that the owner had.
+        wait_ms: if refused, time until there is room for it; -1 if never.
+        left: level of the pool before the request, in the limit's unit.
+        share: part of all rights that the owner has.
     """
 
     number: int
@@ -93,11 +95,12 @@
 
 @attrs.define(kw_only=True)
 class GiveBack:
-    """Returns what was acquired for a request that never ran.
+    """Refunds the cost of a granted request that never ran.
 
     Attributes:
-        organisation: whose request it was.
-        cost: what was acquired.
+        organisation: organisation of the request, or the name of a server's
+            limit.
+        cost: the cost that was acquired.
     """
 
     organisation: str
--- a/pimentoledge/routing/quotas/rights.py
+++ b/pimentoledge/routing/quotas/rights.py
@@ -1,8 +1,8 @@
-"""Where a router's rights lie: in its own ledger, or lent to an owner.
+"""Location of a router's rights: in its own ledger, or lent to an owner.
 
-Rights are lent for a term that counts from a reading of the owner's own clock,
-which the owner sends and the lender sends back. So the owner never counts on
-rights that the lender has taken back, however late a message comes.
+Rights are lent for a term that starts at a reading of the owner's own clock,
+which the owner sends and the lender echoes. So the owner never uses rights that
+the lender has taken back, however late a message arrives.
 """
 
 import attrs
@@ -11,40 +11,41 @@
 from pimentoledge.routing.quotas import ledgers
 from pimentoledge.routing.quotas import messages
 
-# Between two messages to an owner; of many routers each sends fewer.
+# Interval between two messages to an owner; longer if there are many routers.
 MESSAGE_INTERVAL_SECONDS = 0.25
-# An owner hears so many of these in a second at most.
+# Upper bound of the messages that an owner receives per second in total.
 MAX_MESSAGES_PER_SECOND = 150
-# The same while rights wait for an owner that has not answered yet.
+# Longest interval while rights wait for an owner that has not answered yet.
 WAITING_INTERVAL_SECONDS = 0.5
-# Rights are lent for so many intervals between messages.
+# Length of a lease, in intervals between messages.
 TERM_INTERVALS = 4
-# An owner that leaves so many intervals' messages unanswered is silent.
+# An owner is silent if it answers no message for this many intervals.
 SILENT_INTERVALS = 2.4
-# A silent owner is not chosen again for so long, at first.
+# How long a silent owner is not chosen again, the first time.
 AVOID_SECONDS = 2.0
-# At most; each time that it stays silent the time doubles.
+# Upper bound of that time, which doubles each time the owner stays silent.
 MAX_AVOID_SECONDS = 16.0
-# The same for an owner that ends.
+# How long an owner that shuts down is not chosen again.
 LEAVING_SECONDS = 10.0
-# An owner that left a question unanswered is asked none for so long.
+# How long an owner gets no acquires after it left one unanswered.
 SUSPECT_SECONDS = 0.5
 NEVER = float("inf")
 
 
 @attrs.define(kw_only=True)
 class OwnerState:
-    """What was said between this router and an owner.
+    """State of the message exchange between this router and an owner.
 
     Attributes:
-        number: of the newest message to it.
-        answered: the newest of these that it answered.
-        echo_ms: its clock at that answer, or 0.
-        echo_at: when that answer came.
+        number: number of the newest message to it.
+        answered: number of the newest message that it answered.
+        echo_ms: its clock reading in that answer, or 0.
+        echo_at: when that answer arrived.
         waiting_since: when the first message without an answer was sent.
-        avoided_until: before this, or an answer, no rights are lent to it.
-        avoided_seconds: for how long it was avoided the last time.
-        suspected_until: before this it is asked nothing.
+        avoided_until: no rights are lent to it before this time, unless it
+            answers.
+        avoided_seconds: how long it was avoided the last time.
+        suspected_until: it gets no acquires before this time.
     """
 
     number: int = 0
@@ -57,7 +58,7 @@
     suspected_until: float = -NEVER
 
     def avoid(self, seconds: float, now: float) -> None:
-        """Lends it nothing for a time."""
+        """Excludes the owner from leases for a time."""
         self.avoided_seconds = seconds
         self.avoided_until = now + seconds
         self.waiting_since = None
@@ -65,16 +66,16 @@
 
 @attrs.define(kw_only=True)
 class SlotLocation:
-    """Where the rights of a slot lie.
+    """Where the rights of a slot are.
 
     Attributes:
         owner: mailbox of the router that has them.
-        until: when they lapse there.
-        ending: whether they are to be taken back.
-        left_out: number of the first message to the owner that leaves the slot
-            out, or None.
-        brought_to: mailbox of the router that the newest allowance went to.
-        brought_at: when it was last said to go there.
+        until: when the lease to it expires.
+        ending: whether the lease is to be ended.
+        left_out: number of the first message to the owner that omits the slot,
+            or None.
+        brought_to: mailbox of the router that got the newest allowance.
+        brought_at: when a message last carried it there.
         fresh: whether that router has not answered yet.
     """
 
@@ -87,14 +88,14 @@
     fresh: bool = False
 
     def send_allowance(self, router: str, now: float, *, fresh: bool) -> None:
-        """Takes that the allowance goes to a router from now on."""
+        """Records that the allowance goes to a router from now on."""
         self.brought_to = router
         self.brought_at = now
         self.fresh = fresh
 
 
 def message_interval_seconds(share: float) -> float:
-    """Returns the time between messages, by a router's part of all."""
+    """Returns the interval between messages for a router's part of limits."""
     return (
         max(MESSAGE_INTERVAL_SECONDS, 1 / share / MAX_MESSAGES_PER_SECOND)
         if share
@@ -103,7 +104,7 @@
 
 
 def owner_of(slot: int, routers: list[str]) -> str:
-    """Returns the router that comes next on the circle after a slot."""
+    """Returns the router that follows a slot on the consistent-hash ring."""
     here = heartbeat_rings.place(f"quota-slot-{slot}")
     return min(
         routers,
@@ -118,11 +119,12 @@
     Attributes:
         own: this router's mailbox.
         ledger: its own ledger.
-        life: tells messages of this process from those of an earlier one.
-        locations: where the rights of each slot lie.
-        wanted: the router that is to have them.
-        owner_states: by owner.
-        share: this router's part of every limit; 0 while it is not known.
+        life: distinguishes messages of this process from those of an earlier
+            one.
+        locations: where the rights of each slot are.
+        wanted: router that should have the rights of each slot.
+        owner_states: state of the exchange with each owner.
+        share: this router's part of every limit; 0 while it is unknown.
     """
 
     def __init__(self, *, own: str, ledger: ledgers.Ledger, life: int):
@@ -136,24 +138,26 @@
 
     @property
     def term_seconds(self) -> float:
-        """For how long rights are lent."""
+        """Length of a lease."""
         return TERM_INTERVALS * message_interval_seconds(self.share)
 
     def pause_seconds(self) -> float:
-        """Returns for how long owners need not be written to."""
+        """Returns the time until the next messages to owners are due."""
         pause = message_interval_seconds(self.share)
         waits = any(
-            home.owner == self.own and wanted != self.own
-            for home, wanted in zip(self.locations, self.wanted, strict=True)
+            location.owner == self.own and wanted != self.own
+            for location, wanted in zip(
+                self.locations, self.wanted, strict=True
+            )
         )
         return min(pause, WAITING_INTERVAL_SECONDS) if waits else pause
 
     def owner_state(self, owner: str) -> OwnerState:
-        """Returns what was said between this router and an owner."""
+        """Returns the state of the exchange with an owner."""
         return self.owner_states.setdefault(owner, OwnerState())
 
     def target(self, slot: int, now: float) -> str:
-        """Returns whom to ask about a slot's organisations."""
+        """Returns the router that gets acquires for a slot."""
         owner = self.locations[slot].owner
         if owner == self.own or not self._is_suspected(owner, now):
             return owner
@@ -161,7 +165,10 @@
         return self.own if self._is_suspected(wanted, now) else wanted
 
     def next_owner(self, slot: int, now: float) -> str | None:
-        """Returns where the rights of a slot go next, if not here."""
+        """Returns the router that a slot's rights here will be lent to.
+
+        None if they are lent already, stay here, or that router is suspected.
+        """
         wanted = self.wanted[slot]
         lies_here = self.locations[slot].owner == self.own
         if (
@@ -173,7 +180,7 @@
         return wanted
 
     def suspect(self, owner: str, now: float) -> bool:
-        """Takes that an owner gave no answer; returns whether it is news."""
+        """Marks an owner as suspected; returns whether it was not before."""
         news = not self._is_suspected(owner, now)
         self.owner_state(owner).suspected_until = now + SUSPECT_SECONDS
         return news
@@ -181,11 +188,11 @@
     def _is_suspected(self, owner: str, now: float) -> bool:
         if owner == self.own:
             return False
-        talk = self.owner_state(owner)
-        return now < max(talk.suspected_until, talk.avoided_until)
+        state = self.owner_state(owner)
+        return now < max(state.suspected_until, state.avoided_until)
 
     def _answered_recently(self, owner: str, now: float) -> bool:
-        """Returns whether an owner's newest answer is new enough to lend by."""
+        """Returns whether an owner's last answer is recent enough to lend."""
         if owner == self.own:
             return True
         return now - self.owner_state(owner).echo_at < self.term_seconds / 2
@@ -197,7 +204,7 @@
 
         Args:
             share: this router's part of every limit, or 0.
-            routers: mailboxes of the others that are believed to live.
+            routers: mailboxes of the other routers considered alive.
             now: the time.
         """
         self.share = share
@@ -219,15 +226,15 @@
 
     def _avoid_silent(self, now: float) -> None:
         most = SILENT_INTERVALS * message_interval_seconds(self.share)
-        for talk in self.owner_states.values():
-            if talk.waiting_since is None or now - talk.waiting_since < most:
+        for state in self.owner_states.values():
+            if state.waiting_since is None or now - state.waiting_since < most:
                 continue
-            seconds = max(AVOID_SECONDS, 2 * talk.avoided_seconds)
-            talk.avoid(min(seconds, MAX_AVOID_SECONDS), now)
+            seconds = max(AVOID_SECONDS, 2 * state.avoided_seconds)
+            state.avoid(min(seconds, MAX_AVOID_SECONDS), now)
 
     def _step_slot(self, slot: int, now: float) -> None:
-        home, wanted = self.locations[slot], self.wanted[slot]
-        if home.owner == self.own:
+        location, wanted = self.locations[slot], self.wanted[slot]
+        if location.owner == self.own:
             if (
                 wanted != self.own
                 and self.share
@@ -237,139 +244,152 @@
             else:
                 self._keep(slot, now)
             return
-        talk = self.owner_state(home.owner)
-        if wanted != home.owner:
-            home.ending = now < talk.avoided_until or (
-                now >= talk.suspected_until
+        state = self.owner_state(location.owner)
+        if wanted != location.owner:
+            location.ending = now < state.avoided_until or (
+                now >= state.suspected_until
                 and self._answered_recently(wanted, now)
             )
         else:
-            home.ending = False
-            home.left_out = None
-        let_go = home.left_out is not None and talk.answered >= home.left_out
-        if let_go or now >= home.until:
+            location.ending = False
+            location.left_out = None
+        let_go = (
+            location.left_out is not None
+            and state.answered >= location.left_out
+        )
+        if let_go or now >= location.until:
             self.take_back(slot, now)
 
     def _keep(self, slot: int, now: float) -> None:
-        """Puts the rights into the own ledger, or changes them there."""
-        held = self.ledger.slots[slot].leases.get(self.own)
-        if self.share and (held is None or held.share != self.share):
+        """Puts the rights into this router's ledger, or updates them there."""
+        lease = self.ledger.slots[slot].leases.get(self.own)
+        if self.share and (lease is None or lease.share != self.share):
             self._put(slot, now)
 
     def _put(self, slot: int, now: float) -> None:
-        home = self.locations[slot]
-        held = self.ledger.slots[slot]
-        comes = self.own not in held.leases
+        location = self.locations[slot]
+        own_slot = self.ledger.slots[slot]
+        is_new = self.own not in own_slot.leases
         stays = self.wanted[slot] == self.own
-        due = comes and stays and self._allowance_due(home, now)
+        due = is_new and stays and self._allowance_due(location, now)
         if due:
-            home.send_allowance(self.own, now, fresh=False)
+            location.send_allowance(self.own, now, fresh=False)
         lease = ledgers.RightsLease(share=self.share, until=NEVER)
-        held.put(self.own, lease, allowance=due, now=now)
+        own_slot.put(self.own, lease, allowance=due, now=now)
 
-    def _allowance_due(self, home: SlotLocation, now: float) -> bool:
-        """Returns whether no allowance can be spent with that of before.
+    def _allowance_due(self, location: SlotLocation, now: float) -> bool:
+        """Returns whether a new allowance cannot overlap with the last one.
 
-        It may have been counted anywhere until it lapsed.
+        Any ledger may have counted the last one until it lapsed, so a window
+        must pass from then on.
         """
         window = ledgers.longest_window(self.ledger.bounds)
-        return now - home.brought_at >= window + ledgers.ALLOWANCE_SECONDS
+        return now - location.brought_at >= window + ledgers.ALLOWANCE_SECONDS
 
     def _lend(self, slot: int, owner: str, now: float) -> None:
-        home = self.locations[slot]
-        held = self.ledger.slots[slot]
-        unused = home.brought_to == self.own and not held.pools
+        location = self.locations[slot]
+        own_slot = self.ledger.slots[slot]
+        unused = location.brought_to == self.own and not own_slot.pools
         if unused:
-            held.withdraw_allowance(self.own)
-        if unused or self._allowance_due(home, now):
-            home.send_allowance(owner, now, fresh=True)
-        held.remove(self.own, now)
-        home.owner = owner
-        home.until = self.owner_state(owner).echo_at + self.term_seconds
-        home.ending = False
-        home.left_out = None
+            own_slot.withdraw_allowance(self.own)
+        if unused or self._allowance_due(location, now):
+            location.send_allowance(owner, now, fresh=True)
+        own_slot.remove(self.own, now)
+        location.owner = owner
+        location.until = self.owner_state(owner).echo_at + self.term_seconds
+        location.ending = False
+        location.left_out = None
 
     def take_back(self, slot: int, now: float) -> None:
-        """Takes the rights of a slot back into the own ledger."""
-        home = self.locations[slot]
-        home.owner = self.own
-        home.until = NEVER
-        home.ending = False
-        home.left_out = None
+        """Takes the rights of a slot back into this router's ledger."""
+        location = self.locations[slot]
+        location.owner = self.own
+        location.until = NEVER
+        location.ending = False
+        location.left_out = None
         if self.share:
             self._put(slot, now)
 
     def _messages(self, now: float) -> list[tuple[str, messages.LeaseRights]]:
-        owners = {home.owner for home in self.locations} | set(self.wanted)
+        owners = {location.owner for location in self.locations} | set(
+            self.wanted
+        )
         owners.discard(self.own)
         return [(each, self._message(each, now)) for each in sorted(owners)]
 
     def _message(self, owner: str, now: float) -> messages.LeaseRights:
-        talk = self.owner_state(owner)
-        talk.number += 1
-        if talk.waiting_since is None:
-            talk.waiting_since = now
+        state = self.owner_state(owner)
+        state.number += 1
+        if state.waiting_since is None:
+            state.waiting_since = now
         lent, fresh = [], []
-        for slot, home in enumerate(self.locations):
-            if home.owner == owner and not home.ending:
+        for slot, location in enumerate(self.locations):
+            if location.owner == owner and not location.ending:
                 lent.append(slot)
-                home.until = max(home.until, talk.echo_at + self.term_seconds)
-            elif home.owner == owner and home.left_out is None:
-                home.left_out = talk.number
+                location.until = max(
+                    location.until, state.echo_at + self.term_seconds
+                )
+            elif location.owner == owner and location.left_out is None:
+                location.left_out = state.number
             elif self._sends_allowance_ahead(slot, owner, now):
-                home.send_allowance(owner, now, fresh=True)
-            asked = owner in (home.owner, self.wanted[slot])
-            if home.fresh and home.brought_to == owner and asked:
-                home.brought_at = now
+                location.send_allowance(owner, now, fresh=True)
+            asked = owner in (location.owner, self.wanted[slot])
+            if location.fresh and location.brought_to == owner and asked:
+                location.brought_at = now
                 fresh.append(slot)
         return messages.LeaseRights(
-            number=talk.number,
+            number=state.number,
             life=self.life,
-            echo_ms=talk.echo_ms,
+            echo_ms=state.echo_ms,
             term_ms=int(1000 * self.term_seconds),
             share=self.share,
             slots=lent,
             fresh=fresh,
-            unanswered=talk.number - talk.answered,
+            unanswered=state.number - state.answered,
         )
 
     def _sends_allowance_ahead(self, slot: int, owner: str, now: float) -> bool:
-        """Returns whether an owner is asked before the rights can come."""
-        home = self.locations[slot]
-        waits = home.owner == self.own or self._is_suspected(home.owner, now)
+        """Returns whether to send an owner the allowance before the rights.
+
+        That is so if it gets acquires before the rights can be lent to it.
+        """
+        location = self.locations[slot]
+        waits = location.owner == self.own or self._is_suspected(
+            location.owner, now
+        )
         return (
             self.wanted[slot] == owner
-            and home.owner != owner
+            and location.owner != owner
             and self.share > 0
             and waits
-            and self._allowance_due(home, now)
+            and self._allowance_due(location, now)
         )
 
     def handle_answer(
         self, owner: str, answer: messages.RightsLeased, now: float
     ) -> None:
-        """Takes an owner's answer."""
-        talk = self.owner_state(owner)
+        """Handles an owner's answer to a lease message."""
+        state = self.owner_state(owner)
         if answer.leaving:
             self._handle_leaving(owner, now)
             return
-        if not talk.answered < answer.number <= talk.number:
+        if not state.answered < answer.number <= state.number:
             return
-        talk.answered = answer.number
-        talk.echo_ms = answer.clock_ms
-        talk.echo_at = now
-        talk.waiting_since = None
-        talk.avoided_seconds = 0.0
-        talk.avoided_until = -NEVER
-        for home in self.locations:
-            if home.brought_to == owner:
-                home.fresh = False
+        state.answered = answer.number
+        state.echo_ms = answer.clock_ms
+        state.echo_at = now
+        state.waiting_since = None
+        state.avoided_seconds = 0.0
+        state.avoided_until = -NEVER
+        for location in self.locations:
+            if location.brought_to == owner:
+                location.fresh = False
 
     def _handle_leaving(self, owner: str, now: float) -> None:
-        """Takes that an owner ends, and holds no rights any more."""
-        talk = self.owner_state(owner)
-        talk.avoid(LEAVING_SECONDS, now)
-        talk.echo_at = -NEVER
-        for slot, home in enumerate(self.locations):
-            if home.owner == owner:
+        """Handles that an owner shuts down and has released all rights."""
+        state = self.owner_state(owner)
+        state.avoid(LEAVING_SECONDS, now)
+        state.echo_at = -NEVER
+        for slot, location in enumerate(self.locations):
+            if location.owner == owner:
                 self.take_back(slot, now)
