--- a/pimentoledge/routing/charges.py
+++ b/pimentoledge/routing/charges.py
@@ -1,4 +1,4 @@
-"""What one request has acquired of a limit."""
+"""Grants of a limit that one request has acquired."""
 
 import asyncio
 
@@ -6,19 +6,21 @@
 from pimentoledge.routing.quotas import ledgers
 from pimentoledge.routing.quotas import limiters
 
-# Below this part of all rights a ledger's refusal says little of the limit.
+# A refusal by a ledger with a smaller part of all rights than this does not
+# mean that the limit is used up.
 KNOWN_SHARE = 0.5
 
 
 class Charge:
-    """A request's part of a limit: one for each time that it may have run.
+    """A request's grants of a limit: one for each time that it may have run.
 
     Attributes:
-        limiter: asks for it.
-        organisation: whose request it is, or the name of a server's limit.
-        limit: as this router knows it.
-        cost: of the request, in the limit's unit.
-        owners: routers that granted it, by mailbox, one for each grant.
+        limiter: acquires the grants.
+        organisation: organisation of the request, or the name of a server's
+            limit.
+        limit: the limit that this router has cached.
+        cost: cost of one run, in the limit's unit.
+        owners: mailboxes of the routers that granted it, one for each grant.
     """
 
     def __init__(
@@ -36,7 +38,7 @@
         self.owners: list[str] = []
 
     async def acquire(self) -> limiters.AcquireResult:
-        """Asks for the cost of one run."""
+        """Acquires the cost of one run."""
         future = asyncio.get_running_loop().create_future()
         number = self.limiter.acquire(
             self.organisation,
@@ -68,11 +70,11 @@
         )
 
     def settle(self, runs: int) -> None:
-        """Gives back what was acquired for runs that never were."""
+        """Gives back the grants for runs that did not take place."""
         while len(self.owners) > runs:
             self._give_back(self.owners.pop())
 
 
 def is_known(answer: limiters.AcquireResult) -> bool:
-    """Returns whether a refusal tells that the limit is used up."""
+    """Returns whether a refusal means that the limit is used up."""
     return answer.decision.share >= KNOWN_SHARE
--- a/pimentoledge/routing/server_limits.py
+++ b/pimentoledge/routing/server_limits.py
@@ -1,27 +1,29 @@
-"""Limits that servers name in their answers, by each life of a server."""
+"""Limits that servers advertise in their answers, by server incarnation."""
 
 from collections.abc import Container
 from collections.abc import Iterable
 
 import attrs
 
-# Stands for no limit in what routers tell each other.
+# Encodes "no limit" in messages between routers.
 NO_LIMIT = -1.0
-# A limit below this counts as this: only an answer can show that it has ended.
+# Lower bound of a limit. Only an answer can show that a limit has ended, so a
+# few requests must reach the server.
 MIN_PER_SECOND = 0.1
-# An ended limit, and that of a server that is gone, is forgotten after this.
+# Ended limits and those of removed servers are dropped after this time.
 FORGET_SECONDS = 60.0
-# Times of one limit that differ by less come from its way between routers.
+# Smaller differences between the times of one limit are caused by its
+# transmission between routers.
 ECHO_SECONDS = 0.25
 
 
 @attrs.frozen(kw_only=True)
 class AdvertisedLimit:
-    """What a server's answer said of its limit.
+    """A limit advertised in a server's answer.
 
     Attributes:
-        per_second: requests a second that it takes of all routers together,
-            or None if it names no limit any more.
+        per_second: requests a second that it accepts from all routers together,
+            or None if it advertises no limit any more.
         received_at: when that was received, in seconds of clocks.now.
     """
 
@@ -30,10 +32,10 @@
 
 
 class ServerLimits:
-    """The newest advertised limit of each server that has named one.
+    """The newest limit of each server that has advertised one.
 
     Attributes:
-        advertised: by incarnation.
+        advertised: newest limit by incarnation.
     """
 
     def __init__(self):
@@ -47,16 +49,17 @@
         sent_at: float,
         received_at: float,
     ) -> bool:
-        """Takes a server's answer; returns whether it is news.
+        """Records the limit in a server's answer; returns if it changed.
 
-        Answers on different connections may overtake each other, so one to a
-        request that was sent before the known limit came only lowers it.
+        Answers on different connections may overtake each other, so the answer
+        to a request that was sent before the cached limit was received can only
+        lower it.
 
         Args:
             server: the server's incarnation.
-            per_second: the limit that it names, or None.
+            per_second: the limit that it advertises, or None.
             sent_at: when the request was sent.
-            received_at: when the answer came.
+            received_at: when the answer was received.
         """
         known = self.advertised.get(server)
         if known is None and per_second is None:
@@ -74,7 +77,7 @@
         return per_second != before
 
     def merge(self, server: str, limit: AdvertisedLimit) -> bool:
-        """Takes what another router has received; returns if it is news."""
+        """Merges a limit from another router; returns if it changed."""
         known = self.advertised.get(server)
         if known is None:
             if limit.per_second is None:
@@ -106,7 +109,7 @@
     def encode(
         self, servers: Iterable[str], now: float
     ) -> dict[str, tuple[float, int]]:
-        """Returns limits as they go to other routers; see LimitReport."""
+        """Returns limits in the form of a LimitReport to other routers."""
         found = {}
         for server in servers:
             limit = self.advertised.get(server)
@@ -124,10 +127,10 @@
         )
 
     def expire(self, declared: Container[str], now: float) -> None:
-        """Forgets limits that have ended, and those of servers that are gone.
+        """Drops limits that have ended, and those of removed servers.
 
         Args:
-            declared: incarnations of the servers that are believed to be.
+            declared: incarnations of the servers that are registered.
             now: the time.
         """
         for server, limit in list(self.advertised.items()):
--- a/pimentoledge/routing/server_permits.py
+++ b/pimentoledge/routing/server_permits.py
@@ -1,7 +1,7 @@
-"""Permits for calls to servers that have named a limit.
+"""Permits for calls to servers that have advertised a limit.
 
-A server's limit is shared by all routers, by the same rights and owners as
-limits of organisations are; see the quotas package.
+All routers share a server's limit by the same rights and owners as the limits
+of organisations; see the quotas package.
 """
 
 import attrs
@@ -14,38 +14,38 @@
 from pimentoledge.routing.quotas import ledgers
 from pimentoledge.routing.quotas import limiters
 
-# No permit is asked for again before this after a refusal.
+# Shortest time after a refusal until the next permit is requested.
 SHORTEST_WAIT_SECONDS = 0.1
-# The same while its owner has not yet got the rights of most routers.
+# That time if the owner does not have the rights of most routers yet.
 UNKNOWN_WAIT_SECONDS = 0.4
 
 
 @attrs.frozen(kw_only=True)
 class Permit:
-    """Whether a call may reach a server.
+    """Decision whether a call may be sent to a server.
 
     Attributes:
-        granted: whether it may.
-        charge: what was acquired of the server's limit; None without one.
+        granted: whether the call may be sent.
+        charge: grant of the server's limit; None if it has no limit.
     """
 
     granted: bool
     charge: charges.Charge | None = None
 
     def give_back(self) -> None:
-        """Returns the permit of a call that was never sent."""
+        """Gives back the permit of a call that was never sent."""
         if self.charge is not None:
             self.charge.settle(0)
 
 
 @attrs.frozen(kw_only=True)
 class Permits:
-    """Acquires permits: every call to a server needs one, whoever makes it.
+    """Acquires permits, which every call to a server needs.
 
     Attributes:
-        limits: the limits that servers have named.
-        limiter: holds them over all routers.
-        lines: where refusals are written.
+        limits: limits that servers have advertised.
+        limiter: enforces them over all routers.
+        lines: log for refusals.
     """
 
     limits: server_limits.ServerLimits
@@ -59,7 +59,7 @@
 
         Args:
             backend: the server.
-            request: the client's id, or "" for a call of the system's own.
+            request: id of the client's request, or "" for an internal call.
         """
         server = backend.registration.incarnation
         per_second = self.limits.get(server)
@@ -82,7 +82,7 @@
         return Permit(granted=False)
 
     def is_missing(self, backend: backends.Backend, permit: Permit) -> bool:
-        """Returns whether a server named a limit after a permit was given."""
+        """Returns whether a server advertised a limit after the permit."""
         limit = self.limits.get(backend.registration.incarnation)
         return limit is not None and permit.charge is None
 
@@ -110,7 +110,7 @@
 
 
 def wait_seconds(answer: limiters.AcquireResult) -> float:
-    """Returns for how long no permit is asked for after a refusal."""
+    """Returns how long no permit is requested after a refusal."""
     if not charges.is_known(answer):
         return UNKNOWN_WAIT_SECONDS
     wait = answer.decision.wait_seconds
