--- a/pimentoledge/routing/lease_holders.py
+++ b/pimentoledge/routing/lease_holders.py
@@ -21,30 +21,32 @@
 KIND = "router-leases"
 NAME = "orders"
 STEP_SECONDS = 0.03
-# Each router waits so much longer than the one before it in rank.
+# Additional wait per rank before a router takes the lease.
 RANK_SECONDS = 0.4
-# Routers stop sending work to a runner so long before it is told to load.
+# Time between the announcement of a load, at which routers stop sending
+# requests to the runner, and the order to load.
 NOTICE_SECONDS = 0.02
-# How long others leave a runner alone unless the store says that it is done.
+# How long routers avoid a runner that loads, unless the store shows earlier
+# that the load is done.
 AVOID_SECONDS = 0.9
-# How long a runner is kept free of requests while an order waits for a permit.
+# Longest wait of an order for a permit. The runner gets no requests meanwhile.
 PERMIT_SECONDS = 3.0
-# Between attempts at a store that doesn't answer.
+# Interval between calls to a store that does not answer.
 RETRY_SECONDS = 0.4
 
 
 class LeaseHolder:
-    """Takes the lease when orders are due and nobody else gives them.
+    """Takes the lease when orders are due and no other router gives them.
 
     Attributes:
-        view: what the process believes.
-        lease: what it knows of the lease.
-        rollout: which orders are due.
+        view: the router's view of the cluster.
+        lease: the router's cached state of the lease.
+        rollout: decides which orders are due.
         store: the store's client.
-        runners: gives the orders.
-        permits: hold the limits that runners have named.
+        runners: client that sends orders to runners.
+        permits: enforce the limits that runners have advertised.
         peers: the other routers.
-        lines: where decisions are written.
+        lines: log for decisions.
     """
 
     def __init__(
@@ -72,11 +74,11 @@
         self._orders: set[asyncio.Task] = set()
 
     def start(self) -> None:
-        """Begins."""
+        """Starts the task."""
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def close(self) -> None:
-        """Stops; orders under way are not waited for."""
+        """Stops the task, and cancels orders in flight."""
         if self._task is not None:
             self._task.cancel()
         for each in self._orders:
@@ -112,8 +114,8 @@
     def _is_turn(self, now: float) -> bool:
         """Returns whether this router should act on the lease.
 
-        The present holder acts at once, the others in turn after it, and
-        none beside a holder that is heard.
+        The current holder acts at once, the others after it in order of rank.
+        None acts while it receives the holder's heartbeats.
         """
         if self._due_since is None:
             self._due_since = now
@@ -125,7 +127,7 @@
         return now - self._due_since >= RANK_SECONDS * self._rank(now)
 
     def _rank(self, now: float) -> int:
-        """Returns how many heard routers should act before this one."""
+        """Returns how many live routers should act before this one."""
         if self.lease.held_by == self.lease.holder:
             return 0
         mine = (self.view.leaving, self.peers.address)
@@ -137,31 +139,32 @@
         return len(better) + (1 if self.lease.held_by else 0)
 
     def busy(self) -> bool:
-        """Returns whether this router is the one that gives orders now.
+        """Returns whether this router holds the lease and has orders to give.
 
-        One that ends then goes on as long as it may: its successor would
-        have to wait until no order of it could come close to its own.
+        A router that shuts down then continues as long as it may: a successor
+        would first have to wait until no order of this router can be too close
+        to its own.
         """
         return self.lease.holds(clocks.now()) and self.rollout.needed()
 
     async def _read(self) -> None:
-        found = await self.store.read(KIND, NAME)
-        if isinstance(found, registrations.Unavailable):
+        stored = await self.store.read(KIND, NAME)
+        if isinstance(stored, registrations.Unavailable):
             await asyncio.sleep(RETRY_SECONDS)
             return
-        self.lease.learn(found, clocks.now())
+        self.lease.learn(stored, clocks.now())
 
     async def _write(self, now: float) -> None:
         before = self.lease.held_by
-        found = await self.store.write(
+        outcome = await self.store.write(
             KIND,
             NAME,
             {"holder": self.lease.holder, "sent": now},
             revision=self.lease.revision or None,
         )
-        match found:
+        match outcome:
             case registrations.Stored():
-                self.lease.record_write(found, now)
+                self.lease.record_write(outcome, now)
                 if before != self.lease.holder:
                     self.lines.write(
                         "lease_taken",
@@ -172,12 +175,12 @@
                         ),
                     )
                     self.peers.beat_now()
-            case registrations.Conflict(found=held):
+            case registrations.Conflict(found=current):
                 self.lines.write("lease_conflict", before=before)
-                if held is None:
+                if current is None:
                     self.lease.mark_unknown()
                 else:
-                    self.lease.learn(held, clocks.now())
+                    self.lease.learn(current, clocks.now())
             case registrations.Unavailable(reason=reason):
                 self.lines.write("lease_write_failed", why=reason)
                 self.lease.mark_unknown()
@@ -199,7 +202,7 @@
         self.peers.beat_now()
 
     async def _send_order(self, due: rollouts.DueLoad) -> None:
-        """Gives one order."""
+        """Sends one order and records its verdict."""
         verdict = rollouts.OrderVerdict.UNREACHED
         try:
             await asyncio.sleep(NOTICE_SECONDS)
@@ -221,8 +224,8 @@
     async def _acquire_permit(self, backend: backends.Backend) -> bool:
         """Returns whether a call to a runner is permitted; waits for its limit.
 
-        Meanwhile the runner counts as about to load, so that requests leave
-        its limit to the order.
+        During the wait the runner is announced as loading, so that requests do
+        not use up its limit before the order.
         """
         until = clocks.now() + PERMIT_SECONDS
         while True:
@@ -253,7 +256,7 @@
         now = clocks.now()
         if due.backend.is_leaving() or due.backend.is_backing_off(now):
             return rollouts.OrderVerdict.UNREACHED
-        # The lease is looked at last: the report may have taken long.
+        # The lease is checked last because the report may have taken long.
         if not self.lease.may_order(now):
             return rollouts.OrderVerdict.UNREACHED
         return await self.runners.load(
--- a/pimentoledge/routing/leases.py
+++ b/pimentoledge/routing/leases.py
@@ -1,8 +1,8 @@
-"""Who alone may give orders: one object in the store, changed conditionally.
+"""The lease of the router that gives orders: one conditionally written object.
 
 A pure state machine. A holder gives orders only for a short term after it
-sent a write that succeeded; a successor's write makes the holder's next one
-fail. So an idle holder costs no calls, and can be succeeded at once.
+sent a successful write; a successor's write makes the holder's next write
+fail. So an idle holder needs no calls, and can be replaced at once.
 """
 
 import enum
@@ -11,17 +11,17 @@
 
 from pimentoledge.routing import registrations
 
-# Orders may be given so long after a successful write was sent. The store
-# answers in some ms, in some hundred where it is slow.
+# How long orders may be given after a successful write was sent. The store
+# answers within a few ms, or some hundred ms if it is slow.
 TERM_SECONDS = 1.5
-# A holder with work writes again when less than this is left of its term.
+# A holder with orders due renews when less than this is left of its term.
 RENEW_SECONDS = 0.8
-# No order is begun in the last part of the term: it is on its way meanwhile.
+# No order is sent in the last part of the term, as it takes time to arrive.
 ORDER_MARGIN_SECONDS = 0.25
 
 
 class Step(enum.StrEnum):
-    """What the owner of the lease should do next."""
+    """What the process that uses the lease should do next."""
 
     READ = "read"
     WRITE = "write"
@@ -31,17 +31,19 @@
 
 @attrs.define(kw_only=True)
 class Lease:
-    """What one process knows of the lease.
+    """One process's cached state of the lease.
 
     Attributes:
-        holder: this process's VM, as it stands in the lease.
-        lease_seconds: no two holders' orders may be closer than this.
-        revision: the lease's newest known revision; 0 if there is none;
-            None if not known.
+        holder: name of this process's VM in the lease.
+        lease_seconds: minimum time between orders of two different holders.
+        revision: the lease's newest known revision; 0 if the object does not
+            exist; None if unknown.
         held_by: its holder at that revision, or "".
-        learnt_at: when that revision became known here.
-        term_ends: until when this process may give orders.
-        quiet_until: before this, a former holder's orders are too close.
+        learnt_at: when that revision became known to this process, or to a peer
+            that knew it earlier.
+        term_ends: when this process's term ends.
+        quiet_until: no orders are sent before this time, because they would be
+            too close to a former holder's.
         fence: this tenure's fencing token.
     """
 
@@ -55,7 +57,7 @@
     fence: int = 0
 
     def step(self, now: float) -> Step:
-        """Returns what to do next, where orders are due."""
+        """Returns what to do next if orders are due."""
         if self.revision is None:
             return Step.READ
         if self.term_ends - now < RENEW_SECONDS:
@@ -72,7 +74,7 @@
         return now < self.term_ends
 
     def learn(self, stored: registrations.Stored | None, now: float) -> None:
-        """Takes the lease as it was read or told."""
+        """Updates the state from a read or from a peer's report."""
         revision = 0 if stored is None else stored.revision
         if self.revision is not None and revision <= self.revision:
             return
@@ -83,7 +85,13 @@
             self.term_ends = 0.0
 
     def merge_peer(self, revision: int, held_by: str, learnt: float) -> None:
-        """Takes what another process knows of the lease, and since when."""
+        """Merges another process's state of the lease.
+
+        Args:
+            revision: the newest revision that it knows.
+            held_by: the holder at that revision.
+            learnt: when it learnt that revision.
+        """
         self.learn(
             registrations.Stored(
                 name="", revision=revision, value={"holder": held_by}
@@ -94,19 +102,19 @@
             self.learnt_at = min(self.learnt_at, learnt)
 
     def mark_unknown(self) -> None:
-        """Takes a write whose outcome is unknown."""
+        """Records a write whose outcome is unknown."""
         self.revision = None
 
     def record_write(self, stored: registrations.Stored, sent: float) -> None:
-        """Takes this process's own successful write.
+        """Records this process's own successful write.
 
         Args:
-            stored: the lease as it is now.
-            sent: when the write was sent; the term counts from then.
+            stored: the lease after the write.
+            sent: when the write was sent; the term starts then.
         """
         if self.held_by not in ("", self.holder):
             # The former holder's last successful write was sent before its
-            # revision was learnt here.
+            # revision became known here, so its term ends no later than this.
             last_order = self.learnt_at + TERM_SECONDS
             quiet = last_order + self.lease_seconds
             self.quiet_until = max(self.quiet_until, quiet)
