--- a/pimentoledge/routing/rollouts.py
+++ b/pimentoledge/routing/rollouts.py
@@ -1,7 +1,7 @@
-"""Which runner is told to load which weights, and when.
+"""Rollout of weights: which runner loads which version, and when.
 
-A pure state machine: it takes what is believed and the time, and returns what
-to do. Only the holder of the lease runs it.
+A pure state machine: it returns the orders that are due for a view of the
+cluster and a time. Only the holder of the lease runs it.
 """
 
 import enum
@@ -11,19 +11,19 @@
 from pimentoledge.routing import backends
 from pimentoledge.routing import cluster_views
 
-# Part of a model's runners that load at one time: reading weights slows down
-# with more of them, and the others carry all requests meanwhile. Measured
-# rounds with 2, 3, 4 and 9 of 9 favoured 2 and 3.
+# Part of a model's runners that load at the same time. Reading weights is
+# slower with more of them, and the others serve all requests meanwhile: of 9
+# runners, 2 or 3 at once give better results than 4 or 9.
 CONCURRENT_LOAD_SHARE = 0.4
-# A load is believed to be under way so long, until the runner says that it
-# has the weights.
+# How long a load counts as in progress if the runner does not report earlier
+# that it has the weights.
 LOAD_SECONDS = 1.5
-# A runner that refused or did not answer is asked again after this.
+# Delay until the next order to a runner that refused or did not answer.
 RETRY_SECONDS = 0.3
 
 
 class OrderVerdict(enum.StrEnum):
-    """What a runner made of an order."""
+    """A runner's verdict on an order."""
 
     TAKEN = "taken"
     HOLDS = "holds"
@@ -33,20 +33,20 @@
     REFUSED = "refused"
     # Nothing was sent.
     UNREACHED = "unreached"
-    # It may have been taken, or may be carried out seconds later.
+    # The runner may have taken the order, or may execute it seconds later.
     UNKNOWN = "unknown"
 
 
 @attrs.frozen(kw_only=True)
 class RunnerReport:
-    """What a runner reports.
+    """A runner's report of its state.
 
     Attributes:
         weights: version of each of its models.
-        loading: whether an order is being carried out.
-        orders_taken: orders that it has taken since its start.
-        born: when its present life began, or None; see Registration.
-        leaving: whether it leaves.
+        loading: whether it is executing an order.
+        orders_taken: number of orders that it has taken since its start.
+        born: when its process started, or None; see Registration.
+        leaving: whether it is draining.
     """
 
     weights: dict[str, int]
@@ -61,12 +61,12 @@
     """An order to load weights.
 
     Attributes:
-        model: which model.
-        version: which version.
+        model: the model to load.
+        version: the version of its weights.
         fence: the holder's fencing token.
-        orders_taken: it is carried out only if the runner has taken so many
-            orders before: an order that comes late, after a newer one, must
-            not bring older weights back.
+        orders_taken: the order is executed only if the runner has taken exactly
+            this many orders before, so that an order that is delayed past a
+            newer one does not bring older weights back.
     """
 
     model: str
@@ -77,13 +77,13 @@
 
 @attrs.define(kw_only=True)
 class Progress:
-    """How far one runner is.
+    """Progress of one runner in the rollout.
 
     Attributes:
         ends: when a load that was ordered counts as failed.
-        not_before: when it may be asked or told again.
-        orders_taken: orders that it has taken, or None if not known.
-        calling: whether a call to it is under way.
+        not_before: when the next call to it is allowed.
+        orders_taken: number of orders that it has taken, or None if unknown.
+        calling: whether a call to it is in flight.
     """
 
     ends: float = 0.0
@@ -94,12 +94,12 @@
 
 @attrs.frozen(kw_only=True)
 class DueLoad:
-    """A runner that is to be told now.
+    """An order that is due.
 
     Attributes:
-        backend: which runner.
-        model: which model.
-        version: which version.
+        backend: the runner that gets the order.
+        model: the model to load.
+        version: the version of its weights.
     """
 
     backend: backends.Backend
@@ -111,8 +111,8 @@
     """Brings runners to the wanted weights, a few at a time.
 
     Attributes:
-        view: what the process believes.
-        progress: by incarnation.
+        view: the router's view of the cluster.
+        progress: progress of runners by incarnation.
     """
 
     def __init__(self, *, view: cluster_views.ClusterView):
@@ -134,9 +134,9 @@
         return any(self.behind(model) for model in self.view.wanted)
 
     def due(self, now: float) -> list[DueLoad]:
-        """Returns the runners to tell now."""
+        """Returns the orders to give now."""
         self._forget_gone()
-        found = []
+        orders = []
         for model, wanted in self.view.wanted.items():
             behind = self.behind(model)
             loading = [each for each in behind if self._is_loading(each, now)]
@@ -151,18 +151,19 @@
             for group in self._by_age(model, rest):
                 taken = loading + chosen
                 chosen += _spread(group, taken, room - len(chosen), now)
-            found += [
+            orders += [
                 DueLoad(backend=each, model=model, version=wanted.version)
                 for each in chosen
             ]
-        return found
+        return orders
 
     def _idle(
         self, model: str, waiting: list[backends.Backend], now: float
     ) -> list[backends.Backend]:
-        """Returns the runners on which no request may begin any more.
+        """Returns the runners on which no request may start any more.
 
-        They serve nobody until they have loaded, so others need not wait.
+        They serve no requests until they have loaded, so their loads do not
+        count against the number of concurrent loads.
         """
         return [
             each
@@ -175,7 +176,7 @@
     def _by_age(
         self, model: str, waiting: list[backends.Backend]
     ) -> list[list[backends.Backend]]:
-        """Returns the runners by the version they have, the oldest first."""
+        """Returns the runners grouped by their version, oldest first."""
         by_version: dict[int, list[backends.Backend]] = {}
         for each in waiting:
             version = each.registration.weights[model]
@@ -193,10 +194,11 @@
     ) -> int:
         """Returns how many more runners of a model may load now.
 
-        A runner that can't be reached serves as little as one that loads.
-        Where a third was down and a share of all of them was told to load
-        besides, a third was left for all requests, and half of the streams
-        begun then came late. One is always let through: a rollout must end.
+        An unreachable runner counts as loading, because it serves no requests
+        either. If a third of the runners is down and a share of all runners
+        loads in addition, only a third serves all requests, and half of the
+        new streams are late. At least one load is always allowed, so that the
+        rollout ends.
         """
         runners = [
             each
@@ -214,7 +216,7 @@
         return room if loading else max(1, room)
 
     def progress_of(self, backend: backends.Backend) -> Progress:
-        """Returns how far a runner is."""
+        """Returns the progress of a runner."""
         incarnation = backend.registration.incarnation
         return self.progress.setdefault(incarnation, Progress())
 
@@ -231,7 +233,7 @@
     def note_verdict(
         self, due: DueLoad, verdict: OrderVerdict, now: float
     ) -> None:
-        """Takes a runner's word on an order."""
+        """Records a runner's verdict on an order."""
         progress = self.progress_of(due.backend)
         progress.calling = False
         progress.not_before = now + RETRY_SECONDS
@@ -240,7 +242,8 @@
                 progress.ends = now + LOAD_SECONDS
                 progress.orders_taken += 1
             case OrderVerdict.HOLDS:
-                # The store has not told yet that the runner has them.
+                # The store's notification that the runner has the weights has
+                # not arrived yet.
                 progress.ends = now + RETRY_SECONDS
             case OrderVerdict.WRONG_SERVER:
                 due.backend.over = True
@@ -260,10 +263,10 @@
     room: int,
     now: float,
 ) -> list[backends.Backend]:
-    """Returns up to `room` runners, from as many data centres as can be.
+    """Returns up to `room` runners, from as many data centres as possible.
 
-    Each data centre keeps runners that serve it meanwhile; the least busy
-    runners go first, as fewest runs change weights under way.
+    So each data centre keeps runners that serve it. The least busy runners are
+    first, so that weights change during as few requests as possible.
     """
     taken: dict[str, int] = {}
     for each in loading:
--- a/pimentoledge/routing/wanted_weights.py
+++ b/pimentoledge/routing/wanted_weights.py
@@ -1,33 +1,33 @@
-"""Which version of a model's weights is wanted, and since when."""
+"""The wanted version of a model's weights, and when it was announced."""
 
 import enum
 
 import attrs
 
-# Versions kept besides the newest. Of more, the two oldest count as one that
-# was named when the older was.
+# Number of versions kept in addition to the newest. If there are more, the two
+# oldest are merged into one with the earlier of their times.
 MAX_EARLIER = 8
 
 
 class Source(enum.IntEnum):
-    """Where the time at which a version was named comes from, best first."""
+    """Source of the time at which a version was announced, best first."""
 
-    # Some router heard the version as it was named.
+    # A router received the version when it was announced.
     HEARD = 0
-    # Some router knew all versions then, and this was none of them.
+    # Lower bound: a router had all versions at that time, without this one.
     NOT_BEFORE = 1
-    # A router found the version as it started.
+    # A router read the version when it started.
     GUESSED = 2
 
 
 @attrs.frozen(kw_only=True)
 class NamedVersion:
-    """A version that was named.
+    """A version that was announced.
 
     Attributes:
         version: its number.
-        since: when it was named, in seconds of clocks.now.
-        source: where that time comes from.
+        since: when it was announced, in seconds of clocks.now.
+        source: source of that time.
     """
 
     version: int
@@ -35,10 +35,10 @@
     source: Source = Source.HEARD
 
     def merge(self, other: "NamedVersion") -> "NamedVersion":
-        """Returns what is known of a version by two accounts of it.
+        """Merges two records of the same version.
 
-        Of two times before which it was not named the later holds, of others
-        the earlier.
+        The better source wins. With equal sources the earlier time wins, but
+        of two lower bounds the later.
         """
         if self.source != other.source:
             return min(self, other, key=lambda each: each.source)
@@ -48,16 +48,16 @@
 
     @property
     def is_exact(self) -> bool:
-        """Whether nothing better can show that it was named later."""
+        """Whether no better source can show a later time."""
         return self.source is Source.HEARD
 
 
 class WantedWeights:
-    """The version of a model's weights that is wanted.
+    """The wanted version of a model's weights.
 
     Attributes:
-        named: versions that were named, oldest first. One that can't bind any
-            runner sooner than a newer one does is left out.
+        named: versions that were announced, oldest first, without those that
+            supersede no runner's weights earlier than a newer version does.
     """
 
     def __init__(self, first: NamedVersion):
@@ -65,26 +65,26 @@
 
     @property
     def newest(self) -> NamedVersion:
-        """The newest that was named."""
+        """The newest version that was announced."""
         return self.named[-1]
 
     @property
     def version(self) -> int:
-        """Number of the newest that was named."""
+        """Number of the newest version."""
         return self.newest.version
 
     @property
     def since(self) -> float:
-        """When the newest was named, or may have been."""
+        """When the newest version was announced, or may have been."""
         return self.newest.since
 
     def superseded(self, version: int) -> float | None:
-        """Returns when a version newer than this was first named, or None."""
+        """Returns when a newer version was first announced, or None."""
         times = [each.since for each in self.named if each.version > version]
         return min(times, default=None)
 
     def add(self, named: NamedVersion) -> bool:
-        """Takes a named version; returns whether it is the newest, and new."""
+        """Adds a version; returns whether it is newer than all others."""
         is_news = named.version > self.version
         by_version = {each.version: each for each in self.named}
         known = by_version.get(named.version)
@@ -97,9 +97,10 @@
 
 
 def _without_redundant(named: list[NamedVersion]) -> list[NamedVersion]:
-    """Returns the versions that some runner's weights may be judged by.
+    """Returns the versions that may determine when weights are superseded.
 
-    A time that may yet turn out to be later makes no other needless.
+    A version whose time may still turn out to be later makes no other version
+    redundant.
     """
     *earlier, newest = named
     kept = [newest]
