--- a/pimentoledge/routing/quotas/ledgers.py
+++ b/pimentoledge/routing/quotas/ledgers.py
@@ -240,10 +240,10 @@
         self.advance(now)
         if allowance:
             self.add_allowance(router, lease.share, now)
-        held = self.leases.get(router)
+        previous = self.leases.get(router)
         self.leases[router] = lease
         self._lapses_at = min(self._lapses_at, lease.until)
-        if held is None or held.share != lease.share:
+        if previous is None or previous.share != lease.share:
             self._update_share()
 
     def add_allowance(self, router: str, share: float, now: float) -> None:
@@ -252,19 +252,19 @@
         A message may be repeated, and a restarted router has no record of the
         allowances of its former process.
         """
-        held = self.allowances.get(router)
-        if held is not None and now - held.at < self.window_seconds:
+        previous = self.allowances.get(router)
+        if previous is not None and now - previous.at < self.window_seconds:
             return
-        if held is not None:
-            self._lapse(held)
+        if previous is not None:
+            self._lapse(previous)
         self.allowances[router] = Allowance(share=share, at=now)
         self.brought += share
 
     def withdraw_allowance(self, router: str) -> None:
         """Removes a router's allowance, which no pool has counted."""
-        held = self.allowances.pop(router, None)
-        if held is not None and not held.lapsed:
-            self.brought -= held.share
+        allowance = self.allowances.pop(router, None)
+        if allowance is not None and not allowance.lapsed:
+            self.brought -= allowance.share
 
     def _lapse(self, allowance: Allowance) -> None:
         if not allowance.lapsed:
@@ -285,8 +285,8 @@
             return
         self.advance(now)
         self._refill_all()
-        gone = self.leases.pop(router)
-        kept = 1 - gone.share / self.share if self.share else 0.0
+        removed = self.leases.pop(router)
+        kept = 1 - removed.share / self.share if self.share else 0.0
         for pool in self.pools.values():
             if pool.level > 0:
                 pool.level *= max(0.0, kept)
--- a/pimentoledge/routing/quotas/limiters.py
+++ b/pimentoledge/routing/quotas/limiters.py
@@ -53,7 +53,7 @@
         owner: mailbox of the owner that the acquire was sent to.
         began: when the request arrived.
         asked_at: when the acquire was sent to that owner.
-        asked: number of owners tried so far.
+        owners_asked: number of owners tried so far.
     """
 
     organisation: str
@@ -63,7 +63,7 @@
     owner: str
     began: float
     asked_at: float
-    asked: int = 1
+    owners_asked: int = 1
 
 
 class Limiter:
@@ -191,10 +191,10 @@
         """
         slot = ledgers.slot_of(pending_acquire.organisation)
         owner = self.rights.next_owner(slot, now)
-        if owner is None or pending_acquire.asked > 1:
+        if owner is None or pending_acquire.owners_asked > 1:
             return False
         self._send_or_decide(
-            attrs.evolve(pending_acquire, owner=owner, asked=2), now
+            attrs.evolve(pending_acquire, owner=owner, owners_asked=2), now
         )
         return True
 
@@ -248,7 +248,9 @@
         self, number: int, pending_acquire: PendingAcquire, now: float
     ) -> None:
         """Tries the next owner, or decides by the router's own rights."""
-        again = attrs.evolve(pending_acquire, asked=pending_acquire.asked + 1)
+        again = attrs.evolve(
+            pending_acquire, owners_asked=pending_acquire.owners_asked + 1
+        )
         # The entry stays for a late answer, whose grant is given back.
         pending_acquire.decided = None
         self._retry_elsewhere(again, pending_acquire.owner, now)
@@ -257,7 +259,7 @@
         self, again: PendingAcquire, before: str, now: float
     ) -> None:
         again.owner = self._target(again.organisation, now)
-        if again.asked > MAX_OWNERS_ASKED or again.owner == before:
+        if again.owners_asked > MAX_OWNERS_ASKED or again.owner == before:
             again.owner = self.own
         self._send_or_decide(again, now)
 
@@ -352,17 +354,17 @@
             self._step(now)
 
     def _handle_acquire(
-        self, sender: str, asked: messages.Acquire, now: float
+        self, sender: str, acquire: messages.Acquire, now: float
     ) -> None:
-        limit = _limit_of(asked, now)
+        limit = _limit_of(acquire, now)
         decision = self.ledger.acquire(
-            asked.organisation, limit, asked.cost, now
+            acquire.organisation, limit, acquire.cost, now
         )
         wait = decision.wait_seconds
         self.send(
             sender,
             messages.Acquired(
-                number=asked.number,
+                number=acquire.number,
                 granted=decision.granted,
                 wait_ms=-1 if wait is None else int(1000 * wait),
                 left=decision.left,
@@ -390,7 +392,7 @@
             # limit is used up.
             self._suspect(sender, now)
             again = attrs.evolve(
-                pending_acquire, asked=pending_acquire.asked + 1
+                pending_acquire, owners_asked=pending_acquire.owners_asked + 1
             )
             self._retry_elsewhere(again, sender, now)
             return
@@ -416,13 +418,13 @@
     return max(0, int(1000 * now) - limit.version)
 
 
-def _limit_of(asked: messages.Acquire, now: float) -> ledgers.Limit:
+def _limit_of(acquire: messages.Acquire, now: float) -> ledgers.Limit:
     """Returns the limit of an acquire, with times of this router's clock."""
-    if asked.limit_age_ms >= 0:
-        received_at = now - asked.limit_age_ms / 1000
-        return ledgers.server_limit(asked.per_second, received_at)
+    if acquire.limit_age_ms >= 0:
+        received_at = now - acquire.limit_age_ms / 1000
+        return ledgers.server_limit(acquire.per_second, received_at)
     return ledgers.Limit(
-        version=asked.version,
-        per_second=asked.per_second,
-        burst=asked.burst,
+        version=acquire.version,
+        per_second=acquire.per_second,
+        burst=acquire.burst,
     )
--- a/pimentoledge/routing/quotas/rights.py
+++ b/pimentoledge/routing/quotas/rights.py
@@ -214,13 +214,13 @@
             for each in routers
             if now >= self.owner_state(each).avoided_until
         ]
-        sure = [
+        unsuspected = [
             each
             for each in trusted
             if now >= self.owner_state(each).suspected_until
         ]
         for slot in range(ledgers.SLOTS):
-            self.wanted[slot] = owner_of(slot, [*sure, self.own])
+            self.wanted[slot] = owner_of(slot, [*unsuspected, self.own])
             self._step_slot(slot, now)
         return self._messages(now)
 
@@ -253,11 +253,11 @@
         else:
             location.ending = False
             location.left_out = None
-        let_go = (
+        released = (
             location.left_out is not None
             and state.answered >= location.left_out
         )
-        if let_go or now >= location.until:
+        if released or now >= location.until:
             self.take_back(slot, now)
 
     def _keep(self, slot: int, now: float) -> None:
@@ -333,8 +333,8 @@
                 location.left_out = state.number
             elif self._sends_allowance_ahead(slot, owner, now):
                 location.send_allowance(owner, now, fresh=True)
-            asked = owner in (location.owner, self.wanted[slot])
-            if location.fresh and location.brought_to == owner and asked:
+            is_target = owner in (location.owner, self.wanted[slot])
+            if location.fresh and location.brought_to == owner and is_target:
                 location.brought_at = now
                 fresh.append(slot)
         return messages.LeaseRights(
--- a/pimentoledge/routing/server_limits.py
+++ b/pimentoledge/routing/server_limits.py
@@ -110,15 +110,18 @@
         self, servers: Iterable[str], now: float
     ) -> dict[str, tuple[float, int]]:
         """Returns limits in the form of a LimitReport to other routers."""
-        found = {}
+        encoded = {}
         for server in servers:
             limit = self.advertised.get(server)
             if limit is not None:
                 number = (
                     NO_LIMIT if limit.per_second is None else limit.per_second
                 )
-                found[server] = (number, int((now - limit.received_at) * 1000))
-        return found
+                encoded[server] = (
+                    number,
+                    int((now - limit.received_at) * 1000),
+                )
+        return encoded
 
     def has_any(self) -> bool:
         """Returns whether some server has a limit."""
