--- a/pimentoledge/tests/test_router_limits_path.py
+++ b/pimentoledge/tests/test_router_limits_path.py
@@ -1,4 +1,4 @@
-"""Limits of organisations on the whole path: routers, store and servers."""
+"""End-to-end tests of organisations' limits: routers, store and servers."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 async def limit(world, version=5, **more):
-    """Has the operator limit the organisation; waits until all know."""
+    """Sets the organisation's limit; waits until all routers have it."""
     tenants = [{**ACME, **more}]
     changed = router_world.configuration(
         version=version, kept=world.kept.address, tenants=tenants
@@ -19,7 +19,7 @@
             each.view.configuration.version == version for each in world.routers
         )
     )
-    # Rights come to an owner, and fill its pools.
+    # Rights are lent to an owner and fill its pools.
     await asyncio.sleep(2.5)
 
 
@@ -28,7 +28,7 @@
 
 
 @router_world.played(routers=2)
-async def test_a_request_beyond_the_limit_gets_429_and_a_time(world):
+async def test_a_request_beyond_the_limit_gets_429_and_retry_after(world):
     """Guards against an organisation that runs without a limit."""
     await limit(world, unit="tokens", ratePerS=2000, burst=2000)
     answers = [
@@ -45,7 +45,7 @@
 
 @router_world.played(routers=2)
 async def test_requests_are_counted_where_the_limit_says_so(world):
-    """Guards against a limit by requests that counts tokens."""
+    """Guards against a limit in requests that counts tokens."""
     await limit(world, ratePerS=2, burst=4)
     answers = [
         await world.ask("/drafts/x", number % 2, headers=cost(5000))
@@ -56,7 +56,7 @@
 
 @router_world.played(routers=1)
 async def test_a_request_without_tokens_counts_as_the_configured_number(world):
-    """Guards against plain calls that cost nothing, or all."""
+    """Guards against plain calls that cost nothing, or the whole limit."""
     await limit(
         world, unit="tokens", plainTokens=500, ratePerS=1000, burst=2000
     )
@@ -65,8 +65,8 @@
 
 
 @router_world.played(routers=1)
-async def test_who_returns_when_told_is_served(world):
-    """Guards against a Retry-After that is too soon."""
+async def test_a_client_that_waits_for_retry_after_is_served(world):
+    """Guards against a Retry-After that is too short."""
     await limit(world, unit="tokens", ratePerS=1000, burst=1000)
     while True:
         answer = await world.ask("/drafts/x", headers=cost(400))
@@ -78,8 +78,8 @@
 
 
 @router_world.played(routers=1, runners=0)
-async def test_a_request_that_no_server_took_costs_nothing(world):
-    """Guards against tokens lost by requests that were refused for room."""
+async def test_a_request_that_no_server_accepted_costs_nothing(world):
+    """Guards against tokens lost by requests that no server accepted."""
     await limit(world, unit="tokens", ratePerS=1000, burst=2000)
     for _ in range(10):
         answer = await world.ask("/drafts/x", headers=cost(700))
@@ -91,7 +91,7 @@
 
 
 @router_world.played(routers=2)
-async def test_no_limit_is_none(world):
+async def test_an_organisation_without_a_limit_is_not_refused(world):
     """Guards against organisations without a limit that are refused."""
     await limit(world, unit="tokens", ratePerS=0, burst=0)
     answers = [
--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -1,4 +1,4 @@
-"""Limits of organisations over many routers: what may run, what is refused."""
+"""Tests of organisations' limits over many routers: grants and refusals."""
 
 import attrs
 from hypothesis import given
@@ -16,7 +16,8 @@
 LIMIT = ledgers.Limit(version=1, per_second=1000.0, burst=1000.0)
 BOUNDS = ledgers.QuotaBounds(window_seconds=8.0, over=0.1, slack=600.0)
 TOP = BOUNDS.top(LIMIT)
-# Below the limits at most this part may be refused on a calm or a hot day.
+# Largest part of the requests below the limits that may be refused in runs
+# without faults.
 MOST_BELOW = 0.003
 
 
@@ -32,8 +33,8 @@
 
 
 @pytest.mark.parametrize("routers", [3, 22, 68])
-def test_what_is_below_the_limits_is_not_refused(routers):
-    """Guards against requests below a limit being refused on a calm day."""
+def test_requests_below_the_limits_are_not_refused(routers):
+    """Guards against refusals below a limit when all load is below limits."""
     found = played(quotas.CASES["calm"], routers=routers, seconds=12.0)
     assert found.refused_below < MOST_BELOW
     assert found.worst < 1
@@ -41,7 +42,7 @@
 
 @pytest.mark.parametrize("name", ["hot", "hot-one"])
 def test_a_hot_organisation_gets_its_limit_and_no_more(name):
-    """Guards against a hot organisation running 2.1 times its limit."""
+    """Guards against an organisation that gets 2.1 times its limit."""
     found = played(quotas.CASES[name])
     assert found.refused_below < MOST_BELOW
     assert found.worst < 1
@@ -59,12 +60,16 @@
     ],
 )
 def test_no_fault_lets_more_run_than_the_limit(name):
-    """Guards against two sides of a cut, or two lives, spending one limit."""
+    """Guards against a limit that is used twice.
+
+    Both sides of a network partition, or a router before and after its restart,
+    may use it.
+    """
     assert played(quotas.CASES[name]).worst < 1
 
 
 def test_a_lowered_limit_binds_a_window_later():
-    """Guards against an owner that goes on by the older configuration."""
+    """Guards against an owner that continues with the older configuration."""
     world = quotas.World(
         way=quota_ways.WAYS["lent rights"],
         routers=22,
@@ -82,13 +87,13 @@
 
 
 def test_an_owner_that_dies_costs_its_organisations_little():
-    """Guards against a limit that nobody grants until its owner is back."""
+    """Guards against refusals of a limit until its owner is back."""
     found = played(quotas.CASES["owner-dies"])
     assert found.refused_below < 0.05
 
 
 def test_rights_of_routers_that_were_killed_are_not_spent_twice():
-    """Guards against full buckets after each start, twice within a window."""
+    """Guards against full buckets after restarts, twice within a window."""
     case = attrs.evolve(
         quotas.CASES["hot-kills"], kills=(9.0, 11.5, 14.0, 16.5)
     )
@@ -111,7 +116,7 @@
 def test_the_sum_over_routers_stays_below_the_limit(
     seed, routers, hot, share, begins, lasts, alone, one_way, kills, lowered
 ):
-    """Guards against any order of cuts, kills and changes that adds rights."""
+    """Guards against rights added by any sequence of faults and changes."""
     case = quotas.Case(
         name="drawn",
         hot=(hot, 3.0, 18.0),
@@ -126,7 +131,7 @@
 
 
 class TestLedger:
-    """An owner's accounts."""
+    """An owner's ledger."""
 
     def ledger(self, shares=(1.0,), filled=True):
         ledger = ledgers.Ledger(bounds=BOUNDS)
@@ -139,14 +144,14 @@
         return ledger
 
     def spend(self, ledger, now, cost=100.0, name="acme"):
-        """Asks until there is no more; returns how much was granted."""
+        """Acquires until a refusal; returns how much was granted."""
         found = 0.0
         while ledger.acquire(name, LIMIT, cost, now).granted:
             found += cost
         return found
 
-    def test_rights_that_just_came_have_earned_nothing(self):
-        """Guards against a limit that a new owner takes for full."""
+    def test_new_rights_have_earned_nothing(self):
+        """Guards against full pools at a new owner."""
         ledger = self.ledger(filled=False)
         assert not ledger.acquire("acme", LIMIT, 100.0, 0.0).granted
         assert self.spend(ledger, 0.5) == pytest.approx(500.0, abs=100)
@@ -160,15 +165,15 @@
         ledger = self.ledger(shares=(0.25,))
         assert self.spend(ledger, 10.0, 10.0) == pytest.approx(TOP / 4, abs=20)
 
-    def test_rights_that_leave_take_their_part_along(self):
-        """Guards against the same tokens at an owner and at who left it."""
+    def test_removed_rights_take_their_part_of_the_level(self):
+        """Guards against the same tokens at an owner and its former lender."""
         ledger = self.ledger(shares=(0.5, 0.5))
         ledger.acquire("acme", LIMIT, 1.0, 10.0)
         ledger.remove("r1", 10.0)
         assert self.spend(ledger, 10.0, 10.0) <= TOP / 2
 
-    def test_an_allowance_that_nobody_asked_for_lapses(self):
-        """Guards against a whole allowance at an owner of long ago."""
+    def test_an_unused_allowance_lapses(self):
+        """Guards against a whole allowance that is counted much later."""
         ledger = self.ledger(shares=())
         slot = ledger.slots[ledgers.slot_of("acme")]
         lease = ledgers.RightsLease(share=1.0, until=5.0)
@@ -179,7 +184,7 @@
         ledger.expire(40.0)
         assert self.spend(ledger, 40.0, 10.0) <= TOP / 10
 
-    def test_rights_lapse(self):
+    def test_rights_expire(self):
         ledger = ledgers.Ledger(bounds=BOUNDS)
         lease = ledgers.RightsLease(share=1.0, until=5.0)
         for slot in ledger.slots:
@@ -187,8 +192,8 @@
         ledger.expire(5.0)
         assert not ledger.acquire("acme", LIMIT, 1.0, 6.0).granted
 
-    def test_rights_that_lapsed_let_nothing_in_before_a_tick(self):
-        """Guards against a router that spends rights after it stood still."""
+    def test_expired_rights_grant_nothing_before_a_tick(self):
+        """Guards against a router that uses expired rights after a pause."""
         ledger = ledgers.Ledger(bounds=BOUNDS)
         for name, until in (("r0", 5.0), ("r1", 5.0), ("r1", 20.0)):
             lease = ledgers.RightsLease(share=0.5, until=until)
@@ -208,20 +213,20 @@
         promised = 0.11 + 10.0 / LIMIT.per_second
         assert until_full <= refused.wait_seconds < until_full + 2 * promised
 
-    def test_a_request_larger_than_all_is_never_told_to_come_back(self):
+    def test_a_request_larger_than_any_pool_gets_no_wait(self):
         ledger = self.ledger()
         found = ledger.acquire("acme", LIMIT, 10 * TOP, 10.0)
         assert not found.granted
         assert found.wait_seconds is None
 
-    def test_what_a_part_of_the_rights_has_no_room_for_waits_for_more(self):
-        """Guards against a client that is told to come back at once."""
+    def test_a_request_too_large_for_part_of_the_rights_waits_for_more(self):
+        """Guards against a refusal with too short a wait."""
         ledger = self.ledger(shares=(0.6,))
         refused = ledger.acquire("acme", LIMIT, 0.95 * TOP, 10.0)
         assert not refused.granted
         assert refused.wait_seconds == BOUNDS.longest_wait_seconds
 
-    def test_what_never_ran_is_given_back(self):
+    def test_a_request_that_never_ran_is_refunded(self):
         ledger = self.ledger()
         spent = self.spend(ledger, 10.0)
         ledger.give_back("acme", 300.0, 10.0)
@@ -229,7 +234,7 @@
         ledger.give_back("acme", 10 * spent, 10.0)
         assert self.spend(ledger, 10.0) <= TOP
 
-    def test_refused_clients_are_told_times_one_after_another(self):
+    def test_refused_clients_get_successive_waits(self):
         """Guards against all refused clients coming back at once."""
         ledger = self.ledger()
         self.spend(ledger, 10.0)
@@ -241,8 +246,8 @@
         for one, next_one in zip(waits, waits[1:], strict=False):
             assert next_one - one == pytest.approx(apart)
 
-    def test_who_comes_back_when_told_finds_room(self):
-        """Guards against a Retry-After at which the limit is used up."""
+    def test_a_client_that_returns_after_the_wait_finds_room(self):
+        """Guards against a Retry-After before there is room."""
         ledger = self.ledger()
         self.spend(ledger, 10.0)
         wait = ledger.acquire("acme", LIMIT, 500.0, 10.0).wait_seconds
@@ -255,14 +260,14 @@
         higher = attrs.evolve(LIMIT, version=2, burst=1e6, per_second=1e6)
         assert not ledger.acquire("acme", higher, 5000.0, 60.0).granted
 
-    def test_no_other_organisation_pays(self):
+    def test_other_organisations_are_not_affected(self):
         ledger = self.ledger()
         self.spend(ledger, 10.0, name="acme")
         assert self.spend(ledger, 10.0, name="zebra") > 0
 
 
 class TestLimiters:
-    """Two or three routers, with their messages in the test's hand."""
+    """Two or three routers whose messages the test delivers."""
 
     def build(self, count=2):
         self.mail = []
@@ -270,14 +275,14 @@
         self.limiters = {}
         self.share = 1 / count
         self.names = [f"tcp://r{number}" for number in range(count)]
-        # Routers that have met none.
+        # Isolated routers, which have no contact to others.
         self.alone = set()
         for name in self.names:
             self.start(name)
         self.dead = set()
 
     def start(self, name, life=1):
-        """Starts a router, which knows nothing."""
+        """Starts a router without any state."""
         self.limiters[name] = limiters.Limiter(
             own=name,
             life=life,
@@ -288,7 +293,7 @@
         )
 
     def known(self, name):
-        """Returns whom a router believes to live."""
+        """Returns the other routers that a router considers alive."""
         if name in self.alone:
             return []
         return [
@@ -321,8 +326,8 @@
     @pytest.mark.parametrize(
         "lost", [messages.LeaseRights, messages.RightsLeased]
     )
-    def test_connections_on_which_rights_get_lost_are_opened_anew(self, lost):
-        """Guards against owners whom a silent connection keeps away."""
+    def test_connections_on_which_rights_get_lost_are_reopened(self, lost):
+        """Guards against owners left unused due to a silent connection."""
         self.build(2)
         renewed = set()
         for name, each in self.limiters.items():
@@ -340,16 +345,16 @@
         lenders = {name for name, _ in renewed}
         assert lenders
         if lost is messages.RightsLeased:
-            # Who gets the messages, and whose answers get lost, does so, too.
+            # The receiver, whose answers get lost, also reopens it.
             assert {(to, name) for name, to in renewed} == renewed
 
     def left(self, name):
-        """Returns what an owner's limit has left."""
+        """Returns the level of the limit's pool at an owner."""
         found = self.limiters[name].ledger.acquire("acme", LIMIT, 0.0, self.now)
         return found.left
 
     def spend(self, name):
-        """Uses the allowance that rights bring beyond a full pool."""
+        """Uses the allowance that rights add to a full pool."""
         self.limiters[name].ledger.acquire("acme", LIMIT, 900.0, self.now)
 
     def owner(self):
@@ -362,20 +367,20 @@
     def other(self):
         return next(each for each in self.limiters if each != self.owner())
 
-    def test_all_rights_of_a_slot_come_to_one_owner(self):
+    def test_all_rights_of_a_slot_are_lent_to_one_owner(self):
         self.build(3)
         self.run(2.0)
         assert self.owner()
 
     def test_each_router_brings_its_part_of_the_allowance_once(self):
-        """Guards against an allowance that a new owner is given twice."""
+        """Guards against an allowance that a new owner gets twice."""
         self.build(3)
         self.run(3.0)
         slot = self.limiters[self.owner()].ledger.slots[ledgers.slot_of("acme")]
         assert slot.brought <= 1.001
 
     def test_an_owner_whose_answer_came_late_is_chosen_again(self):
-        """Guards against rights kept apart for 2 s after a slow connection."""
+        """Guards against rights split for 2 s after a connection is slow."""
         self.build()
         for _ in range(20):
             self.now += 0.05
@@ -386,13 +391,13 @@
         assert self.owner()
 
     def brought(self):
-        """Returns the allowances that lie in all ledgers together."""
+        """Returns the sum of the allowances in all ledgers."""
         slot = ledgers.slot_of("acme")
         return sum(
             each.ledger.slots[slot].brought for each in self.limiters.values()
         )
 
-    def test_an_owner_that_ends_passes_no_allowance_on(self):
+    def test_an_owner_that_shuts_down_passes_no_allowance_on(self):
         """Guards against one allowance for each of two owners."""
         self.build(3)
         self.run(3.0)
@@ -402,7 +407,7 @@
         assert self.brought() == pytest.approx(before)
 
     def test_the_next_owner_of_a_dead_one_gets_no_second_allowance(self):
-        """Guards against an allowance for each owner that dies soon."""
+        """Guards against a new allowance each time an owner dies."""
         self.build(3)
         self.run(3.0)
         before = self.brought()
@@ -410,8 +415,8 @@
         self.run(4.0)
         assert self.brought() == pytest.approx(before)
 
-    def test_a_new_life_of_an_owner_gets_no_second_allowance_of_others(self):
-        """Guards against the allowances of all for each life of an owner."""
+    def test_a_restarted_owner_gets_no_second_allowance_of_others(self):
+        """Guards against new allowances of all when an owner restarts."""
         self.build(3)
         self.run(1.0)
         owner = self.owner()
@@ -426,7 +431,7 @@
         assert self.brought() <= before - lost.brought + self.share + 0.001
 
     def test_a_router_that_restarts_brings_an_owner_no_second_allowance(self):
-        """Guards against an allowance for each life of a lender."""
+        """Guards against a new allowance each time a lender restarts."""
         self.build(3)
         self.run(3.0)
         other = self.other()
@@ -436,7 +441,7 @@
         assert self.brought() == pytest.approx(before)
 
     def test_a_router_that_comes_back_brings_no_second_allowance(self):
-        """Guards against an allowance after each short cut."""
+        """Guards against a new allowance after each short partition."""
         self.build(3)
         self.run(3.0)
         before = self.brought()
@@ -446,8 +451,8 @@
         self.run(2.0)
         assert self.brought() == pytest.approx(before)
 
-    def test_an_allowance_that_goes_on_is_not_left_behind(self):
-        """Guards against one allowance in the own ledger and at the owner."""
+    def test_an_allowance_that_moves_is_not_kept_by_the_lender(self):
+        """Guards against one allowance both at the lender and at the owner."""
         self.build(3)
         self.alone.update(self.names)
         self.run(1.0)
@@ -456,7 +461,7 @@
         assert self.brought() <= 1.001
 
     def test_a_changed_number_of_routers_brings_no_allowance(self):
-        """Guards against an allowance for rights that were there before."""
+        """Guards against an allowance for rights that already had one."""
         self.build(3)
         self.run(20.0)
         before = self.brought()
@@ -465,7 +470,7 @@
         assert self.brought() == pytest.approx(before)
 
     def test_an_allowance_whose_message_was_lost_is_brought_again(self):
-        """Guards against an owner that begins without an allowance."""
+        """Guards against an owner that starts without an allowance."""
         self.build(3)
         for each in self.limiters.values():
             each.tick(self.now)
@@ -474,7 +479,7 @@
         assert self.brought() == pytest.approx(1.0)
 
     def test_an_answer_that_comes_too_late_is_given_back(self):
-        """Guards against tokens that a slow owner granted to nobody."""
+        """Guards against tokens lost by a late grant of a slow owner."""
         self.build()
         self.run(3.0)
         owner, other = self.owner(), self.other()
@@ -488,7 +493,7 @@
         assert self.left(owner) == pytest.approx(before)
 
     def test_a_client_that_left_gives_back_what_it_was_granted(self):
-        """Guards against the cost of requests that were never sent."""
+        """Guards against tokens lost by requests that were never sent."""
         self.build()
         self.run(3.0)
         owner, other = self.owner(), self.other()
@@ -500,8 +505,8 @@
         assert not found
         assert self.left(owner) == before
 
-    def test_a_silent_owner_holds_a_request_up_briefly(self):
-        """Guards against requests that wait for an owner that is gone."""
+    def test_a_silent_owner_delays_a_request_briefly(self):
+        """Guards against requests that wait for a dead owner."""
         self.build()
         self.run(3.0)
         other = self.other()
@@ -510,8 +515,8 @@
         self.run(2 * limiters.ANSWER_SECONDS + 0.1)
         assert found
 
-    def test_the_next_owner_is_asked_of_one_that_is_silent(self):
-        """Guards against refusals until the rights of a dead owner lapse."""
+    def test_a_silent_owner_is_replaced_by_the_next_owner(self):
+        """Guards against refusals until the leases of a dead owner expire."""
         self.build(3)
         self.run(10.0)
         owner = self.owner()
@@ -522,8 +527,8 @@
         assert [each.decision.granted for each in found] == [True]
         assert found[0].owner in others
 
-    def test_a_router_that_has_just_started_asks_the_owner_at_once(self):
-        """Guards against refusals in the first moments of a new router."""
+    def test_a_router_that_has_just_started_uses_the_owner_at_once(self):
+        """Guards against refusals just after a router starts."""
         self.build(3)
         self.run(10.0)
         owner, other = self.owner(), self.other()
@@ -540,8 +545,8 @@
         self.deliver()
         assert [each.decision.granted for each in found] == [True]
 
-    def test_an_owner_that_ends_is_replaced_at_once(self):
-        """Guards against limits that nobody holds in a rolling restart."""
+    def test_an_owner_that_shuts_down_is_replaced_at_once(self):
+        """Guards against limits without an owner during a rolling restart."""
         self.build()
         self.run(3.0)
         owner, other = self.owner(), self.other()
@@ -555,8 +560,11 @@
         self.deliver()
         assert found
 
-    def test_an_owner_that_ends_grants_by_no_rights_of_others(self):
-        """Guards against rights spent by an owner and by who took them back."""
+    def test_an_owner_that_shuts_down_grants_by_no_rights_of_others(self):
+        """Guards against rights used by both an owner and their lender.
+
+        The lender takes them back when the owner shuts down.
+        """
         self.build(3)
         self.run(10.0)
         owner, other = self.owner(), self.other()
@@ -570,8 +578,8 @@
             each.decision.granted and each.owner == owner for each in found
         )
 
-    def test_rights_lent_by_an_old_message_are_not_held(self):
-        """Guards against a message that a cut held up for seconds."""
+    def test_rights_lent_by_an_old_message_are_not_used(self):
+        """Guards against a message that a partition delayed for seconds."""
         self.build()
         self.run(3.0)
         owner, other = self.owner(), self.other()
@@ -586,7 +594,7 @@
 
 
 def test_the_longest_wait_is_spread():
-    """Guards against clients told the same longest wait coming together."""
+    """Guards against clients that return together after the longest wait."""
     longest = ledgers.LONGEST_WAIT_SECONDS
     waits = {router_responses.limit_retry_seconds(longest) for _ in range(20)}
     assert len(waits) > 10
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -1,4 +1,4 @@
-"""Limits that servers name in their answers, as a router hears of them."""
+"""Tests of the limits that servers advertise in their answers."""
 
 import attrs
 import pytest
@@ -19,12 +19,12 @@
 
 
 def limited(per_second=1.0, **more):
-    """Returns an answer by which a server names a limit."""
+    """Returns an answer in which a server advertises a limit."""
     return answer(limit=per_second, limit_text=str(per_second), **more)
 
 
-def taker():
-    """Returns what takes answers, and the server that gives them."""
+def handler_and_server():
+    """Returns a handler of answers and the server that sends them."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
     return test_router_notices.taker(servers), backend
@@ -44,18 +44,18 @@
     assert requests.decode_answer(head).limit == limit
 
 
-def test_each_change_of_a_limit_is_a_line():
-    """Guards against an incident in which no line tells what answers said."""
-    taking, backend = taker()
+def test_each_change_of_a_limit_is_logged():
+    """Guards against limits in answers that no log line shows."""
+    handler, backend = handler_and_server()
     written = []
-    taking.lines.write = lambda message, **fields: written.append(
+    handler.lines.write = lambda message, **fields: written.append(
         (message, fields)
     )
-    taking.take(backend, limited(2.0), clocks.now())
-    taking.take(backend, limited(2.0), clocks.now())
-    taking.take(backend, limited(1.0), clocks.now())
-    taking.take(backend, answer(limit_text="many"), clocks.now())
-    taking.take(backend, answer(), clocks.now())
+    handler.take(backend, limited(2.0), clocks.now())
+    handler.take(backend, limited(2.0), clocks.now())
+    handler.take(backend, limited(1.0), clocks.now())
+    handler.take(backend, answer(limit_text="many"), clocks.now())
+    handler.take(backend, answer(), clocks.now())
     assert [message for message, _ in written] == [
         "server_limit",
         "server_limit",
@@ -66,12 +66,12 @@
     assert named == [2.0, 1.0, None, None]
 
 
-def test_a_limit_ends_with_an_answer_that_names_none():
-    taking, backend = taker()
-    taking.take(backend, limited(), clocks.now())
-    assert taking.limits.get(SERVER) == 1.0
-    taking.take(backend, answer(), clocks.now())
-    assert taking.limits.get(SERVER) is None
+def test_a_limit_ends_with_an_answer_without_one():
+    handler, backend = handler_and_server()
+    handler.take(backend, limited(), clocks.now())
+    assert handler.limits.get(SERVER) == 1.0
+    handler.take(backend, answer(), clocks.now())
+    assert handler.limits.get(SERVER) is None
 
 
 @pytest.mark.parametrize(
@@ -82,41 +82,41 @@
     ],
 )
 def test_a_limit_is_not_ended_by(other):
-    taking, backend = taker()
-    taking.take(backend, limited(), clocks.now())
-    taking.take(backend, other, clocks.now())
-    assert taking.limits.get(SERVER) == 1.0
+    handler, backend = handler_and_server()
+    handler.take(backend, limited(), clocks.now())
+    handler.take(backend, other, clocks.now())
+    assert handler.limits.get(SERVER) == 1.0
 
 
 def test_a_report_without_a_limit_ends_none_and_one_with_it_counts():
-    taking, _ = taker()
-    taking.take_reply(REGISTRATION, limited(2.0))
-    taking.take_reply(REGISTRATION, answer())
-    assert taking.limits.get(SERVER) == 2.0
+    handler, _ = handler_and_server()
+    handler.take_reply(REGISTRATION, limited(2.0))
+    handler.take_reply(REGISTRATION, answer())
+    assert handler.limits.get(SERVER) == 2.0
 
 
-def test_an_answer_that_was_overtaken_only_lowers_a_limit():
-    taking, backend = taker()
+def test_an_overtaken_answer_only_lowers_a_limit():
+    handler, backend = handler_and_server()
     before = clocks.now()
-    taking.take(backend, limited(2.0), before)
-    taking.take(backend, answer(), before)
-    taking.take(backend, limited(3.0), before)
-    assert taking.limits.get(SERVER) == 2.0
-    taking.take(backend, limited(1.0), before)
-    assert taking.limits.get(SERVER) == 1.0
+    handler.take(backend, limited(2.0), before)
+    handler.take(backend, answer(), before)
+    handler.take(backend, limited(3.0), before)
+    assert handler.limits.get(SERVER) == 2.0
+    handler.take(backend, limited(1.0), before)
+    assert handler.limits.get(SERVER) == 1.0
 
 
-def test_a_new_life_has_no_limit():
-    taking, backend = taker()
-    taking.take(backend, limited(), clocks.now())
+def test_a_new_incarnation_has_no_limit():
+    handler, backend = handler_and_server()
+    handler.take(backend, limited(), clocks.now())
     later = attrs.evolve(REGISTRATION, born=200)
-    assert taking.limits.get(later.incarnation) is None
+    assert handler.limits.get(later.incarnation) is None
 
 
-def test_a_limit_of_zero_lets_an_answer_tell_of_its_end():
-    taking, backend = taker()
-    taking.take(backend, limited(0.0), clocks.now())
-    assert taking.limits.get(SERVER) == server_limits.MIN_PER_SECOND
+def test_a_limit_of_zero_permits_the_answer_that_ends_it():
+    handler, backend = handler_and_server()
+    handler.take(backend, limited(0.0), clocks.now())
+    assert handler.limits.get(SERVER) == server_limits.MIN_PER_SECOND
 
 
 @pytest.mark.parametrize(
@@ -129,17 +129,15 @@
         (0.2, 8.0, server_permits.UNKNOWN_WAIT_SECONDS),
     ],
 )
-def test_a_server_is_left_alone_as_long_as_its_owner_knows(
-    share, wait, expected
-):
-    """Guards against routers that ask before their time."""
+def test_a_server_is_avoided_for_the_wait_of_its_owner(share, wait, expected):
+    """Guards against routers that request permits too early."""
     decision = ledgers.Decision(granted=False, wait_seconds=wait, share=share)
     answered = limiters.AcquireResult(decision=decision, owner="o")
     assert server_permits.wait_seconds(answered) == expected
 
 
-def test_who_waits_for_rights_waits_for_seconds_at_most():
-    """Guards against a server that nobody uses once rights are back."""
+def test_the_wait_for_further_rights_is_bounded():
+    """Guards against a server left unused after rights have returned."""
     ledger = ledgers.Ledger(bounds=ledgers.QuotaBounds())
     part = ledgers.RightsLease(share=0.5, until=1e9)
     for slot in ledger.slots:
@@ -151,7 +149,7 @@
 
 
 class TestLimitsOfOtherRouters:
-    """What other routers have received."""
+    """Limits that other routers have received."""
 
     def limits(self, per_second=1.0, received_at=10.0):
         found = server_limits.ServerLimits()
@@ -174,13 +172,13 @@
         assert limits.merge("s", later)
         assert limits.get("s") is None
 
-    def test_a_limit_that_comes_back_is_no_news(self):
+    def test_an_echoed_limit_is_not_a_change(self):
         limits = self.limits()
         echo = server_limits.AdvertisedLimit(per_second=1.0, received_at=10.01)
         assert not limits.merge("s", echo)
         assert limits.advertised["s"].received_at == 10.0
 
-    def test_the_end_of_an_unknown_limit_is_no_news(self):
+    def test_the_end_of_an_unknown_limit_is_not_a_change(self):
         assert not self.limits(per_second=None).advertised
 
     def test_only_limits_of_declared_servers_are_kept(self):
--- a/pimentoledge/tests/test_router_server_limits_fleet.py
+++ b/pimentoledge/tests/test_router_server_limits_fleet.py
@@ -1,4 +1,4 @@
-"""Servers' limits over 3 to 300 routers, in virtual time."""
+"""Simulations of servers' limits over 3 to 300 routers, in virtual time."""
 
 from hypothesis import given
 from hypothesis import settings
@@ -8,7 +8,7 @@
 from benches import quotas
 from benches import server_limits
 
-# A limit is to be used for the most part while nothing is wrong.
+# Least part of a limit that must be used while there are no faults.
 LEAST_USED = 0.85
 
 
@@ -22,7 +22,7 @@
 @pytest.mark.parametrize("routers", [3, 22, 68])
 @pytest.mark.parametrize("name", ["steady", "fraction", "many"])
 def test_a_limit_is_used_and_not_exceeded(name, routers):
-    """Guards against a part for each router, which none can use."""
+    """Guards against a fixed part for each router, too small to be used."""
     case = server_limits.CASES[name]
     found = played(case, routers=routers, servers=6, seconds=40.0)
     assert found.worst <= 1
@@ -30,7 +30,7 @@
 
 
 def test_300_routers_share_a_limit_that_is_below_one_request_a_router():
-    """Guards against as many requests at once as there are routers."""
+    """Guards against one request of each router at the same time."""
     case = server_limits.CASES["fraction"]
     found = played(case, routers=300, servers=6, seconds=20.0)
     assert found.worst <= 1
@@ -56,7 +56,7 @@
     ],
 )
 def test_no_fault_and_no_change_exceeds_a_limit(name):
-    """Guards against two owners, or two lives, that use one limit twice."""
+    """Guards against a limit used twice, by two owners or after a restart."""
     assert played(server_limits.CASES[name]).worst <= 1
 
 
@@ -95,7 +95,10 @@
     freezes,
     joins,
 ):
-    """Guards against any mix of cuts, kills, freezes, joins and changes."""
+    """Guards against overruns by any mix of faults and limit changes.
+
+    The faults are network partitions, kills, freezes and joins of routers.
+    """
     case = server_limits.Case(
         name="drawn",
         per_second=per_second,
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -1,4 +1,4 @@
-"""Servers' limits on the whole path: routers, store and servers."""
+"""End-to-end tests of servers' limits: routers, store and servers."""
 
 import asyncio
 import types
@@ -15,10 +15,10 @@
 limited = test_router_server_limits.limited
 
 played = router_world.played
-# From a server's first word on a limit until it counts.
+# Time from a server's first answer with a limit until the limit must hold.
 KNOWN_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
-# Requests by which a limit may be exceeded in a window, beside half of it.
+# Requests by which a window may exceed a limit, in addition to half of it.
 SLACK = 5
 PAUSE_SECONDS = 0.02
 
@@ -43,7 +43,7 @@
 
     Args:
         server: the stand-in.
-        since: no window begins before, in seconds of time.monotonic.
+        since: earliest start of a window, in seconds of time.monotonic.
     """
     came = sorted(at for at in server.reached if at >= since)
     return max(
@@ -70,7 +70,7 @@
 def test_a_server_gets_no_more_than_the_limit_that_it_names(
     path, server, limit
 ):
-    """Guards against limits that are passed on to clients and not held."""
+    """Guards against limits that are forwarded to clients but not enforced."""
 
     @played(routers=3, plain=2, runners=2)
     async def test(world):
@@ -88,10 +88,10 @@
 
 
 @played(routers=2, plain=1, runners=0)
-async def test_what_no_limit_has_room_for_is_refused_at_once_with_a_time(
+async def test_a_request_beyond_the_limit_is_refused_at_once_with_retry_after(
     world,
 ):
-    """Guards against requests that are held, or told to return too early."""
+    """Guards against held requests and a Retry-After that is too short."""
     world.servers["p0"].limit = "2"
     await load(world, "/notices/", 3.0)
     refused, late = [], 0
@@ -111,15 +111,15 @@
 
 
 def name_limit(router, server, per_second):
-    """Lets a router hear of a server's limit by an answer of it."""
+    """Passes a router an answer in which a server advertises a limit."""
     backend = router.view.servers.by_incarnation[server]
     router.notices.take(backend, limited(per_second), clocks.now())
     return backend
 
 
 @played(routers=3, plain=1, runners=1)
-async def test_all_routers_know_what_one_has_heard_also_one_that_joins(world):
-    """Guards against routers that exceed a limit until they hear it."""
+async def test_a_limit_reaches_all_routers_and_one_that_joins(world):
+    """Guards against routers that exceed a limit until an answer shows it."""
     for each in world.routers:
         each.peers.limit_reports._next_all = float("inf")
     name_limit(world.routers[0], "p0", 2.0)
@@ -141,8 +141,8 @@
 
 
 @played(routers=2, plain=1, runners=0)
-async def test_a_limit_that_ends_leaves_no_request_without_an_answer(world):
-    """Guards against questions to a dead owner that nobody looks at."""
+async def test_a_request_is_answered_after_its_limit_ends(world):
+    """Guards against pending acquires to a dead owner without a timeout."""
     [router, _] = world.routers
     limiter = router.peers.limiter
     name_limit(router, "p0", 1.0)
@@ -156,8 +156,8 @@
 
 
 @played(routers=2, plain=1, runners=1)
-async def test_who_missed_a_limit_is_told_again(world):
-    """Guards against a message about a limit that was lost."""
+async def test_a_router_that_missed_a_limit_receives_it_again(world):
+    """Guards against the loss of a message about a limit."""
     first, second = world.routers
     await world.until(lambda: first.peers.roster.members(clocks.now()))
     name_limit(first, "p0", 2.0)
@@ -169,7 +169,7 @@
 
 @played(routers=2, plain=1, runners=0)
 async def test_a_limit_that_ends_at_one_router_ends_at_all(world):
-    """Guards against a server that is kept at a limit it has taken back."""
+    """Guards against a limit that is enforced after its server ended it."""
     server = world.servers["p0"]
     server.limit = "2"
     await load(world, "/notices/", 1.0)
@@ -183,7 +183,7 @@
 
 @played(routers=2, plain=1, runners=2)
 async def test_weights_are_loaded_within_a_limit(world):
-    """Guards against weights that a limit keeps away."""
+    """Guards against a limit that blocks the load of weights."""
     runner = world.servers["r0"]
     runner.limit = "1"
     headers = router_world.stream_headers()
@@ -201,7 +201,7 @@
 
 @played(plain=1, runners=2)
 async def test_a_runner_whose_limit_is_used_gets_no_order(world):
-    """Guards against orders, and reports before them, that pass a limit by."""
+    """Guards against orders, and reports before them, that bypass a limit."""
     [router] = world.routers
     runner = world.servers["r0"]
     backend = name_limit(router, "r0", 1.0)
@@ -228,8 +228,11 @@
 
 
 @played(plain=1, runners=2)
-async def test_no_report_is_asked_of_a_runner_whose_limit_is_used(world):
-    """Guards against reports after refusals that pass a limit by."""
+async def test_no_report_is_requested_from_a_runner_whose_limit_is_used(world):
+    """Guards against requests for reports that bypass a limit.
+
+    Refusals cause these requests.
+    """
     [router] = world.routers
     backend = name_limit(router, "r0", 1.0)
     backend.limited_until = clocks.now() + 60.0
@@ -240,8 +243,11 @@
 
 
 @played(plain=2, runners=1)
-async def test_a_limit_named_while_its_server_is_reached_is_held(world):
-    """Guards against requests chosen before a limit that pass it by."""
+async def test_a_limit_advertised_during_a_connect_is_enforced(world):
+    """Guards against requests that bypass a limit.
+
+    The server was selected for them before it advertised the limit.
+    """
     [router] = world.routers
     asked = await world.ask_while_opening("p0", "p1")
     name_limit(router, "p0", 1.0)
@@ -251,7 +257,7 @@
 
 @played(plain=1, runners=0)
 async def test_a_request_that_never_left_gives_its_permit_back(world):
-    """Guards against permits lost by connections that can't be opened."""
+    """Guards against permits lost when a connection cannot be opened."""
     [router] = world.routers
     backend = name_limit(router, "p0", 1.0)
     slots = router.peers.limiter.ledger.slots
@@ -266,8 +272,8 @@
 
 
 @played(plain=1, runners=2)
-async def test_nothing_is_fetched_from_a_runner_that_names_a_limit(world):
-    """Guards against fetches of cached parts that pass a limit by."""
+async def test_nothing_is_fetched_from_a_runner_with_a_limit(world):
+    """Guards against fetches of cached parts that bypass a limit."""
     [router] = world.routers
     name_limit(router, "r0", 1.0)
     found = selections._unlimited(router.view, "runners")
@@ -275,8 +281,11 @@
 
 
 @played(routers=1, plain=1, runners=0)
-async def test_what_lay_in_a_socket_while_frozen_is_no_news(world):
-    """Guards against a router that thaws and takes an older word for news."""
+async def test_an_answer_that_arrived_during_a_freeze_is_not_new(world):
+    """Guards against an old answer that counts as new after a freeze.
+
+    The answer was in the socket while the router was frozen.
+    """
     [router] = world.routers
     limits = router.view.server_limits
     now = clocks.now()
