--- a/pimentoledge/tests/test_leases.py
+++ b/pimentoledge/tests/test_leases.py
@@ -1,4 +1,4 @@
-"""The lease: no two holders' orders may come close to each other."""
+"""Tests of the lease: orders of two holders must not be close in time."""
 
 from pimentoledge.routing import leases
 from pimentoledge.routing import registrations
@@ -29,10 +29,10 @@
 
 
 def test_a_successor_waits_until_no_order_of_the_former_can_be_close():
-    """Two holders' orders within the lease time break a rule of the users.
+    """Guards against orders of two holders within the lease time.
 
-    The former holder wrote just before its revision was read here, and may
-    order for its whole term from then.
+    The former holder may have written just before its revision was read here,
+    and may give orders for its whole term from then.
     """
     mine = lease("b")
     mine.learn(stored(7, "a"), 10.0)
@@ -51,11 +51,11 @@
     assert mine.may_order(60.1)
 
 
-def test_what_others_have_known_for_long_shortens_the_wait():
-    """A restarted router would wait 4.5 s though the holder was idle.
+def test_a_revision_that_peers_have_known_longer_shortens_the_wait():
+    """Guards against a restarted router that waits 4.5 s for an idle holder.
 
-    It reads the lease at its start; another router has known that revision
-    for a minute, so no order of the holder can be young.
+    The router reads the lease when it starts. Another router has known that
+    revision for a minute, so the holder has sent no recent order.
     """
     mine = lease("b")
     mine.learn(stored(7, "a"), 100.0)
@@ -64,13 +64,13 @@
     assert mine.may_order(100.3)
 
 
-def test_a_holder_that_was_succeeded_orders_no_more():
+def test_a_holder_that_was_succeeded_gives_no_more_orders():
     mine = lease()
     mine.learn(None, 0.0)
     mine.record_write(stored(5, "a"), 0.0)
     mine.merge_peer(6, "b", 0.2)
     assert not mine.may_order(0.3)
-    # What is told late of an older revision changes nothing.
+    # A late report of an older revision changes nothing.
     mine.merge_peer(5, "a", 0.4)
     assert mine.held_by == "b"
 
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -1,4 +1,4 @@
-"""Until when requests may begin on weights that have been superseded."""
+"""Tests of the time bound for requests on superseded weights."""
 
 import asyncio
 import time
@@ -34,7 +34,7 @@
 
 played = router_world.played
 MODEL = router_world.MODEL
-# Bound of the tests on the whole path.
+# Time bound in the end-to-end tests.
 WEIGHTS_SECONDS = 3.0
 
 
@@ -50,8 +50,8 @@
     )
 
 
-def believed_of(*versions):
-    """Returns a router's beliefs of runners with these versions."""
+def view_of(*versions):
+    """Returns a router's view of runners with these versions."""
     view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
     for number, version in enumerate(versions):
         view.servers.put(registration(number, version))
@@ -59,14 +59,14 @@
 
 
 class TestFurtherVersions:
-    """Versions that are named before the one before is in place."""
+    """Versions announced before the previous one is loaded everywhere."""
 
     def allowed(self, view, server, now):
         backend = view.servers.by_server[server]
         return selections.weights_allow(view, MODEL, backend, now)
 
     def test_a_further_version_does_not_prolong_the_use_of_the_first(self):
-        view = believed_of(1, 2)
+        view = view_of(1, 2)
         most = view.bounds.weights_seconds
         view.want(MODEL, 2, 100.0)
         view.want(MODEL, 3, 105.0)
@@ -74,8 +74,8 @@
         assert self.allowed(view, "r1", 100.0 + most)
         assert not self.allowed(view, "r1", 105.0 + most)
 
-    def test_a_version_heard_of_after_a_newer_one_counts_too(self):
-        view = believed_of(1, 2)
+    def test_a_version_received_after_a_newer_one_counts_too(self):
+        view = view_of(1, 2)
         most = view.bounds.weights_seconds
         view.want(MODEL, 3, 105.0)
         view.want(MODEL, 2, 100.0)
@@ -83,7 +83,7 @@
         assert self.allowed(view, "r1", 100.0 + most)
 
     def test_of_many_versions_none_is_used_past_its_own_bound(self):
-        view = believed_of(1)
+        view = view_of(1)
         most = view.bounds.weights_seconds
         for version in range(2, 40):
             view.want(MODEL, version, 100.0 + 0.1 * version)
@@ -134,19 +134,19 @@
 
 
 class TestStarts:
-    """What a router takes that has just started, and heard nobody."""
+    """State of a router that has just started, without peers' messages."""
 
     BOUND = 12.0
 
     def started(self):
-        """Returns what a router with long bounds believes at its start."""
+        """Returns the view of a router with a long bound at its start."""
         now = clocks.now()
         view = cluster_views.ClusterView(name="x", data_centre="a", born=now)
         view.bounds = attrs.evolve(view.bounds, weights_seconds=self.BOUND)
         view.servers.put(registration(0, 1))
         return view
 
-    def taken(self, view):
+    def updater(self, view):
         return view_updaters.ViewUpdater(
             view=view,
             lines=log_lines.Lines(counters=counters.Counters()),
@@ -155,27 +155,31 @@
     def list_second(self, view):
         value = {"model": MODEL, "version": 2}
         stored = registrations.Stored(name=MODEL, revision=2, value=value)
-        self.taken(view).weights([stored], [])
+        self.updater(view).weights([stored], [])
 
-    def test_weights_of_unknown_age_are_over_soon_after_the_start(self):
-        """Half of a long bound was added to all that had passed before."""
+    def test_weights_of_unknown_age_end_soon_after_the_start(self):
+        """Guards against older weights used past their bound after a restart.
+
+        The router added half of a long bound to the time that had already
+        passed.
+        """
         view = self.started()
         self.list_second(view)
         until = view.begins_until(MODEL, 1)
-        # From then on the users' rules bind a router that has started.
+        # The bound applies to a router from this time after its start.
         assert until <= view.born + 3.0
 
-    def test_another_router_s_word_goes_before_the_guess_of_a_start(self):
-        """Runners were shut out though their weights were still in time."""
+    def test_another_router_s_time_replaces_the_guess_of_a_start(self):
+        """Guards against excluding runners whose weights are still allowed."""
         view = self.started()
         self.list_second(view)
         view.want(MODEL, 2, view.born - 1.0)
         assert view.begins_until(MODEL, 1) == view.born + 11.0
 
-    def test_the_guess_of_a_start_does_not_go_before_another_router_s_word(
+    def test_the_guess_of_a_start_does_not_replace_another_router_s_time(
         self,
     ):
-        """One router that started shut runners out at all others."""
+        """Guards against a starting router excluding runners at others."""
         view = self.started()
         view.want(MODEL, 2, view.born - 1.0)
         view.want(
@@ -186,7 +190,7 @@
         )
         assert view.begins_until(MODEL, 1) == view.born + 11.0
 
-    def test_the_guess_of_a_start_does_not_go_before_a_bound_that_is_known(
+    def test_the_guess_of_a_start_does_not_replace_a_known_bound(
         self,
     ):
         view = self.started()
@@ -197,8 +201,8 @@
             view.want(MODEL, 2, view.born + since, source=source)
         assert view.begins_until(MODEL, 1) == view.born + 11.0
 
-    def test_of_two_times_before_which_it_was_not_named_the_later_holds(self):
-        """Runners were shut out by the one who had looked longest ago."""
+    def test_of_two_lower_bounds_the_later_counts(self):
+        """Guards against excluding runners by the oldest of several reads."""
         view = self.started()
         for since in (-8.0, -1.0, -5.0):
             view.want(
@@ -211,8 +215,8 @@
 
 
 @played(routers=2)
-async def test_a_start_amid_a_rollout_shuts_out_no_runner_elsewhere(world):
-    """Heartbeats told the guess of the router that had started as known."""
+async def test_a_start_during_a_rollout_excludes_no_runner_elsewhere(world):
+    """Guards against heartbeats that report a guessed time as certain."""
     first, second = world.routers
     for each in world.servers.values():
         each.silent_orders = 1000
@@ -235,8 +239,11 @@
 
 
 @played(routers=2)
-async def test_all_versions_named_are_told_to_a_router_that_missed_one(world):
-    """A router that knows the newest alone would use the first for too long."""
+async def test_a_router_that_missed_a_version_receives_all_versions(world):
+    """Guards against a router that uses the first version for too long.
+
+    It would do so if it received only the newest version.
+    """
     first, second = world.routers
     now = clocks.now()
     first.view.want(MODEL, 2, now - 5.0)
@@ -252,10 +259,14 @@
 
 
 @played(routers=1, runners=1)
-async def test_a_version_found_by_a_look_counts_from_when_it_may_be_named(
+async def test_a_version_found_by_a_read_counts_from_its_earliest_time(
     world,
 ):
-    """Counted from the look, older weights served past their bound."""
+    """Guards against older weights used past their bound.
+
+    The time must count from when the version may have been announced, not from
+    the read of the store that found it.
+    """
     [router] = world.routers
     await asyncio.sleep(0.3)
     world.store.forget_watches()
@@ -270,10 +281,14 @@
 
 
 @played(routers=1, runners=2)
-async def test_a_runner_with_newer_weights_shows_that_they_were_named(world):
-    """A router that heard nothing of them used the others without end."""
+async def test_a_runner_with_newer_weights_shows_their_announcement(world):
+    """Guards against older weights that are used without end.
+
+    A router that receives no announcements must infer the version from a
+    runner.
+    """
     [router] = world.routers
-    _cut_off_from_named_weights(router)
+    _stop_weights_watch(router)
     runner = world.servers["r0"]
     runner.weights[MODEL] = 2
     world.tell(runner)
@@ -281,8 +296,11 @@
 
 
 @played(routers=1, runners=1)
-async def test_a_version_heard_by_a_wait_counts_from_then(world):
-    """Taken for older, it would shut runners out before they could load."""
+async def test_a_version_received_by_a_watch_counts_from_then(world):
+    """Guards against excluding runners before they could load.
+
+    That happens if the version counts as announced earlier than it was.
+    """
     [router] = world.routers
     await asyncio.sleep(1.5)
     named = clocks.now()
@@ -291,15 +309,15 @@
     assert router.view.wanted[MODEL].since >= named - 0.1
 
 
-def _cut_off_from_named_weights(router):
-    """Lets a router hear of servers and of no named weights any more."""
+def _stop_weights_watch(router):
+    """Stops a router's watch of announced weights, but not that of servers."""
     router.kinds["weights"].close()
 
 
-async def _ask_before_the_bound(world, path, server):
-    """Sends a request that waits at its runner until older weights are over.
+async def _request_before_bound(world, path, server):
+    """Sends a request that waits at its runner past the bound.
 
-    Returns the task that asks, and when the newer weights were named.
+    Returns the task of the request, and when the newer weights were announced.
     """
     [router] = world.routers
     router.view.bounds = attrs.evolve(
@@ -326,7 +344,7 @@
 
 
 def _begun_late(world, named):
-    """Returns the requests that began on older weights past the bound."""
+    """Returns the requests that started on older weights past the bound."""
     return [
         call
         for call in world.ran("runners")
@@ -338,12 +356,15 @@
 async def test_no_request_that_waits_begins_on_older_weights_past_the_bound(
     world,
 ):
-    """A runner that was slowed began requests seconds after they were sent."""
-    asked, named = await _ask_before_the_bound(world, "/drafts/", _asked_runner)
+    """Guards against a slow runner that starts requests past the bound.
+
+    It started them seconds after they were sent.
+    """
+    asked, named = await _request_before_bound(world, "/drafts/", _asked_runner)
     answer = await asked
     await asyncio.sleep(1.0)
     assert not _begun_late(world, named)
-    # It was sent, so nothing may promise that it has not run.
+    # It was sent, so no status may claim that it has not run.
     assert answer.status not in (408, 421, 429, 503)
 
 
@@ -351,8 +372,8 @@
 async def test_a_resumable_request_that_waits_too_long_goes_to_newer_weights(
     world,
 ):
-    """It would end unserved while other runners have the newer weights."""
-    asked, named = await _ask_before_the_bound(
+    """Guards against a failure while other runners have the newer weights."""
+    asked, named = await _request_before_bound(
         world, "/lookups/", _asked_runner
     )
     first = _asked_runner(world)
@@ -366,55 +387,64 @@
 
 
 class TestRollout:
-    """Which runners load first, when the bound comes near."""
+    """Which runners load first as the bound approaches."""
 
-    def told(self, rollout, now):
+    def ordered(self, rollout, now):
         return [
             each.backend.registration.incarnation for each in rollout.due(now)
         ]
 
-    def test_runners_that_may_begin_nothing_load_whatever_the_others_do(self):
-        """They serve nobody, and wait for their turn to load all the same."""
-        view = believed_of(*[1] * 9)
+    def test_runners_that_may_start_nothing_load_regardless_of_others(self):
+        """Guards against runners that serve no requests but wait to load."""
+        view = view_of(*[1] * 9)
         rollout = rollouts.Rollout(view=view)
         view.want(MODEL, 2, 0.0)
-        assert len(self.told(rollout, 1.0)) == 3
+        assert len(self.ordered(rollout, 1.0)) == 3
         late = view.bounds.weights_seconds
-        assert len(self.told(rollout, late)) == 9
+        assert len(self.ordered(rollout, late)) == 9
 
     def test_the_runners_with_the_oldest_weights_load_first(self):
-        """The least busy went first, and the oldest were used to the bound."""
-        view = believed_of(2, 2, 2, 2, 2, 2, 1, 1, 1)
+        """Guards against the oldest weights being used up to the bound.
+
+        That happens if the least busy runners load first.
+        """
+        view = view_of(2, 2, 2, 2, 2, 2, 1, 1, 1)
         for each in view.servers.by_incarnation.values():
             each.open = 3 if each.registration.weights[MODEL] == 1 else 0
         view.want(MODEL, 2, 0.0)
         view.want(MODEL, 3, 2.0)
         rollout = rollouts.Rollout(view=view)
-        assert sorted(self.told(rollout, 2.5)) == ["r6", "r7", "r8"]
+        assert sorted(self.ordered(rollout, 2.5)) == ["r6", "r7", "r8"]
 
-    def test_a_runner_that_is_down_does_not_hold_up_what_may_begin_nothing(
+    def test_a_runner_that_is_down_does_not_delay_idle_runners(
         self,
     ):
-        """With a third down no second load began, and the bound passed."""
-        view = believed_of(*[1] * 9)
+        """Guards against a rollout that stalls past the bound.
+
+        With a third of the runners down, no second load started.
+        """
+        view = view_of(*[1] * 9)
         late = view.bounds.weights_seconds
         for number in (0, 1, 2):
             view.servers.by_server[f"r{number}"].failed(late - 0.1)
         view.want(MODEL, 2, 0.0)
         rollout = rollouts.Rollout(view=view)
-        assert len(self.told(rollout, late)) == 6
-        assert len(self.told(rollout, late + backends.FAILED_SECONDS)) == 9
+        assert len(self.ordered(rollout, late)) == 6
+        assert len(self.ordered(rollout, late + backends.FAILED_SECONDS)) == 9
 
 
 def test_an_answer_that_has_arrived_is_not_withdrawn():
-    """Its head waited to be read by the request's task."""
+    """Guards against withdrawing a request whose answer has arrived.
+
+    The request's task had not read the head of the answer yet.
+    """
     connection = server_connections.ServerConnection(address="10.0.0.1:80")
     connection.busy = True
     connection.data_received(
         b"HTTP/1.1 200 OK\r\nRequest-Id: q\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n"
     )
-    view = believed_of(1)
+    view = view_of(1)
     client_request = test_router_decisions.TestOlderWeights().ask(0.0)
     attempt = attempts.Attempt(
         client_request=client_request,
@@ -432,7 +462,7 @@
 
 @attrs.define(kw_only=True)
 class FormerBeat:
-    """A heartbeat of a build that tells the newest version alone."""
+    """A heartbeat of a former build, with only the newest version."""
 
     data_centre: str
     counted: tuple[int, int]
@@ -446,7 +476,10 @@
 
 
 def test_heartbeats_of_the_former_build_are_read_and_the_other_way_round():
-    """Amid a rolling update each half took the other half for gone."""
+    """Guards against a rolling update in which builds drop each other's beats.
+
+    Each half of the routers then considers the other half dead.
+    """
     told = {
         "data_centre": "a",
         "counted": (2, 0),
@@ -468,11 +501,14 @@
 
 
 def test_a_first_version_ever_named_is_shown_by_a_runner_too():
-    """Nothing is named in the store until an operator does."""
+    """Guards against older weights used before any announcement.
+
+    The store has no version until an operator announces one.
+    """
     view = cluster_views.ClusterView(
         name="x", data_centre="a", born=clocks.now()
     )
-    taken = view_updaters.ViewUpdater(
+    updater = view_updaters.ViewUpdater(
         view=view,
         lines=log_lines.Lines(counters=counters.Counters()),
     )
@@ -489,27 +525,30 @@
         )
         for version in (1, 2)
     ]
-    taken.servers(entries, [])
+    updater.servers(entries, [])
     late = clocks.now() + view.bounds.weights_seconds
     assert not selections.weights_allow(
         view, MODEL, view.servers.by_server["r1"], late
     )
 
 
-def _stand_still(seconds):
-    """Lets the loop, so all routers, stand still."""
+def _block_loop(seconds):
+    """Blocks the event loop, and so all routers."""
     time.sleep(seconds)
 
 
 @played(routers=2, runners=1)
-async def test_a_version_named_while_all_routers_stood_still_counts_from_then(
+async def test_a_version_announced_during_a_pause_of_all_counts_from_then(
     world,
 ):
-    """The answer lay in the socket; old weights were used 10 s after it."""
+    """Guards against old weights used for 10 s after a pause.
+
+    The store's answer was in the socket while the routers were paused.
+    """
     await asyncio.sleep(0.8)
     named = clocks.now()
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
-    _stand_still(2.5)
+    _block_loop(2.5)
     await world.until(
         lambda: all(
             each.view.wanted[MODEL].version == 2 for each in world.routers
@@ -522,7 +561,10 @@
 
 @played(routers=2, runners=2)
 async def test_a_router_that_stood_still_ages_no_weights_elsewhere(world):
-    """What it read on waking was taken for as old as its pause."""
+    """Guards against a version that counts as old as the pause of a router.
+
+    The router reads the version when it resumes.
+    """
     first, second = world.routers
     for each in world.servers.values():
         each.silent_orders = 1000
@@ -533,7 +575,7 @@
     await world.until(lambda: second.view.wanted[MODEL].version == 2)
     await asyncio.sleep(1.0)
     assert abs(first.view.wanted[MODEL].since - now) < 0.3
-    # The first tells it once more after the pause is over.
+    # The first router reports it again after the pause.
     await world.until(
         lambda: abs(second.view.wanted[MODEL].since - now) < 0.3,
         seconds=3.0,
@@ -542,19 +584,22 @@
 
 
 @played(routers=1, runners=1)
-async def test_after_a_pause_no_part_of_older_weights_is_fetched(world):
-    """Runners may have changed meanwhile, and left mixed parts."""
+async def test_no_part_of_older_weights_is_fetched_after_a_pause(world):
+    """Guards against cached parts of mixed weights.
+
+    Runners may have changed their weights during the pause.
+    """
     [router] = world.routers
     await asyncio.sleep(0.8)
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
-    _stand_still(2.5)
+    _block_loop(2.5)
     await world.until(lambda: router.view.wanted[MODEL].version == 2)
     since = router.view.wanted[MODEL].since
     assert clocks.now() - since >= selections.SAFE_FETCH_SECONDS
 
 
 class TestWatchers:
-    """How old what a call brought may be."""
+    """Upper bound of the age of changes that a call returns."""
 
     CHANGES = registrations.Changes(
         changed=[
@@ -567,7 +612,7 @@
     )
 
     def unseen_seconds(self, *, known_age, wait_seconds, look_seconds=0.0):
-        """Plays one step of a watcher; returns how old its news may be."""
+        """Runs one step of a watcher; returns how old its changes may be."""
 
         async def watch(kind, revision, seconds):
             await asyncio.sleep(wait_seconds if seconds else look_seconds)
@@ -595,16 +640,23 @@
 
         return asyncio.run(play())
 
-    def test_a_wait_that_is_answered_at_once_may_bring_what_is_old(self):
-        """A router followed others, which died; its own wait began then."""
+    def test_a_watch_that_is_answered_at_once_may_return_old_changes(self):
+        """Guards against changes that count as new when a watch is late.
+
+        The router relied on others' watches, and started its own when they
+        died.
+        """
         found = self.unseen_seconds(known_age=3.0, wait_seconds=0.0)
         assert found > 2.5
 
-    def test_a_wait_that_is_answered_later_brings_what_is_new(self):
+    def test_a_watch_that_is_answered_later_returns_new_changes(self):
         assert self.unseen_seconds(known_age=2.0, wait_seconds=0.6) < 0.1
 
-    def test_a_look_beside_a_sound_wait_does_not_age_what_was_just_named(self):
-        """A look came 10 ms before the wait, and went before it."""
+    def test_a_read_beside_a_live_watch_does_not_age_a_new_version(self):
+        """Guards against a read that ages a change just announced.
+
+        The read returned 10 ms before the watch.
+        """
         found = self.unseen_seconds(
             known_age=2.6, wait_seconds=0.65, look_seconds=0.04
         )
@@ -612,10 +664,13 @@
 
 
 @played(routers=1, runners=2)
-async def test_a_version_named_in_an_outage_does_not_shut_all_runners_out(
+async def test_a_version_announced_in_an_outage_does_not_exclude_all_runners(
     world,
 ):
-    """All counted as too old when the store was back, and callers got 503."""
+    """Guards against 503 for clients when the store is back.
+
+    All weights counted as too old then.
+    """
     [router] = world.routers
     router.view.bounds = attrs.evolve(
         router.view.bounds, weights_seconds=WEIGHTS_SECONDS
