--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -207,7 +207,9 @@
         )
         backend = view.servers.put(registration)
         holder_view.servers.put(registration).loading_until = 20.9
-        lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
+        lease.record_write(
+            registrations.Stored(name="", revision=7, value=None), 20.0
+        )
         holder.record_own(20.0)
         early = self.beat(holder, 20.0)
         assert other.merge(early, 20.0)
@@ -224,7 +226,9 @@
         """Its successor must not have to wait until its heartbeats expire."""
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
-        lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
+        lease.record_write(
+            registrations.Stored(name="", revision=7, value=None), 20.0
+        )
         holder.record_own(20.0)
         other.merge(self.beat(holder, 20.0), 20.0)
         lease.learn(
@@ -241,7 +245,9 @@
     def test_a_holder_without_recent_heartbeats_is_not_alive(self):
         holder, lease, _ = self.parts()
         other, _, _ = self.parts()
-        lease.wrote(registrations.Stored(name="", revision=7, value=None), 20.0)
+        lease.record_write(
+            registrations.Stored(name="", revision=7, value=None), 20.0
+        )
         holder.record_own(20.0)
         other.merge(self.beat(holder, 20.0), 20.0)
         assert not other.holder_is_alive(
