--- a/benches/admission.py
+++ b/benches/admission.py
@@ -562,7 +562,7 @@
                 core.admission.remembered = collections.defaultdict(
                     lambda: admission.Crashes(count=0, until=1e9)
                 )
-                core.admission._remember = lambda *_, **__: None
+                core.admission._record_crashes = lambda *_, **__: None
     before = len(path.store.calls)
     innocents = []
     asked = {}
--- a/pimentoledge/decisions/admission.py
+++ b/pimentoledge/decisions/admission.py
@@ -94,7 +94,7 @@
         pausing: whether the engine was told to stop it, so that its slot
             is as good as free.
         proved: whether it has got past the point where suspects crash.
-        untouched: whether the engine refused it, so that it crashes none.
+        not_started: whether the engine refused it, so that it crashes none.
     """
 
     item: queues.Item
@@ -103,7 +103,7 @@
     aged: bool = False
     pausing: bool = False
     proved: bool = False
-    untouched: bool = False
+    not_started: bool = False
 
 
 @attrs.define(kw_only=True)
@@ -113,13 +113,14 @@
     Attributes:
         count: engines known to have crashed on it, here or elsewhere.
         until: when to forget it.
-        held: until when it is refused though it is not certain: the last
-            crash pointed at it alone.
+        refused_until: until when it is refused though fewer than
+            POISON_CRASHES are known: it was the only suspect in the last
+            crash that had been a suspect before.
     """
 
     count: int
     until: float
-    held: float = 0.0
+    refused_until: float = 0.0
 
 
 class Admission:
@@ -196,7 +197,7 @@
     def queued_tokens(self) -> int:
         """Uncached prompt tokens that wait here."""
         return sum(
-            _uncached(item.dispatch)
+            _uncached_tokens(item.dispatch)
             for queue in (self.interactive, self.batch)
             for item in queue
         )
@@ -212,7 +213,7 @@
         prints = [
             each.item.dispatch.fingerprint
             for each in self.running.values()
-            if not each.untouched
+            if not each.not_started
         ]
         return list(dict.fromkeys(each for each in prints if each))
 
@@ -230,13 +231,13 @@
         """
         self.now = now
         self.token_seconds = truth.token_seconds
-        self._learn_version(truth.configuration, now)
-        known = self._remembered(dispatch.fingerprint, now)
+        self._record_version(truth.configuration, now)
+        known = self._known_crashes(dispatch.fingerprint, now)
         crashes = max(dispatch.crashes, known.count)
-        code = self._untrue(dispatch, truth)
-        if code is None and known.held > now:
+        code = self._find_mismatch(dispatch, truth)
+        if code is None and known.refused_until > now:
             code = results.Code.POISON
-        code = code or self._suspect(crashes)
+        code = code or self._check_crashes(crashes)
         if code is not None:
             delay = self._slot_wait(1) if code == _BUSY else 0.0
             if code == results.Code.POISON:
@@ -247,7 +248,7 @@
             sender=sender,
             arrived=now,
             deadline=now + dispatch.seconds_left,
-            cost=_cost(dispatch),
+            cost=_expected_tokens(dispatch),
             crashes=crashes,
         )
         queue = self._queue(item)
@@ -298,7 +299,7 @@
         if tokens is not None:
             self._queue(ended.item).correct(ended.item, tokens)
         if finished:
-            self._measure(now - ended.started)
+            self._update_duration(now - ended.started)
             self.remembered.pop(ended.item.dispatch.fingerprint, None)
 
     def proved(self, request: str, attempt: int) -> None:
@@ -312,11 +313,11 @@
         if proved is not None:
             proved.proved = True
 
-    def untouched(self, request: str, attempt: int) -> None:
+    def not_started(self, request: str, attempt: int) -> None:
         """Notes that the engine refused an attempt, or was dead by then."""
         refused = self.running.get((request, attempt))
         if refused is not None:
-            refused.untouched = True
+            refused.not_started = True
 
     def paused(self, request: str, attempt: int, now: float) -> None:
         """Notes that the engine stopped an attempt that is to be paused.
@@ -342,7 +343,7 @@
         self.now = now
         started = []
         while (item := self._next(now)) is not None:
-            aged = item is self._aged(now)
+            aged = item is self._find_aged(now)
             self._queue(item).remove(item)
             self._start(item, now, aged=aged)
             started.append(
@@ -358,7 +359,7 @@
         """Takes out what can no longer start in time, or was pushed out."""
         self.now = now
         refused = [
-            self._give_back(item, results.Code.OVERLOADED)
+            self._refuse_queued(item, results.Code.OVERLOADED)
             for item in self.dropped
         ]
         self.dropped.clear()
@@ -367,7 +368,7 @@
             for item in late:
                 queue.remove(item)
                 code = results.Code.DEADLINE_UNMEETABLE
-                refused.append(self._give_back(item, code))
+                refused.append(self._refuse_queued(item, code))
         return refused
 
     def clear(self) -> list[messages.Dispatch]:
@@ -388,7 +389,7 @@
         pointed = [each for each, known in earlier.items() if known]
         for fingerprint, known in earlier.items():
             held = pointed == [fingerprint]
-            self._remember(fingerprint, known + 1, held=held)
+            self._record_crashes(fingerprint, known + 1, held=held)
         self.running.clear()
         waited = self.interactive.clear() + self.batch.clear() + self.dropped
         self.dropped = []
@@ -402,13 +403,13 @@
             for item in queue
         ]
         oldest = self.batch.oldest()
-        if oldest is not None and self._free() > 0:
+        if oldest is not None and self._free_slots() > 0:
             aged = oldest.arrived + self.age_seconds
             if aged > self.now:
                 times.append(aged)
         return min(times, default=None)
 
-    def _untrue(
+    def _find_mismatch(
         self, dispatch: messages.Dispatch, truth: messages.Truth
     ) -> results.Code | None:
         if dispatch.server != self.server:
@@ -433,7 +434,7 @@
             return results.Code.STALE_CONFIGURATION
         return None
 
-    def _learn_version(self, version: int, now: float) -> None:
+    def _record_version(self, version: int, now: float) -> None:
         newest = self.versions[-1][0] if self.versions else self.required
         if version > newest:
             self.versions.append((version, now))
@@ -444,7 +445,7 @@
             self.required = version
             self.versions.popleft()
 
-    def _suspect(self, crashes: int) -> results.Code | None:
+    def _check_crashes(self, crashes: int) -> results.Code | None:
         if crashes >= POISON_CRASHES:
             return results.Code.POISON
         if crashes == 0:
@@ -455,7 +456,7 @@
         here = [*running, *self.interactive, *self.batch]
         return _BUSY if any(each.crashes for each in here) else None
 
-    def _remembered(self, fingerprint: bytes, now: float) -> Crashes:
+    def _known_crashes(self, fingerprint: bytes, now: float) -> Crashes:
         known = self.remembered.get(fingerprint)
         if known is None:
             return Crashes(count=0, until=0.0)
@@ -464,14 +465,16 @@
             return Crashes(count=0, until=0.0)
         return known
 
-    def _remember(self, fingerprint: bytes, count: int, *, held: bool) -> None:
+    def _record_crashes(
+        self, fingerprint: bytes, count: int, *, held: bool
+    ) -> None:
         certain = count >= POISON_CRASHES
         seconds = self.poison_seconds if certain else self.suspect_seconds
         self.remembered.pop(fingerprint, None)
         self.remembered[fingerprint] = Crashes(
             count=count,
             until=self.now + seconds,
-            held=self.now + self.hold_seconds if held else 0.0,
+            refused_until=self.now + self.hold_seconds if held else 0.0,
         )
         while len(self.remembered) > MAX_REMEMBERED:
             weakest = min(
@@ -489,7 +492,7 @@
                     return item
         return None
 
-    def _free(self) -> int:
+    def _free_slots(self) -> int:
         pausing = sum(each.pausing for each in self.running.values())
         return self.slots - len(self.running) + pausing
 
@@ -520,7 +523,7 @@
         return [victim.item.key()]
 
     def _may_start(self, item: queues.Item) -> bool:
-        free = self._free()
+        free = self._free_slots()
         if not _is_batch(item.dispatch):
             return free > 0
         if self.interactive.size:
@@ -534,7 +537,7 @@
             self.pauses and dispatch.completion is not None and not dispatch.key
         )
 
-    def _aged(self, now: float) -> queues.Item | None:
+    def _find_aged(self, now: float) -> queues.Item | None:
         # Interactive work alone could fill every slot for hours; without
         # this, batch work would wait until its deadline refuses it.
         oldest = self.batch.oldest()
@@ -544,9 +547,9 @@
         return oldest if held < self.aged_slots else None
 
     def _next(self, now: float) -> queues.Item | None:
-        if self._free() <= 0:
+        if self._free_slots() <= 0:
             return None
-        item = self._aged(now) or self.interactive.peek()
+        item = self._find_aged(now) or self.interactive.peek()
         if item is not None:
             return item
         item = self.batch.peek()
@@ -563,7 +566,7 @@
             aged=aged,
         )
 
-    def _measure(self, seconds: float) -> None:
+    def _update_duration(self, seconds: float) -> None:
         if self.duration == 0.0:
             self.duration = seconds
         self.duration += DURATION_WEIGHT * (seconds - self.duration)
@@ -577,13 +580,15 @@
             ahead = self.interactive.size + self.batch.ahead(dispatch)
         return self._slot_wait(ahead + 1)
 
-    def _give_back(self, item: queues.Item, code: results.Code) -> Refuse:
+    def _refuse_queued(self, item: queues.Item, code: results.Code) -> Refuse:
         wait = self._wait(item.dispatch)
         refused = _refuse(item.dispatch, item.sender, code, wait)
         return attrs.evolve(refused, started=item.started)
 
     def _latest_start(self, item: queues.Item) -> float:
-        return item.deadline - _uncached(item.dispatch) * self.token_seconds
+        return (
+            item.deadline - _uncached_tokens(item.dispatch) * self.token_seconds
+        )
 
 
 _BUSY = results.Code.SUSPECT_BUSY
@@ -593,15 +598,15 @@
     return dispatch.priority == declarations.Priority.BATCH
 
 
-def _uncached(dispatch: messages.Dispatch) -> int:
+def _uncached_tokens(dispatch: messages.Dispatch) -> int:
     return max(0, dispatch.prompt_tokens - dispatch.expected_depth)
 
 
-def _cost(dispatch: messages.Dispatch) -> int:
+def _expected_tokens(dispatch: messages.Dispatch) -> int:
     answer = 0
     if dispatch.completion is not None:
         answer = min(dispatch.completion.max_tokens, EXPECTED_TOKENS)
-    return max(1, _uncached(dispatch) + answer)
+    return max(1, _uncached_tokens(dispatch) + answer)
 
 
 def _refuse(
--- a/pimentoledge/decisions/agents.py
+++ b/pimentoledge/decisions/agents.py
@@ -60,10 +60,10 @@
         admission: decides what runs, waits and is refused.
         claims: at-most-once calls.
         orders: brings the engine to what is declared.
-        told: digest of the configuration, and number of runners, that the
-            orders were last told.
-        announced: whether entries were last told that a load closes this
-            server.
+        applied: digest of the configuration, and number of runners, that
+            were last passed to `orders`.
+        announced_closing: value of `orders.closing` in the last report that
+            was sent to all entries.
         subscriber: gets the declarations from entries.
         status: what the engine or service last said of itself.
         runs: attempts that have not ended.
@@ -93,8 +93,8 @@
         self.orders = orders.Orders(
             server=name, life=life, address=address, seed=seed
         )
-        self.told: tuple[int, int] | None = None
-        self.announced = False
+        self.applied: tuple[int, int] | None = None
+        self.announced_closing = False
         self.subscriber = subscription.Subscriber(
             name=name, seed=seed, view=view, seeds=seeds
         )
@@ -108,41 +108,41 @@
         """Takes an event and returns what to do."""
         match event:
             case events.EngineText():
-                return self.text(event)
+                return self.engine_text(event)
             case events.FromNode():
                 todo = self.subscriber.handle(event, now)
-                todo += self.declared(now)
+                todo += self.apply_declarations(now)
                 return todo + self.from_node(event, now)
             case events.EngineStarted():
-                return self.started(event)
+                return self.engine_started(event)
             case events.EngineEnded():
                 return self.engine_ended(event, now)
             case events.EngineBroken():
-                return self.broken(event, now)
+                return self.engine_broken(event, now)
             case events.ServiceDone():
                 return self.service_done(event, now)
             case events.EngineStatus():
-                return self.learned(event, now)
+                return self.engine_status(event, now)
             case stores.StoreAnswer() if self.claims.owns(event.call):
-                return self.claimed(self.claims.answer(event, now), now)
+                return self.apply_claims(self.claims.answer(event, now), now)
             case events.OrderDone():
-                return self.ordered(self.orders.handle(event, now), now)
+                return self.apply_orders(self.orders.handle(event, now), now)
             case stores.StoreAnswer() if self.orders.owns(event):
-                return self.ordered(self.orders.handle(event, now), now)
+                return self.apply_orders(self.orders.handle(event, now), now)
             case events.Unreachable():
                 todo = self.subscriber.handle(event, now)
                 return todo + self.unreachable(event, now)
             case events.Drain():
                 self.draining = True
-                return self.ordered(self.orders.retire(now), now)
+                return self.apply_orders(self.orders.retire(now), now)
         return []
 
     def tick(self, now: float) -> Actions:
         """Does what is due."""
         todo = self.subscriber.wake(now)
-        todo += self.declared(now)
-        todo += self.ordered(self.orders.wake(now), now)
-        todo += self.claimed(self.claims.tick(now), now)
+        todo += self.apply_declarations(now)
+        todo += self.apply_orders(self.orders.wake(now), now)
+        todo += self.apply_claims(self.claims.tick(now), now)
         return todo + self.advance(now)
 
     def next_wake(self) -> float | None:
@@ -168,12 +168,12 @@
         held = self.claims.held() or self.orders.held()
         return not self.runs and not held
 
-    def declared(self, now: float) -> Actions:
+    def apply_declarations(self, now: float) -> Actions:
         """Goes by what is declared, when that has changed."""
         told = self.configuration.root, self.subscriber.runners
-        if self.told == told:
+        if self.applied == told:
             return []
-        self.told = told
+        self.applied = told
         server = self.configuration.server(self.name)
         serves = server.serves if server is not None else ""
         found = self.orders.declare(
@@ -182,12 +182,12 @@
             runners=self.subscriber.runners,
             now=now,
         )
-        return self.ordered(found, now)
+        return self.apply_orders(found, now)
 
-    def ordered(self, found: Actions, now: float) -> Actions:
+    def apply_orders(self, found: Actions, now: float) -> Actions:
         """Carries out what the orders say; turns waiting work away."""
-        if self.announced is not self.orders.closing:
-            self.announced = self.orders.closing
+        if self.announced_closing is not self.orders.closing:
+            self.announced_closing = self.orders.closing
             found = found + self.announce()
         if not self.orders.closing:
             return found
@@ -198,7 +198,7 @@
                     dispatch=run.dispatch,
                     sender=run.sender,
                 )
-                found += self.turn_away(run, refused, now)
+                found += self.refuse_and_release(run, refused, now)
         return found
 
     def truth(self, sender: str) -> messages.Truth:
@@ -254,7 +254,7 @@
         """Takes a request: claims it first if it may not be repeated."""
         if (dispatch.request, dispatch.attempt) in self.runs:
             return []
-        self.count(sender)
+        self.count_dispatch(sender)
         run = runs.Run(
             dispatch=dispatch,
             sender=sender,
@@ -275,7 +275,7 @@
             outcome_seconds=self.outcome_seconds(dispatch),
             now=now,
         )
-        return self.claimed(outputs, now)
+        return self.apply_claims(outputs, now)
 
     def serves(self, dispatch: messages.Dispatch) -> str:
         """Returns the model or service that a dispatch is for."""
@@ -290,7 +290,7 @@
             return service.outcome_seconds
         return declarations.OUTCOME_SECONDS
 
-    def count(self, sender: str) -> None:
+    def count_dispatch(self, sender: str) -> None:
         """Counts a dispatch of a sender."""
         if sender not in self.received and len(self.received) >= MAX_SENDERS:
             del self.received[next(iter(self.received))]
@@ -305,14 +305,14 @@
         todo: Actions = [run_logs.admit(run, verdict)]
         match verdict:
             case admission.Admit(pause=pause):
-                todo.append(self.admitted(run))
+                todo.append(self.admitted_reply(run))
                 todo += self.pause(pause)
                 todo.append(self.begin(run))
             case admission.Queue():
                 run.stage = runs.RunStage.QUEUED
-                todo.append(self.admitted(run))
+                todo.append(self.admitted_reply(run))
             case admission.Refuse():
-                todo += self.turn_away(run, verdict, now)
+                todo += self.refuse_and_release(run, verdict, now)
         return todo + self.advance(now)
 
     def pause(self, keys: list[Key]) -> Actions:
@@ -325,7 +325,7 @@
             todo.append(run_logs.pause(self.runs[key], "pause"))
         return todo
 
-    def paused(self, run: runs.Run, now: float) -> Actions:
+    def requeue_paused(self, run: runs.Run, now: float) -> Actions:
         """Puts batch work that has stopped back into the queue.
 
         The engine is asked who it is: if it died just now, the broken stream
@@ -338,7 +338,7 @@
         self.admission.paused(request, attempt, now)
         return [actions.CheckEngine(), *self.advance(now)]
 
-    def admitted(self, run: runs.Run) -> actions.Send:
+    def admitted_reply(self, run: runs.Run) -> actions.Send:
         """Tells the entry that its request is accepted."""
         request, attempt = run.key()
         return actions.Send(
@@ -350,7 +350,7 @@
             ),
         )
 
-    def turn_away(
+    def refuse_and_release(
         self, run: runs.Run, verdict: admission.Refuse, now: float
     ) -> Actions:
         """Refuses a request, and frees its key if it had claimed one."""
@@ -377,9 +377,9 @@
         outputs = self.claims.failed(
             run.dispatch.request, results.Ran.NOT_RUN, now
         )
-        return self.claimed(outputs, now)
+        return self.apply_claims(outputs, now)
 
-    def released(self, output: claim_verdicts.Released) -> Actions:
+    def claim_released(self, output: claim_verdicts.Released) -> Actions:
         """Tells an entry what was held back until its key was free."""
         run = self.runs.pop((output.request, output.attempt), None)
         if run is None or run.verdict is None:
@@ -418,9 +418,9 @@
             if refused.started:
                 code = results.Code.STREAM_BROKEN
                 ran = results.Ran(run.ran or results.Ran.RAN)
-                todo += self.give_up(run, code, ran, now)
+                todo += self.fail(run, code, ran, now)
             else:
-                todo += self.turn_away(run, refused, now)
+                todo += self.refuse_and_release(run, refused, now)
         for ready in self.admission.ready(now):
             key = (ready.dispatch.request, ready.dispatch.attempt)
             run = self.runs[key]
@@ -430,7 +430,7 @@
                 todo.append(run_logs.pause(run, "resume"))
         return todo
 
-    def claimed(self, outputs: list[claims.Output], now: float) -> Actions:
+    def apply_claims(self, outputs: list[claims.Output], now: float) -> Actions:
         """Carries out what the claims say."""
         todo: Actions = []
         for output in outputs:
@@ -444,9 +444,9 @@
                 case claim_verdicts.Replay():
                     todo += self.replay(output)
                 case claim_verdicts.Denied():
-                    todo += self.denied(output)
+                    todo += self.claim_denied(output)
                 case claim_verdicts.Released():
-                    todo += self.released(output)
+                    todo += self.claim_released(output)
                 case _:
                     todo.append(output)
         return todo
@@ -472,22 +472,22 @@
         )
         return self.outbox.send(run.sender, message)
 
-    def denied(self, output: claim_verdicts.Denied) -> Actions:
+    def claim_denied(self, output: claim_verdicts.Denied) -> Actions:
         """Tells the entry that a call with this key is not run now."""
         run = self.runs.pop((output.request, output.attempt), None)
         if run is None:
             return []
         if output.ran == results.Ran.NOT_RUN:
             return [self.refuse(run, output.code)]
-        verdict = self.failure(run, output.code, output.ran)
+        verdict = self.failed_message(run, output.code, output.ran)
         return self.outbox.send(run.sender, verdict)
 
-    def started(self, event: events.EngineStarted) -> Actions:
+    def engine_started(self, event: events.EngineStarted) -> Actions:
         """Takes the engine's word of who it is, newer than its status."""
         todo: Actions = []
         run = self.runs.get((event.request, event.attempt))
         if run is not None:
-            run.touched = True
+            run.begun = True
         if run is not None and run.stage == runs.RunStage.PAUSING:
             # The first order to stop may have overtaken the completion on
             # its way to the engine; then it found nothing to stop.
@@ -499,7 +499,7 @@
             todo.append(actions.CheckEngine())
         return todo
 
-    def text(self, event: events.EngineText) -> Actions:
+    def engine_text(self, event: events.EngineText) -> Actions:
         """Makes a frame of generated text."""
         run = self.runs.get((event.request, event.attempt))
         # A token that comes twice or out of order is of a connection that
@@ -509,10 +509,10 @@
         if run.tokens < PROVED_TOKENS <= run.tokens + event.tokens:
             self.admission.proved(event.request, event.attempt)
         run.tokens += event.tokens
-        run.touched = True
+        run.begun = True
         run.resumes = 0
         if run.dispatch.key:
-            self.keep(run, event.text)
+            self.keep_text(run, event.text)
         elif run.is_pausable():
             run.pieces.append(event.text)
         frame = messages.Frame(
@@ -526,7 +526,7 @@
         self.outbox.hold(run.sender, frame)
         return []
 
-    def keep(self, run: runs.Run, text: str) -> None:
+    def keep_text(self, run: runs.Run, text: str) -> None:
         """Keeps the text of a completion with a key, while it is short."""
         if run.text is None:
             return
@@ -542,7 +542,7 @@
         if event.completion_tokens != run.tokens:
             # The engine counts more tokens than came: some were lost between
             # it and here, so the stream must not pass as complete.
-            return self.give_up(
+            return self.fail(
                 run, results.Code.STREAM_BROKEN, results.Ran.RAN, now
             )
         del self.runs[run.key()]
@@ -571,7 +571,7 @@
             outputs = self.claims.finished(
                 event.request, answer=answer, now=now
             )
-            todo += self.claimed(outputs, now)
+            todo += self.apply_claims(outputs, now)
         return todo + self.advance(now)
 
     def service_done(self, event: events.ServiceDone, now: float) -> Actions:
@@ -588,7 +588,7 @@
             outputs = self.claims.finished(
                 event.request, answer=answer, now=now
             )
-            todo += self.claimed(outputs, now)
+            todo += self.apply_claims(outputs, now)
         message = messages.ServiceAnswer(
             request=event.request,
             attempt=event.attempt,
@@ -599,36 +599,36 @@
         )
         return todo + self.outbox.send(run.sender, message) + self.advance(now)
 
-    def broken(self, event: events.EngineBroken, now: float) -> Actions:
+    def engine_broken(self, event: events.EngineBroken, now: float) -> Actions:
         """Finds out what a broken answer means."""
         run = self.runs.get((event.request, event.attempt))
         if run is None:
             return []
         if self.kind == declarations.ServerKind.SERVICE:
             code = results.Code.SERVICE_FAILED
-            return self.give_up(run, code, results.Ran(event.ran), now)
+            return self.fail(run, code, results.Ran(event.ran), now)
         # What an engine refuses now it may have run before a pause.
-        run.touched |= event.ran != results.Ran.NOT_RUN
-        run.ran = results.Ran.RAN if run.touched else event.ran
+        run.begun |= event.ran != results.Ran.NOT_RUN
+        run.ran = results.Ran.RAN if run.begun else event.ran
         if run.stage == runs.RunStage.PAUSING:
-            return self.paused(run, now)
+            return self.requeue_paused(run, now)
         run.stage = runs.RunStage.BROKEN
         if run.ran == results.Ran.NOT_RUN:
-            self.admission.untouched(event.request, event.attempt)
+            self.admission.not_started(event.request, event.attempt)
         return [actions.CheckEngine()]
 
-    def learned(self, status: events.EngineStatus, now: float) -> Actions:
+    def engine_status(self, status: events.EngineStatus, now: float) -> Actions:
         """Takes the engine's status; finds out whether it died."""
         before = self.status.incarnation
         self.status = status
-        todo = self.order_by(status, now)
+        todo = self.update_orders(status, now)
         if status.slots:
             self.admission.slots = status.slots
         if before and status.incarnation != before:
-            return todo + self.died(before, now) + self.advance(now)
+            return todo + self.engine_died(before, now) + self.advance(now)
         for run in list(self.runs.values()):
             if run.stage == runs.RunStage.BROKEN:
-                todo += self.take_up(run, now)
+                todo += self.resume(run, now)
         return todo + self.advance(now)
 
     def announce(self) -> Actions:
@@ -645,7 +645,7 @@
             for each in self.received
         ]
 
-    def order_by(self, status: events.EngineStatus, now: float) -> Actions:
+    def update_orders(self, status: events.EngineStatus, now: float) -> Actions:
         """Gives the orders that a status calls for."""
         adapters = {
             each.dispatch.completion.adapter
@@ -656,9 +656,9 @@
             running=len(self.runs), adapters=frozenset(adapters), now=now
         )
         found += self.orders.handle(status, now)
-        return self.ordered(found, now)
+        return self.apply_orders(found, now)
 
-    def take_up(self, run: runs.Run, now: float) -> Actions:
+    def resume(self, run: runs.Run, now: float) -> Actions:
         """Resumes a stream whose connection broke though its engine lives.
 
         The engine goes on generating meanwhile, so running it elsewhere
@@ -667,7 +667,7 @@
         """
         if run.ran == results.Ran.NOT_RUN or run.resumes >= MAX_RESUMES:
             code = results.Code.STREAM_BROKEN
-            return self.give_up(run, code, results.Ran(run.ran), now)
+            return self.fail(run, code, results.Ran(run.ran), now)
         run.resumes += 1
         run.stage = runs.RunStage.RUNNING
         request, attempt = run.key()
@@ -677,7 +677,7 @@
             )
         ]
 
-    def died(self, incarnation: str, now: float) -> Actions:
+    def engine_died(self, incarnation: str, now: float) -> Actions:
         """Ends what the engine ran when it died, and what waited for it."""
         suspects = self.admission.suspects()
         self.admission.clear()
@@ -693,17 +693,17 @@
                     ran = results.Ran(run.ran or _has_run(run))
                     crash = Crash(incarnation=incarnation, suspects=suspects)
                     code = results.Code.ENGINE_DIED
-                    todo += self.give_up(run, code, ran, now, crash)
+                    todo += self.fail(run, code, ran, now, crash)
                 case runs.RunStage.QUEUED:
                     refused = admission.Refuse(
                         code=results.Code.SERVER_DOWN,
                         dispatch=run.dispatch,
                         sender=run.sender,
                     )
-                    todo += self.turn_away(run, refused, now)
+                    todo += self.refuse_and_release(run, refused, now)
         return todo
 
-    def give_up(
+    def fail(
         self,
         run: runs.Run,
         code: results.Code,
@@ -714,18 +714,18 @@
         """Ends an attempt that did not end well."""
         request, attempt = run.key()
         self.admission.ended(request, attempt, now)
-        verdict = self.failure(run, code, ran, crash)
+        verdict = self.failed_message(run, code, ran, crash)
         if run.dispatch.key and ran == results.Ran.NOT_RUN:
             return self.release(run, verdict, now) + self.advance(now)
         del self.runs[run.key()]
         todo: Actions = []
         if run.dispatch.key:
             outputs = self.claims.failed(request, ran, now)
-            todo += self.claimed(outputs, now)
+            todo += self.apply_claims(outputs, now)
         todo += self.outbox.send(run.sender, verdict)
         return todo + self.advance(now)
 
-    def failure(
+    def failed_message(
         self,
         run: runs.Run,
         code: results.Code,
@@ -789,4 +789,4 @@
     It was handed to the engine. Unless the engine said something of it, it
     may have met one that was down already; "ran" could then be false.
     """
-    return results.Ran.RAN if run.touched else results.Ran.UNKNOWN
+    return results.Ran.RAN if run.begun else results.Ran.UNKNOWN
--- a/pimentoledge/decisions/orders.py
+++ b/pimentoledge/decisions/orders.py
@@ -56,7 +56,7 @@
 
 
 @attrs.define(kw_only=True)
-class Given:
+class PendingOrder:
     """An order that was given and is not yet shown by the status.
 
     Attributes:
@@ -89,7 +89,7 @@
         down_since: when the engine went down; None while it is up.
         running: requests in the engine or waiting at this agent.
         adapters_in_use: adapters of those requests.
-        given: the order under way.
+        pending: the order under way.
         closing: whether new work is refused, for a load.
         retiring: whether the process shall end: no further order is given.
         not_before: earliest next order.
@@ -121,7 +121,7 @@
         self.down_since: float | None = None
         self.running = 0
         self.adapters_in_use: frozenset[str] = frozenset()
-        self.given: Given | None = None
+        self.pending: PendingOrder | None = None
         self.closing = False
         self.retiring = False
         self.not_before = -math.inf
@@ -171,8 +171,8 @@
         not wait for a store that is down: its next life, or time, frees the
         permit.
         """
-        leaves = self._leaves_entry() and not self.permits.unreachable
-        return self.given is not None or leaves
+        leaves = self._has_entry() and not self.permits.unreachable
+        return self.pending is not None or leaves
 
     def owns(self, answer: stores.StoreAnswer) -> bool:
         """Returns whether the store's answer is to one of its calls."""
@@ -187,9 +187,9 @@
         found: list[actions.Action] = []
         match event:
             case events.EngineStatus():
-                self._shown(event, now)
+                self._handle_status(event, now)
             case events.OrderDone():
-                self._done(event, now)
+                self._handle_done(event, now)
             case stores.StoreAnswer() if self.tenure.update.owns(event):
                 found = self.tenure.handle(event, now)
             case stores.StoreAnswer():
@@ -204,10 +204,10 @@
         # What was due at the last step was done there; it is named again
         # only if it is still to come, or the daemon would spin.
         times = [each for each in waits if each > self._stepped_at]
-        if self.given is not None:
-            times.append(self.given.until)
+        if self.pending is not None:
+            times.append(self.pending.until)
         calls = [self.tenure.next_wake()]
-        if self._in_charge() or self._leaves_entry():
+        if self._is_declared_agent() or self._has_entry():
             calls.append(self.permits.next_wake())
         times += [each for each in calls if each is not None]
         return min(times, default=None)
@@ -216,23 +216,23 @@
         """Does what is due by now."""
         return self.tenure.wake(now) + self._step(now)
 
-    def _shown(self, status: events.EngineStatus, now: float) -> None:
+    def _handle_status(self, status: events.EngineStatus, now: float) -> None:
         self.status = status
         if status.incarnation:
             self.down_since = None
         elif self.down_since is None:
             self.down_since = now
-        given = self.given
+        given = self.pending
         if given is None:
             return
         # An engine that died has forgotten the order, and comes back with
         # the weights that it was started with.
         died = status.incarnation != given.incarnation
-        if died or _shows(status, given.target):
-            self.given = None
+        if died or _status_shows(status, given.target):
+            self.pending = None
 
-    def _done(self, done: events.OrderDone, now: float) -> None:
-        given = self.given
+    def _handle_done(self, done: events.OrderDone, now: float) -> None:
+        given = self.pending
         if given is None or done.order != given.order:
             return
         if done.answer is None:
@@ -243,30 +243,30 @@
         if done.answer.accepted:
             given.until = now + self.timing.done
             return
-        self.given = None
+        self.pending = None
         self.not_before = now + self.timing.retry
         if done.answer.reason == FENCED:
             self.tenure.fenced(done.answer.highest)
 
     def _step(self, now: float) -> list[actions.Action]:
         self._stepped_at = now
-        if self.given is not None and now >= self.given.until:
-            self.given = None
-        if not self._in_charge():
-            return self._stand_back(now)
-        target = self._target()
-        self.permits.set_want(self._want(target, now))
+        if self.pending is not None and now >= self.pending.until:
+            self.pending = None
+        if not self._is_declared_agent():
+            return self._withdraw(now)
+        target = self._next_target()
+        self.permits.set_want(self._wanted_permit(target, now))
         found = []
         if self._needs_number(target):
             found += self.tenure.take(now)
         self.permits.number = self.tenure.number
         found += self.permits.wake(now)
         self.closing = self._must_close(target)
-        if target is not None and self.given is None:
-            found += self._try(target, now)
+        if target is not None and self.pending is None:
+            found += self._try_order(target, now)
         return found
 
-    def _in_charge(self) -> bool:
+    def _is_declared_agent(self) -> bool:
         """Returns whether this agent is the one that is declared.
 
         A process holds its mailbox's address alone as long as it lives. So
@@ -282,22 +282,22 @@
             and self.declared.kind is declarations.ServerKind.RUNNER
         )
 
-    def _stand_back(self, now: float) -> list[actions.Action]:
+    def _withdraw(self, now: float) -> list[actions.Action]:
         # Taken out of service in mid-load, the engine goes on loading. With
         # its permit given back at once, another runner would load as well,
         # over the limit; so it is kept until the status shows the load.
-        loading = self.given is not None
-        self.closing = loading and self.given.target.kind == LOAD
-        if not self._leaves_entry():
+        loading = self.pending is not None
+        self.closing = loading and self.pending.target.kind == LOAD
+        if not self._has_entry():
             return []
         if not loading:
             self.permits.set_want(None)
         return self.permits.wake(now)
 
-    def _leaves_entry(self) -> bool:
+    def _has_entry(self) -> bool:
         return self.permits.mine is not None and self.tenure.number > 0
 
-    def _target(self) -> Target | None:
+    def _next_target(self) -> Target | None:
         status = self.status
         if self.retiring or status is None or not status.incarnation:
             return None
@@ -314,17 +314,17 @@
                 return Target(kind=ADD_ADAPTER, value=adapter)
         return None
 
-    def _out(self, now: float) -> bool:
+    def _is_out(self, now: float) -> bool:
         since = self.down_since
         return since is not None and now >= since + self.timing.out
 
-    def _want(
+    def _wanted_permit(
         self, target: Target | None, now: float
     ) -> permits.WantedPermit | None:
-        if self.given is not None:
-            target = self.given.target
+        if self.pending is not None:
+            target = self.pending.target
         kind = _PERMIT_KINDS.get(target.kind) if target else None
-        if self._out(now) and not self.retiring:
+        if self._is_out(now) and not self.retiring:
             kind = permits.PermitKind.OUT
         if kind is None:
             return None
@@ -346,12 +346,12 @@
         )
 
     def _must_close(self, target: Target | None) -> bool:
-        if self.given is not None:
-            return self.given.target.kind == LOAD
+        if self.pending is not None:
+            return self.pending.target.kind == LOAD
         loading = target is not None and target.kind == LOAD
         return loading and self.permits.granted()
 
-    def _try(self, target: Target, now: float) -> list[actions.Action]:
+    def _try_order(self, target: Target, now: float) -> list[actions.Action]:
         """Gives the order if all that it needs is there."""
         if self.tenure.number == 0 or now < self.not_before:
             return []
@@ -370,13 +370,13 @@
         # comes of that the status shows afterwards.
         if not self.tenure.fresh(now):
             return self.tenure.confirm(now)
-        return self._give(target, now)
+        return self._send_order(target, now)
 
-    def _give(self, target: Target, now: float) -> list[actions.Action]:
+    def _send_order(self, target: Target, now: float) -> list[actions.Action]:
         order = messages.Order(
             kind=target.kind, value=target.value, fencing=self.tenure.number
         )
-        self.given = Given(
+        self.pending = PendingOrder(
             target=target,
             order=order,
             incarnation=self.status.incarnation,
@@ -396,7 +396,7 @@
         ]
 
 
-def _shows(status: events.EngineStatus, target: Target) -> bool:
+def _status_shows(status: events.EngineStatus, target: Target) -> bool:
     match target.kind:
         case "load":
             return status.weights == target.value
--- a/pimentoledge/decisions/permits.py
+++ b/pimentoledge/decisions/permits.py
@@ -21,7 +21,7 @@
 from pimentoledge.decisions import stores
 
 PATH = "permits/loads"
-_CHECK = "permit-check/"
+_CHECK_PREFIX = "permit-check/"
 
 
 class PermitKind(enum.StrEnum):
@@ -115,17 +115,17 @@
 
 
 @attrs.define(kw_only=True)
-class Sighting:
+class CounterObservation:
     """How long another's counter was seen to stand still.
 
     Attributes:
         counter: the counter.
-        still: seconds, as far as they were watched.
+        unchanged_seconds: seconds, as far as they were watched.
         read_at: when the last read that showed it was answered.
     """
 
     counter: int
-    still: float
+    unchanged_seconds: float
     read_at: float
 
 
@@ -151,7 +151,7 @@
         superseded: whether a later life of the agent has the entry.
         unreachable: whether the store was down at the last try.
         update: the calls to the store that change the object.
-        doubted: another's entry that says "out" while its server may no
+        unverified: another's entry that says "out" while its server may no
             longer be declared; None for none.
     """
 
@@ -177,7 +177,7 @@
         self.update = conditional_updates.ConditionalUpdate(
             path=PATH, name="permits", life=life, generator=generator
         )
-        self.doubted: PermitEntry | None = None
+        self.unverified: PermitEntry | None = None
         self._checks = 0
         self._undeclared: set[tuple[str, int]] = set()
         self._random = generator
@@ -187,7 +187,7 @@
         self._retry_at = -math.inf
         self._renew_at = math.inf
         # By server and fencing number; bounded by the size of the object.
-        self._sightings: dict[tuple[str, int], Sighting] = {}
+        self._observations: dict[tuple[str, int], CounterObservation] = {}
 
     def set_want(self, want: WantedPermit | None) -> None:
         """Says what the entry shall be; `wake` then brings it there."""
@@ -200,7 +200,7 @@
         """Returns whether the entry is what is wanted."""
         if self.want is None or self.mine is None:
             return False
-        return self.mine.number == self.number and self._fits(self.mine)
+        return self.mine.number == self.number and self._matches_want(self.mine)
 
     def fresh(self, now: float) -> bool:
         """Returns whether a load may be started under the permit."""
@@ -230,8 +230,8 @@
         self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         """Takes the store's answer."""
-        if answer.call.startswith(_CHECK):
-            self._checked(answer)
+        if answer.call.startswith(_CHECK_PREFIX):
+            self._handle_check(answer)
             return []
         self._now = now
         called, ended = self.update.handle(answer, now)
@@ -243,14 +243,14 @@
                 conditional_updates.UpdateOutcome.WRITTEN
                 | conditional_updates.UpdateOutcome.UNCHANGED
             ):
-                called += self._settle(now)
+                called += self._finish_update(now)
         return called
 
     def owns(self, answer: stores.StoreAnswer) -> bool:
         """Returns whether an answer is to one of its calls."""
-        return self.update.owns(answer) or answer.call.startswith(_CHECK)
+        return self.update.owns(answer) or answer.call.startswith(_CHECK_PREFIX)
 
-    def _settle(self, now: float) -> list[actions.Action]:
+    def _finish_update(self, now: float) -> list[actions.Action]:
         self.unreachable = False
         self.mine = self._next
         self.inspected = True
@@ -258,29 +258,30 @@
         self._renew_at = math.inf
         if self.reason:
             self._poll_at = now + self._poll_seconds()
-        if self.reason != "guard" or self.doubted is None:
+        if self.reason != "guard" or self.unverified is None:
             return []
         self._checks += 1
         path = declarations.PREFIXES[declarations.BackendServer]
         call = stores.Read(
-            call=f"{_CHECK}{self._checks}", path=path + self.doubted.server
+            call=f"{_CHECK_PREFIX}{self._checks}",
+            path=path + self.unverified.server,
         )
         return [actions.CallStore(call=call)]
 
-    def _checked(self, answer: stores.StoreAnswer) -> None:
+    def _handle_check(self, answer: stores.StoreAnswer) -> None:
         """Finds out whether an entry's server is still declared.
 
         Without this the entry of a server that is gone for good would count
         as out for ever, and hold up every upgrade of its model.
         """
-        doubted, self.doubted = self.doubted, None
-        if doubted is None or answer.call != f"{_CHECK}{self._checks}":
+        doubted, self.unverified = self.unverified, None
+        if doubted is None or answer.call != f"{_CHECK_PREFIX}{self._checks}":
             return
         match answer.outcome:
             case stores.Outcome.ABSENT:
                 counts = False
             case stores.Outcome.FOUND:
-                counts = _counts(answer.objects[0], doubted.model)
+                counts = _is_active_runner(answer.objects[0], doubted.model)
             case _:
                 return
         if not counts:
@@ -289,7 +290,9 @@
     def _poll_seconds(self) -> float:
         runners = self.want.runners if self.want else 0
         wait = self.timing.poll + self.timing.poll_runner * runners
-        if any(each.still > 0 for each in self._sightings.values()):
+        if any(
+            each.unchanged_seconds > 0 for each in self._observations.values()
+        ):
             # Someone may be dead: to count its time it must be watched.
             wait = min(wait, self.timing.expiry / 4)
         return wait * self._random.uniform(0.5, 1.0)
@@ -309,30 +312,30 @@
         regular = self.confirmed_at + self.timing.renew
         return max(self._retry_at, min(regular, self._renew_at))
 
-    def _fits(self, holder: PermitEntry) -> bool:
+    def _matches_want(self, holder: PermitEntry) -> bool:
         return holder.kind is self.want.kind and holder.model == self.want.model
 
     def _change(
         self, found: stores.Object | None
     ) -> conditional_updates.Change:
         book = _decode(found)
-        self._watch(book)
+        self._observe_counters(book)
         self.reason = ""
         mine = [each for each in book.holders if each.server == self.server]
         others = [each for each in book.holders if each.server != self.server]
         self._next = mine[0] if mine else None
         if self._next and self._next.number > self.number > 0:
             self.superseded = True
-        self._inherit()
+        self._keep_earlier_entry()
         if self.superseded or self.number == 0:
             return conditional_updates.Change(write=False)
         if self.want is None and self._now < self.kept_until:
             return conditional_updates.Change(write=False)
         if self.want is None:
-            return self._remove(others)
-        return self._enter(others)
+            return self._remove_entry(others)
+        return self._write_entry(others)
 
-    def _inherit(self) -> None:
+    def _keep_earlier_entry(self) -> None:
         """Keeps the entry of an earlier life as long as its load may last.
 
         The engine may still carry out that life's order, and its status
@@ -344,22 +347,26 @@
             return
         self.kept_until = self._now + self.timing.expiry
 
-    def _remove(self, others: list[PermitEntry]) -> conditional_updates.Change:
+    def _remove_entry(
+        self, others: list[PermitEntry]
+    ) -> conditional_updates.Change:
         if self._next is None:
             return conditional_updates.Change(write=False)
         self._next = None
         return _encode(others)
 
-    def _enter(self, others: list[PermitEntry]) -> conditional_updates.Change:
+    def _write_entry(
+        self, others: list[PermitEntry]
+    ) -> conditional_updates.Change:
         mine = self._next
         want = self.want
         counter = 0
         if mine is not None and mine.number == self.number:
-            if want.kind is PermitKind.OUT and self._fits(mine):
+            if want.kind is PermitKind.OUT and self._matches_want(mine):
                 return conditional_updates.Change(write=False)
             counter = mine.counter
-        others = [each for each in map(self._judge, others) if each]
-        self.reason = self._denied(others, mine)
+        others = [each for each in map(self._expire_entry, others) if each]
+        self.reason = self._denial_reason(others, mine)
         if self.reason:
             return conditional_updates.Change(write=False)
         self._next = PermitEntry(
@@ -371,14 +378,14 @@
         )
         return _encode([*others, self._next])
 
-    def _denied(
+    def _denial_reason(
         self, others: list[PermitEntry], mine: PermitEntry | None
     ) -> str:
         want = self.want
         # An entry of an earlier life already counts; taking it over does not
         # make one more.
         if want.kind is PermitKind.OUT or (
-            mine is not None and self._fits(mine)
+            mine is not None and self._matches_want(mine)
         ):
             return ""
         loading = [each for each in others if each.kind is not PermitKind.OUT]
@@ -392,24 +399,24 @@
             for each in others
             if each.model == want.model and each.kind is not PermitKind.ADAPTER
         ]
-        if _may_go(want.runners, out):
+        if _may_leave_service(want.runners, out):
             return ""
         idle = [each for each in out if each.kind is PermitKind.OUT]
-        self.doubted = self._random.choice(idle) if idle else None
+        self.unverified = self._random.choice(idle) if idle else None
         return "guard"
 
-    def _judge(self, holder: PermitEntry) -> PermitEntry | None:
+    def _expire_entry(self, holder: PermitEntry) -> PermitEntry | None:
         """Returns another's entry as it is to stand; None to remove it."""
         if (holder.server, holder.number) in self._undeclared:
             return None
-        sighting = self._sightings.get((holder.server, holder.number))
-        if sighting is None or sighting.still < self.timing.expiry:
+        sighting = self._observations.get((holder.server, holder.number))
+        if sighting is None or sighting.unchanged_seconds < self.timing.expiry:
             return holder
         if holder.kind is PermitKind.ADAPTER:
             return None
         return attrs.evolve(holder, kind=PermitKind.OUT)
 
-    def _watch(self, book: PermitTable) -> None:
+    def _observe_counters(self, book: PermitTable) -> None:
         """Counts how long the others' counters have stood still.
 
         A holder can't move its counter while the store is down. An observer
@@ -417,8 +424,8 @@
         from one that lives. So a stretch between two reads counts for no
         more than a quarter of the expiry, however long it was.
         """
-        before = self._sightings
-        self._sightings = {}
+        before = self._observations
+        self._observations = {}
         for each in book.holders:
             if each.kind is PermitKind.OUT or each.server == self.server:
                 continue
@@ -429,13 +436,15 @@
                 # From the answer of the one read to the sending of the next:
                 # a slow store makes it shorter, never longer.
                 stretch = max(0.0, self.update.started - last.read_at)
-                still = last.still + min(stretch, self.timing.expiry / 4)
-            self._sightings[key] = Sighting(
-                counter=each.counter, still=still, read_at=self._now
+                still = last.unchanged_seconds + min(
+                    stretch, self.timing.expiry / 4
+                )
+            self._observations[key] = CounterObservation(
+                counter=each.counter, unchanged_seconds=still, read_at=self._now
             )
 
 
-def _counts(stored: stores.Object, model: str) -> bool:
+def _is_active_runner(stored: stores.Object, model: str) -> bool:
     """Returns whether a stored declaration is of a runner of the model."""
     if stored.value is None:
         return False
@@ -446,7 +455,7 @@
     return True
 
 
-def _may_go(runners: int, out: list[PermitEntry]) -> bool:
+def _may_leave_service(runners: int, out: list[PermitEntry]) -> bool:
     """Returns whether one more runner of a model may go out of service."""
     if len(out) < most_out(runners):
         return True
--- a/pimentoledge/decisions/queues.py
+++ b/pimentoledge/decisions/queues.py
@@ -66,7 +66,7 @@
 
     def push(self, item: Item) -> None:
         """Adds an item behind those of its organisation."""
-        self._lift(item.dispatch.organisation)
+        self._raise_to_floor(item.dispatch.organisation)
         items = self.waiting.setdefault(
             item.dispatch.organisation, collections.deque()
         )
@@ -118,10 +118,10 @@
         if item.started:
             return
         organisation = item.dispatch.organisation
-        self._lift(organisation)
+        self._raise_to_floor(organisation)
         self.floor = self.counters[organisation]
         self.counters[organisation] += item.cost / item.dispatch.share
-        self._forget()
+        self._evict_idle()
 
     def correct(self, item: Item, tokens: int) -> None:
         """Replaces an item's expected tokens by what it really took."""
@@ -146,13 +146,13 @@
         self.size = 0
         return items
 
-    def _lift(self, organisation: str) -> None:
+    def _raise_to_floor(self, organisation: str) -> None:
         # One that still waits keeps its counter: what it is owed stays.
         if organisation not in self.waiting:
             counter = self.counters.get(organisation, self.floor)
             self.counters[organisation] = max(counter, self.floor)
 
-    def _forget(self) -> None:
+    def _evict_idle(self) -> None:
         idle = [each for each in self.counters if each not in self.waiting]
         if len(idle) > MAX_IDLE:
             del self.counters[min(idle, key=self.counters.__getitem__)]
--- a/pimentoledge/decisions/runs.py
+++ b/pimentoledge/decisions/runs.py
@@ -40,7 +40,7 @@
         earlier_tokens: tokens generated before it was paused.
         pieces: what was generated, kept for work that may be paused.
         ran: what was seen when it broke: results.Ran.
-        touched: whether an engine has ever begun it, before a pause too.
+        begun: whether an engine has ever begun it, before a pause too.
         resumes: times that it was taken up again without a new token.
         wanted: whether its entry still waits for it.
         text: what was generated, kept for a resend of a completion with a
@@ -57,7 +57,7 @@
     earlier_tokens: int = 0
     pieces: list[str] = attrs.field(factory=list)
     ran: str = ""
-    touched: bool = False
+    begun: bool = False
     resumes: int = 0
     wanted: bool = True
     text: str | None = ""
--- a/pimentoledge/tests/fuzz/mutations.py
+++ b/pimentoledge/tests/fuzz/mutations.py
@@ -59,12 +59,12 @@
 
 def evolve_dispatch(monkeypatch, **fields):
     """Makes admission see other beliefs than the entry had."""
-    real = admission.Admission._untrue
+    real = admission.Admission._find_mismatch
 
     def untrue(self, dispatch, truth):
         return real(self, attrs.evolve(dispatch, **fields), truth)
 
-    monkeypatch.setattr(admission.Admission, "_untrue", untrue)
+    monkeypatch.setattr(admission.Admission, "_find_mismatch", untrue)
 
 
 def stale_dispatch(driver):
@@ -98,12 +98,12 @@
 
 def grant_loads(monkeypatch):
     """Grants every permit to load, whoever else loads."""
-    monkeypatch.setattr(permits.LoadPermits, "_denied", lambda *_: "")
+    monkeypatch.setattr(permits.LoadPermits, "_denial_reason", lambda *_: "")
 
 
 def release_early(monkeypatch):
     """Lets any number of a model's runners be out of service at a time."""
-    monkeypatch.setattr(permits, "_may_go", lambda *_: True)
+    monkeypatch.setattr(permits, "_may_leave_service", lambda *_: True)
 
 
 def upgrade(loads):
