--- a/pimentoledge/decisions/acceptance.py
+++ b/pimentoledge/decisions/acceptance.py
@@ -12,11 +12,11 @@
 
 @attrs.frozen(kw_only=True)
 class Accepted:
-    """What the contract makes of a request.
+    """A request that its organisation's contract permits.
 
     Attributes:
         contract: the organisation's contract.
-        seconds: time allowed.
+        seconds: time limit of the request.
     """
 
     contract: declarations.Contract
@@ -30,19 +30,23 @@
 def check(
     event: events.CallerRequest, view: configuration.Configuration
 ) -> result.Result[Accepted, results.Error]:
-    """Checks key, permissions, existence, idempotency key and deadline."""
+    """Checks API key, permissions, idempotency key and deadline.
+
+    Also checks that the model, adapter or service exists.
+    """
     contract = view.contract_by_key(event.key_digest)
     if contract is None and not view.is_whole():
-        # An entry that has just started would call a good key unknown.
+        # The contract may not have been received yet: an entry that has just
+        # started must not reject a valid key as unknown.
         return _fail(results.Code.CONFIGURATION_INCOMPLETE)
     if contract is None:
         return _fail(results.Code.BAD_KEY)
     if event.completion is not None:
-        found = _check_model(event, contract, view)
+        error = _check_model(event, contract, view)
     else:
-        found = _check_service(event, contract, view)
-    if found is not None:
-        return result.Failure(found)
+        error = _check_service(event, contract, view)
+    if error is not None:
+        return result.Failure(error)
     seconds = event.seconds or contract.deadline_seconds
     if seconds > contract.max_deadline_seconds:
         text = f"the deadline is over {contract.max_deadline_seconds:g} seconds"
@@ -87,10 +91,10 @@
 
 
 def fingerprint(organisation: str, event: events.CallerRequest) -> bytes:
-    """Returns a digest of organisation and content, the same on a resend."""
-    wanted = event.completion
-    if wanted is not None:
-        parts = [wanted.model, wanted.adapter, wanted.prompt]
+    """Returns a digest of organisation and content, stable over resends."""
+    completion = event.completion
+    if completion is not None:
+        parts = [completion.model, completion.adapter, completion.prompt]
         return quarantine.fingerprint_of(
             organisation, [each.encode() for each in parts]
         )
--- a/pimentoledge/decisions/actions.py
+++ b/pimentoledge/decisions/actions.py
@@ -1,4 +1,4 @@
-"""What a state machine asks its daemon to do."""
+"""Actions that a state machine returns for its daemon to carry out."""
 
 import attrs
 
@@ -13,7 +13,7 @@
     """Send a message to another process.
 
     Attributes:
-        address: the receiver's mailbox, as tcp://ip:port.
+        address: the recipient's mailbox, as tcp://ip:port.
         message: one of the classes of nodes.messages.
     """
 
@@ -23,14 +23,14 @@
 
 @attrs.define(kw_only=True)
 class CallStore:
-    """Make a call to the object API; its answer comes back as a message."""
+    """Make a call to the object API; the answer arrives as an event."""
 
     call: stores.Call
 
 
 @attrs.define(kw_only=True)
 class ReplyText:
-    """Entry: give a piece of the stream to the caller."""
+    """Entry: send a piece of the stream to the client."""
 
     request: str
     text: str
@@ -50,7 +50,7 @@
 
 @attrs.define(kw_only=True)
 class ReplyAnswer:
-    """Entry: a plain service's whole answer."""
+    """Entry: send a plain service's complete response to the client."""
 
     request: str
     status: int
@@ -69,14 +69,15 @@
 
 @attrs.define(kw_only=True)
 class ReplyOperator:
-    """Entry: the answer to an operator.
+    """Entry: send the response to an operator.
 
     Attributes:
         request: request id.
         status: HTTP status.
         fields: the JSON body.
-        version: version of the object answered with; 0 for none.
-        known: whether this is what this node knows, the store being down.
+        version: version of the returned object; 0 for none.
+        known: whether this is the node's local copy, because the store is
+            down.
     """
 
     request: str
@@ -88,15 +89,16 @@
 
 @attrs.define(kw_only=True)
 class RunCompletion:
-    """Agent: hand a completion to the engine.
+    """Agent: submit a completion to the engine.
 
     Attributes:
         request: request id.
         attempt: attempt number.
         priority: declarations.Priority.
-        completion: what to run.
-        salt: the engine shares cached blocks only under an equal salt, so
-            that no organisation can use or time another's prompts.
+        completion: the completion to run.
+        salt: cache salt. The engine shares cached blocks only between equal
+            salts, so that no organisation can reuse another's prompts or
+            detect them by timing.
         trace: traceparent header.
     """
 
@@ -110,7 +112,7 @@
 
 @attrs.define(kw_only=True)
 class RunCall:
-    """Agent: hand a call to the plain service."""
+    """Agent: send a call to the plain service."""
 
     request: str
     attempt: int
@@ -122,7 +124,7 @@
 
 @attrs.define(kw_only=True)
 class CancelRun:
-    """Agent: cancel at the engine."""
+    """Agent: cancel an attempt at the engine."""
 
     request: str
     attempt: int
@@ -130,12 +132,12 @@
 
 @attrs.define(kw_only=True)
 class ResumeRun:
-    """Agent: take up a stream whose connection to the engine broke.
+    """Agent: resume a stream whose connection to the engine broke.
 
     Attributes:
         request: request id.
         attempt: attempt number.
-        index: number of the first token that is still needed.
+        index: index of the first token that is still needed.
     """
 
     request: str
@@ -145,19 +147,19 @@
 
 @attrs.define(kw_only=True)
 class CheckEngine:
-    """Agent: ask the engine at once who it is."""
+    """Agent: fetch the engine's status, with its incarnation, at once."""
 
 
 @attrs.define(kw_only=True)
 class OrderEngine:
-    """Agent: give an order to the engine."""
+    """Agent: send an order to the engine."""
 
     order: runners.Order
 
 
 @attrs.define(kw_only=True)
 class ReleaseMemory:
-    """Entry: give back memory that a large answer of the store has left."""
+    """Entry: return memory freed after a large store answer to the system."""
 
 
 @attrs.define(kw_only=True)
@@ -166,7 +168,7 @@
 
     Attributes:
         kind: "route", "admit", "refuse", "retry", "order", ...
-        fields: what was decided, about what, and why.
+        fields: the decision, its subject and its reason.
     """
 
     kind: str
--- a/pimentoledge/decisions/admission.py
+++ b/pimentoledge/decisions/admission.py
@@ -1,8 +1,9 @@
-"""Admission at the agent: the last hop checks the truth, then the order.
+"""Admission control at the agent of a backend server.
 
-Whatever an entry believed when it sent a request, it runs here only if the
-beliefs that matter are still true. Then priority decides, fair share among
-organisations, and arrival.
+A dispatch runs only if the state that its entry assumed when it sent it
+(incarnation, weights, adapters, configuration) is still current. Admitted
+work is ordered by priority, then by fair share among organisations, then by
+arrival.
 """
 
 import collections
@@ -14,15 +15,16 @@
 from pimentoledge.decisions import queues
 from pimentoledge.nodes import messages
 
-# Crashes that make content certain poison; see quarantine.
+# Crashes after which content is refused as poison; see quarantine.
 POISON_CRASHES = 3
-# Fingerprints that an agent remembers.
+# Bound on the fingerprints in `Admission.remembered`.
 MAX_REMEMBERED = 1024
-# Configuration versions remembered with the time they were learned.
+# Bound on the configuration versions kept with the time of their arrival.
 MAX_VERSIONS = 64
-# Weight of the newest duration in the running mean.
+# Weight of the newest duration in the moving average.
 DURATION_WEIGHT = 0.1
-# Tokens expected of an answer for the fair share, until it has ended.
+# Upper bound on the generated tokens charged to the fair share in advance;
+# `FairQueue.correct` replaces the estimate when the answer has ended.
 EXPECTED_TOKENS = 256
 MIN_RETRY_AFTER = 0.1
 MAX_RETRY_AFTER = 30.0
@@ -32,11 +34,12 @@
 
 @attrs.define(kw_only=True)
 class Admit:
-    """Run it now.
+    """The dispatch runs now.
 
     Attributes:
-        pause: running batch work to cancel at the engine for it; paused()
-            is to be called as each has stopped.
+        pause: running batch attempts to cancel at the engine to free a slot
+            for it. The caller calls `Admission.paused` when each has
+            stopped.
     """
 
     pause: list[Key] = attrs.field(factory=list)
@@ -44,20 +47,23 @@
 
 @attrs.define(kw_only=True)
 class Queue:
-    """It waits here; ready() or expired() gives it back later."""
+    """The dispatch is queued.
+
+    `Admission.ready` or `Admission.expired` returns it later.
+    """
 
 
 @attrs.define(kw_only=True)
 class Refuse:
-    """Not run, and never will be for this attempt.
+    """The attempt is refused and will not be run here.
 
     Attributes:
-        code: why.
-        retry_after: seconds after which it may be tried here again.
-        dispatch: what is refused.
-        sender: the entry that sent it.
-        started: it did run until it was paused: to be reported as failed,
-            since "not run" would be false.
+        code: reason for the refusal.
+        retry_after: seconds after which this server may be tried again.
+        dispatch: the refused dispatch.
+        sender: mailbox of the entry that sent it.
+        started: whether it ran before it was paused. Such an attempt is
+            reported as failed, not as "not run".
     """
 
     code: results.Code
@@ -72,9 +78,10 @@
     """A queued dispatch that starts now.
 
     Attributes:
-        dispatch: what the entry sent.
-        sender: the entry that sent it.
-        resumed: it was paused; it goes on behind what it has generated.
+        dispatch: the dispatch to start.
+        sender: mailbox of the entry that sent it.
+        resumed: whether it was paused; the engine then continues after the
+            text generated before the pause.
     """
 
     dispatch: messages.Dispatch
@@ -87,14 +94,16 @@
     """A dispatch that was handed to the engine.
 
     Attributes:
-        item: the dispatch.
-        started: when.
-        batch: whether it holds a slot as batch work.
-        aged: whether it got its slot by age.
-        pausing: whether the engine was told to stop it, so that its slot
-            is as good as free.
-        proved: whether it has got past the point where suspects crash.
-        not_started: whether the engine refused it, so that it crashes none.
+        item: the queue item of the dispatch.
+        started: time of the start.
+        batch: whether it has batch priority.
+        aged: whether it got its slot because of its waiting time.
+        pausing: whether the engine was ordered to stop it; its slot counts
+            as free.
+        proved: whether it has generated enough to be unlikely to crash the
+            engine; see `agents.PROVED_TOKENS`.
+        not_started: whether the engine refused it, so that it can't be the
+            cause of a crash.
     """
 
     item: queues.Item
@@ -108,11 +117,12 @@
 
 @attrs.define(kw_only=True)
 class Crashes:
-    """What this agent's engine did with some content.
+    """Crash history of some content at this agent.
 
     Attributes:
-        count: engines known to have crashed on it, here or elsewhere.
-        until: when to forget it.
+        count: engine crashes known to have happened while the content ran,
+            here or elsewhere.
+        until: expiry time of this record.
         refused_until: until when it is refused though fewer than
             POISON_CRASHES are known: it was the only suspect in the last
             crash that had been a suspect before.
@@ -126,27 +136,35 @@
 class Admission:
     """Decides at one agent what runs, what waits and what is refused.
 
-    An attempt is offered once: holds() tells a repeated message.
+    Each attempt must be offered only once; `holds` detects duplicates.
 
     Attributes:
         server: name of the backend server.
         slots: requests that the engine runs at one time.
-        reserve: slots that batch work leaves free if it can't be paused.
-        aged_slots: slots that batch work may take by age, at one time.
+        reserve: slots kept free of batch work that can't be paused.
+        aged_slots: slots that aged batch work may hold at one time.
         pauses: whether the engine can stop batch work and resume it.
-        age_seconds: wait after which batch work goes before interactive.
-        queue_limit: items that may wait, of each priority.
+        age_seconds: waiting time after which batch work precedes interactive
+            work.
+        queue_limit: maximum length of the queue of each priority.
         configuration_grace: seconds that an entry may lag behind a
             configuration version known here.
-        hold_seconds: how long content is refused after a crash that pointed
-            at it.
-        suspect_seconds: how long a suspect is remembered.
-        poison_seconds: how long certain poison is remembered.
+        hold_seconds: how long content is refused after a crash in which it
+            was the only content with an earlier crash.
+        suspect_seconds: how long the crashes of a suspect are remembered.
+        poison_seconds: how long the crashes of poison are remembered.
         running: Running by request and attempt.
-        interactive: waiting interactive work.
-        batch: waiting batch work.
+        interactive: queue of interactive work.
+        batch: queue of batch work.
+        dropped: items displaced from a full queue and not yet returned by
+            `expired`.
         duration: mean seconds that a request holds a slot; 0 if unknown.
+        token_seconds: prefill time of one uncached token, in seconds.
         remembered: Crashes by fingerprint, oldest first.
+        versions: configuration versions within the grace period, with the
+            time of their arrival.
+        required: lowest configuration version accepted from entries.
+        now: time of the latest call.
     """
 
     def __init__(
@@ -190,12 +208,12 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait here."""
+        """Number of queued requests."""
         return self.interactive.size + self.batch.size
 
     @property
     def queued_tokens(self) -> int:
-        """Uncached prompt tokens that wait here."""
+        """Uncached prompt tokens of the queued requests."""
         return sum(
             _uncached_tokens(item.dispatch)
             for queue in (self.interactive, self.batch)
@@ -203,19 +221,19 @@
         )
 
     def holds(self, request: str, attempt: int) -> bool:
-        """Returns whether an attempt runs or waits here."""
+        """Returns whether an attempt is running or queued here."""
         return (request, attempt) in self.running or (
             self._waiting(request, attempt) is not None
         )
 
     def suspects(self) -> list[bytes]:
-        """Returns the fingerprints of what runs in the engine."""
-        prints = [
+        """Returns the fingerprints of the attempts in the engine."""
+        fingerprints = [
             each.item.dispatch.fingerprint
             for each in self.running.values()
             if not each.not_started
         ]
-        return list(dict.fromkeys(each for each in prints if each))
+        return list(dict.fromkeys(each for each in fingerprints if each))
 
     def offer(
         self,
@@ -226,8 +244,8 @@
     ) -> Admit | Queue | Refuse:
         """Decides on a new dispatch.
 
-        A full queue may push out an item of another organisation; call
-        expired() afterwards, which gives that one back.
+        If the queue is full, an item of another organisation may be
+        displaced. Call `expired` afterwards, which returns that item.
         """
         self.now = now
         self.token_seconds = truth.token_seconds
@@ -282,15 +300,16 @@
         finished: bool = False,
         tokens: int | None = None,
     ) -> None:
-        """Notes that an attempt holds no slot any more.
+        """Frees the slot of an attempt.
 
         Args:
             request: request id.
             attempt: attempt number.
-            now: the time.
-            finished: whether the engine completed it, which shows that its
-                content does not crash engines.
-            tokens: uncached prompt tokens and generated tokens together.
+            now: monotonic seconds.
+            finished: whether the engine completed it; its crash record is
+                then removed.
+            tokens: sum of uncached prompt tokens and generated tokens; None
+                if unknown.
         """
         self.now = now
         ended = self.running.pop((request, attempt), None)
@@ -303,27 +322,27 @@
             self.remembered.pop(ended.item.dispatch.fingerprint, None)
 
     def proved(self, request: str, attempt: int) -> None:
-        """Notes that the engine has generated some text of an attempt.
+        """Records that an attempt has generated its first tokens.
 
-        A suspect that got so far no longer keeps others from being tried
-        here: they would wait for its whole answer. Should it crash the
-        engine after all, each of them counts one more crash.
+        Other suspects may then run beside it; otherwise they would wait for
+        its whole answer. If it still crashes the engine, the crash also
+        counts against each of them.
         """
         proved = self.running.get((request, attempt))
         if proved is not None:
             proved.proved = True
 
     def not_started(self, request: str, attempt: int) -> None:
-        """Notes that the engine refused an attempt, or was dead by then."""
+        """Records that the engine refused an attempt or was already down."""
         refused = self.running.get((request, attempt))
         if refused is not None:
             refused.not_started = True
 
     def paused(self, request: str, attempt: int, now: float) -> None:
-        """Notes that the engine stopped an attempt that is to be paused.
+        """Requeues an attempt that the engine has stopped for a pause.
 
-        It waits in front of its organisation's batch work; ready() resumes
-        it.
+        It is placed at the front of its organisation's batch work; `ready`
+        resumes it.
         """
         self.now = now
         stopped = self.running.pop((request, attempt), None)
@@ -332,14 +351,17 @@
             self.batch.push_front(stopped.item)
 
     def cancel(self, request: str, attempt: int) -> bool:
-        """Forgets a queued attempt; returns whether it was queued here."""
+        """Removes a queued attempt; returns whether it was queued here."""
         item = self._waiting(request, attempt)
         if item is not None:
             self._queue(item).remove(item)
         return item is not None
 
     def ready(self, now: float) -> list[Ready]:
-        """Takes out what starts now; call after each ended() and offer()."""
+        """Starts queued work that has a slot and returns it.
+
+        Call this after each `ended` and `offer`.
+        """
         self.now = now
         started = []
         while (item := self._next(now)) is not None:
@@ -356,7 +378,7 @@
         return started
 
     def expired(self, now: float) -> list[Refuse]:
-        """Takes out what can no longer start in time, or was pushed out."""
+        """Removes displaced items and items that can't start in time."""
         self.now = now
         refused = [
             self._refuse_queued(item, results.Code.OVERLOADED)
@@ -372,13 +394,14 @@
         return refused
 
     def clear(self) -> list[messages.Dispatch]:
-        """Notes that the engine died; returns what was queued, not run.
+        """Handles an engine crash; returns the queued work that did not run.
 
-        Paused work is forgotten without being returned, as it has run; its
-        owner fails it together with what runs.
+        Paused work has run, so it is removed without being returned; the
+        caller fails it together with the running work.
 
-        What ran is remembered as suspect: this process outlives the engine,
-        so content that crashed it is known here though no entry knows yet.
+        The content that was running is recorded as suspect. This process
+        outlives the engine, so it can refuse the content before any entry
+        has learned of the crash.
         """
         earlier = dict.fromkeys(self.suspects(), 0)
         for each in self.running.values():
@@ -386,17 +409,17 @@
             if fingerprint in earlier:
                 known = max(earlier[fingerprint], each.item.crashes)
                 earlier[fingerprint] = known
-        pointed = [each for each, known in earlier.items() if known]
+        repeated = [each for each, known in earlier.items() if known]
         for fingerprint, known in earlier.items():
-            held = pointed == [fingerprint]
-            self._record_crashes(fingerprint, known + 1, held=held)
+            refuse = repeated == [fingerprint]
+            self._record_crashes(fingerprint, known + 1, refuse=refuse)
         self.running.clear()
-        waited = self.interactive.clear() + self.batch.clear() + self.dropped
+        items = self.interactive.clear() + self.batch.clear() + self.dropped
         self.dropped = []
-        return [item.dispatch for item in waited if not item.started]
+        return [item.dispatch for item in items if not item.started]
 
     def next_wake(self) -> float | None:
-        """Returns when expired() or ready() has something new to say."""
+        """Returns when `expired` or `ready` is due next; None for never."""
         times = [
             self._latest_start(item)
             for queue in (self.interactive, self.batch)
@@ -427,9 +450,9 @@
         adapter = dispatch.completion.adapter if dispatch.completion else ""
         if adapter and adapter not in truth.adapters:
             return results.Code.ADAPTER_NOT_LOADED
-        # An entry cut off from changes would go on by a contract that was
-        # withdrawn. An agent that is itself behind decides nothing by it:
-        # what the entry knows is newer.
+        # An entry that receives no configuration changes could apply a
+        # contract that was withdrawn. Version 0 means unknown; a version
+        # above `required` is accepted, also when this agent lags behind.
         if 0 < dispatch.configuration < self.required:
             return results.Code.STALE_CONFIGURATION
         return None
@@ -453,8 +476,8 @@
         running = [
             each.item for each in self.running.values() if not each.proved
         ]
-        here = [*running, *self.interactive, *self.batch]
-        return _BUSY if any(each.crashes for each in here) else None
+        present = [*running, *self.interactive, *self.batch]
+        return _BUSY if any(each.crashes for each in present) else None
 
     def _known_crashes(self, fingerprint: bytes, now: float) -> Crashes:
         known = self.remembered.get(fingerprint)
@@ -466,21 +489,21 @@
         return known
 
     def _record_crashes(
-        self, fingerprint: bytes, count: int, *, held: bool
+        self, fingerprint: bytes, count: int, *, refuse: bool
     ) -> None:
-        certain = count >= POISON_CRASHES
-        seconds = self.poison_seconds if certain else self.suspect_seconds
+        poison = count >= POISON_CRASHES
+        seconds = self.poison_seconds if poison else self.suspect_seconds
         self.remembered.pop(fingerprint, None)
         self.remembered[fingerprint] = Crashes(
             count=count,
             until=self.now + seconds,
-            refused_until=self.now + self.hold_seconds if held else 0.0,
+            refused_until=self.now + self.hold_seconds if refuse else 0.0,
         )
         while len(self.remembered) > MAX_REMEMBERED:
-            weakest = min(
+            first_expiring = min(
                 self.remembered, key=lambda each: self.remembered[each].until
             )
-            del self.remembered[weakest]
+            del self.remembered[first_expiring]
 
     def _queue(self, item: queues.Item) -> queues.FairQueue:
         return self.batch if _is_batch(item.dispatch) else self.interactive
@@ -497,16 +520,17 @@
         return self.slots - len(self.running) + pausing
 
     def _victim(self, item: queues.Item) -> Running | None:
-        """Returns batch work that gives way to an interactive item.
+        """Returns the batch work to preempt for an interactive item.
 
-        Without this an interactive request that finds the reserve used up
-        waits for a whole batch answer, not for one step of the engine. What
-        started last has the least to compute again. What got its slot by
-        age stays: it would starve.
+        Without preemption an interactive request that finds no free slot
+        waits for a whole batch answer instead of one engine step. The
+        attempt that started last is chosen because it has the least to
+        recompute. Attempts that got their slot by age are never preempted,
+        or they would starve.
         """
         if _is_batch(item.dispatch):
             return None
-        yielding = [
+        candidates = [
             each
             for each in self.running.values()
             if each.batch
@@ -514,7 +538,7 @@
             and not each.pausing
             and self._is_pausable(each.item.dispatch)
         ]
-        return max(yielding, key=lambda each: each.started, default=None)
+        return max(candidates, key=lambda each: each.started, default=None)
 
     def _pause(self, victim: Running | None) -> list[Key]:
         if victim is None:
@@ -531,20 +555,20 @@
         return free > (0 if self._is_pausable(item.dispatch) else self.reserve)
 
     def _is_pausable(self, dispatch: messages.Dispatch) -> bool:
-        # A plain service can't go on with half a call, and what may run once
-        # must not be started again.
+        # A plain service can't resume a call, and an attempt with an
+        # idempotency key must not be started twice.
         return (
             self.pauses and dispatch.completion is not None and not dispatch.key
         )
 
     def _find_aged(self, now: float) -> queues.Item | None:
-        # Interactive work alone could fill every slot for hours; without
-        # this, batch work would wait until its deadline refuses it.
+        # Interactive work can fill all slots for hours. Without aging, batch
+        # work would wait until it is refused for its deadline.
         oldest = self.batch.oldest()
         if oldest is None or now - oldest.arrived < self.age_seconds:
             return None
-        held = sum(each.aged for each in self.running.values())
-        return oldest if held < self.aged_slots else None
+        aged_running = sum(each.aged for each in self.running.values())
+        return oldest if aged_running < self.aged_slots else None
 
     def _next(self, now: float) -> queues.Item | None:
         if self._free_slots() <= 0:
