--- a/pimentoledge/decisions/agents.py
+++ b/pimentoledge/decisions/agents.py
@@ -1,7 +1,7 @@
-"""The agent's state machine: the truth about one backend server.
+"""The agent's state machine: the authority on one backend server's state.
 
-It admits or refuses each dispatch, hands what it admits to the engine or
-service beside it, and sends the answer back to the entry that asked.
+It admits or refuses each dispatch, submits admitted ones to the engine or
+service on the same host, and sends the answer back to the requesting entry.
 """
 
 import attrs
@@ -27,22 +27,22 @@
 Key = tuple[str, int]
 Actions = list[actions.Action]
 
-# Times that a stream is taken up again without any new token.
+# Resumptions of a stream in a row without any new token.
 MAX_RESUMES = 3
-# Tokens after which a suspect no longer keeps others from being tried: the
+# Generated tokens after which a suspect no longer blocks other suspects. The
 # prefill and the first steps, in which content crashes an engine, are over.
 PROVED_TOKENS = 16
-# Senders whose dispatches are counted.
+# Bound on the senders in `Agent.received`.
 MAX_SENDERS = 4096
 
 
 @attrs.define(kw_only=True)
 class Crash:
-    """The end of an engine's life.
+    """An engine crash.
 
     Attributes:
-        incarnation: the life that ended.
-        suspects: fingerprints of what it ran.
+        incarnation: incarnation of the engine that crashed.
+        suspects: fingerprints of the content that it was running.
     """
 
     incarnation: str
@@ -50,26 +50,26 @@
 
 
 class Agent:
-    """Decides for one backend server.
+    """The state machine for one backend server.
 
     Attributes:
         name: the backend server's name.
-        kind: what stands beside this agent.
-        life: this life of the agent's process.
-        configuration: what operators declared, as far as known here.
+        kind: kind of the backend server.
+        life: id of this start of the agent's process.
+        configuration: the declarations received so far.
         admission: decides what runs, waits and is refused.
         claims: at-most-once calls.
-        orders: brings the engine to what is declared.
+        orders: brings the engine to its declared state.
         applied: digest of the configuration, and number of runners, that
             were last passed to `orders`.
         announced_closing: value of `orders.closing` in the last report that
             was sent to all entries.
-        subscriber: gets the declarations from entries.
-        status: what the engine or service last said of itself.
-        runs: attempts that have not ended.
-        received: dispatches received, by sender.
+        subscriber: fetches the declarations from entries.
+        status: last status reported by the engine or service.
+        runs: attempts that have not ended, by request and attempt.
+        received: number of dispatches received, by sender.
         outbox: messages to entries.
-        draining: whether the process shall end.
+        draining: whether the process is shutting down.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         self.draining = False
 
     def handle(self, event: object, now: float) -> Actions:
-        """Takes an event and returns what to do."""
+        """Handles an event and returns the resulting actions."""
         match event:
             case events.EngineText():
                 return self.engine_text(event)
@@ -138,7 +138,7 @@
         return []
 
     def tick(self, now: float) -> Actions:
-        """Does what is due."""
+        """Runs the timers that are due."""
         todo = self.subscriber.wake(now)
         todo += self.apply_declarations(now)
         todo += self.apply_orders(self.orders.wake(now), now)
@@ -156,7 +156,7 @@
         return min((each for each in times if each is not None), default=None)
 
     def flush(self) -> Actions:
-        """Returns what was held back to be sent together."""
+        """Returns the buffered messages, batched by recipient."""
         return self.outbox.flush()
 
     def partners(self) -> set[str]:
@@ -164,33 +164,37 @@
         return {each.sender for each in self.runs.values()}
 
     def idle(self) -> bool:
-        """Returns whether nothing runs and nothing is held in the store."""
+        """Returns whether no attempt, claim, order or permit is open."""
         held = self.claims.held() or self.orders.held()
         return not self.runs and not held
 
     def apply_declarations(self, now: float) -> Actions:
-        """Goes by what is declared, when that has changed."""
-        told = self.configuration.root, self.subscriber.runners
-        if self.applied == told:
+        """Passes the declarations to `orders` if they have changed."""
+        current = self.configuration.root, self.subscriber.runners
+        if self.applied == current:
             return []
-        self.applied = told
+        self.applied = current
         server = self.configuration.server(self.name)
         serves = server.serves if server is not None else ""
-        found = self.orders.declare(
+        todo = self.orders.declare(
             server=server,
             model=self.configuration.model(serves),
             runners=self.subscriber.runners,
             now=now,
         )
-        return self.apply_orders(found, now)
+        return self.apply_orders(todo, now)
 
-    def apply_orders(self, found: Actions, now: float) -> Actions:
-        """Carries out what the orders say; turns waiting work away."""
+    def apply_orders(self, todo: Actions, now: float) -> Actions:
+        """Adds the effects of `orders.closing` to the actions of the orders.
+
+        Sends a report when the server closes or opens, and refuses queued
+        work while it is closed for a load.
+        """
         if self.announced_closing is not self.orders.closing:
             self.announced_closing = self.orders.closing
-            found = found + self.announce()
+            todo = todo + self.announce()
         if not self.orders.closing:
-            return found
+            return todo
         for run in list(self.runs.values()):
             if self.admission.cancel(*run.key()):
                 refused = admission.Refuse(
@@ -198,11 +202,11 @@
                     dispatch=run.dispatch,
                     sender=run.sender,
                 )
-                found += self.refuse_and_release(run, refused, now)
-        return found
+                todo += self.refuse_and_release(run, refused, now)
+        return todo
 
     def truth(self, sender: str) -> messages.Truth:
-        """Returns what is true here, for one receiver."""
+        """Returns the server's current state, for one recipient."""
         declared = self.configuration.server(self.name)
         leaving = self.draining or (
             declared is not None
@@ -226,10 +230,10 @@
         )
 
     def prefill_tokens(self) -> int:
-        """Returns the uncached prompt tokens that the engine works on.
+        """Returns the uncached prompt tokens in prefill at the engine.
 
-        Without them a runner in the middle of a long prefill looks idle, and
-        every entry sends it more.
+        If they were left out, a runner in a long prefill would look idle and
+        every entry would send it more work.
         """
         return sum(
             max(0, each.dispatch.prompt_tokens - each.dispatch.expected_depth)
@@ -238,7 +242,7 @@
         )
 
     def from_node(self, event: events.FromNode, now: float) -> Actions:
-        """Takes a message of another process."""
+        """Handles a message of another process."""
         match event.message:
             case messages.Dispatch():
                 return self.dispatch(event.message, event.sender, now)
@@ -251,7 +255,7 @@
     def dispatch(
         self, dispatch: messages.Dispatch, sender: str, now: float
     ) -> Actions:
-        """Takes a request: claims it first if it may not be repeated."""
+        """Handles a new attempt; claims it first if it has a key."""
         if (dispatch.request, dispatch.attempt) in self.runs:
             return []
         self.count_dispatch(sender)
@@ -284,7 +288,7 @@
         return dispatch.call.service
 
     def outcome_seconds(self, dispatch: messages.Dispatch) -> float:
-        """Returns how long the answer of a call is kept."""
+        """Returns how long the answer of a call is kept, in seconds."""
         service = self.configuration.service(self.serves(dispatch))
         if service is not None:
             return service.outcome_seconds
@@ -316,7 +320,7 @@
         return todo + self.advance(now)
 
     def pause(self, keys: list[Key]) -> Actions:
-        """Stops batch work at the engine, for interactive work."""
+        """Cancels batch work at the engine to free slots."""
         todo: Actions = []
         for key in keys:
             self.runs[key].stage = runs.RunStage.PAUSING
@@ -326,10 +330,11 @@
         return todo
 
     def requeue_paused(self, run: runs.Run, now: float) -> Actions:
-        """Puts batch work that has stopped back into the queue.
+        """Requeues batch work that has stopped for a pause.
 
-        The engine is asked who it is: if it died just now, the broken stream
-        was no pause, and what ran goes back to the entry.
+        The engine's status is fetched, because the stream may have ended by
+        a crash and not by the pause. In that case the attempt is failed to
+        its entry.
         """
         run.stage = runs.RunStage.PAUSED
         run.earlier_tokens += run.tokens
@@ -339,7 +344,7 @@
         return [actions.CheckEngine(), *self.advance(now)]
 
     def admitted_reply(self, run: runs.Run) -> actions.Send:
-        """Tells the entry that its request is accepted."""
+        """Returns the reply that an attempt was accepted."""
         request, attempt = run.key()
         return actions.Send(
             address=run.sender,
@@ -353,7 +358,7 @@
     def refuse_and_release(
         self, run: runs.Run, verdict: admission.Refuse, now: float
     ) -> Actions:
-        """Refuses a request, and frees its key if it had claimed one."""
+        """Refuses an attempt and releases its claim, if it has one."""
         refusal = self.refuse(run, verdict.code, verdict.retry_after)
         if run.dispatch.key:
             return self.release(run, refusal.message, now)
@@ -366,11 +371,11 @@
         verdict: messages.Refused | messages.Failed,
         now: float,
     ) -> Actions:
-        """Frees the key of a call that was not run, then tells its entry.
+        """Releases the claim of a call that did not run, then replies.
 
-        The entry tries the next agent at once, and that one reads the claim
-        from the store: found there, a call that nobody ran would be answered
-        with "outcome unknown".
+        The entry retries at the next agent as soon as it has the reply. If
+        that agent still found the claim in the store, it would answer
+        "outcome unknown" for a call that never ran.
         """
         run.stage = runs.RunStage.RELEASING
         run.verdict = verdict
@@ -380,7 +385,7 @@
         return self.apply_claims(outputs, now)
 
     def claim_released(self, output: claim_verdicts.Released) -> Actions:
-        """Tells an entry what was held back until its key was free."""
+        """Sends the reply that waited for the release of a claim."""
         run = self.runs.pop((output.request, output.attempt), None)
         if run is None or run.verdict is None:
             return []
@@ -389,7 +394,7 @@
     def refuse(
         self, run: runs.Run, code: results.Code, retry_after: float = 0.0
     ) -> actions.Send:
-        """Tells the entry that its request was not run."""
+        """Returns the reply that an attempt was not run."""
         request, attempt = run.key()
         message = messages.Refused(
             request=request,
@@ -401,13 +406,13 @@
         return actions.Send(address=run.sender, message=message)
 
     def begin(self, run: runs.Run) -> actions.Action:
-        """Hands a request to the engine or service."""
+        """Submits an attempt to the engine or service."""
         run.stage = runs.RunStage.RUNNING
         run.ran = ""
         return run.action(weights=self.status.weights)
 
     def advance(self, now: float) -> Actions:
-        """Refuses what can't be run in time, and starts what may start."""
+        """Refuses queued work that is late, and starts what has a slot."""
         todo: Actions = []
         for refused in self.admission.expired(now):
             key = (refused.dispatch.request, refused.dispatch.attempt)
@@ -431,7 +436,7 @@
         return todo
 
     def apply_claims(self, outputs: list[claims.Output], now: float) -> Actions:
-        """Carries out what the claims say."""
+        """Carries out the verdicts of the claims."""
         todo: Actions = []
         for output in outputs:
             if not isinstance(output, actions.CallStore):
@@ -473,7 +478,7 @@
         return self.outbox.send(run.sender, message)
 
     def claim_denied(self, output: claim_verdicts.Denied) -> Actions:
-        """Tells the entry that a call with this key is not run now."""
+        """Replies that a call is not run because of its idempotency key."""
         run = self.runs.pop((output.request, output.attempt), None)
         if run is None:
             return []
@@ -483,14 +488,17 @@
         return self.outbox.send(run.sender, verdict)
 
     def engine_started(self, event: events.EngineStarted) -> Actions:
-        """Takes the engine's word of who it is, newer than its status."""
+        """Records that the engine began an attempt; checks its incarnation.
+
+        The incarnation in the event is newer than the last status.
+        """
         todo: Actions = []
         run = self.runs.get((event.request, event.attempt))
         if run is not None:
             run.begun = True
         if run is not None and run.stage == runs.RunStage.PAUSING:
-            # The first order to stop may have overtaken the completion on
-            # its way to the engine; then it found nothing to stop.
+            # The first cancellation may have reached the engine before the
+            # completion did, and then had no effect.
             stop = actions.CancelRun(
                 request=event.request, attempt=event.attempt
             )
@@ -500,10 +508,10 @@
         return todo
 
     def engine_text(self, event: events.EngineText) -> Actions:
-        """Makes a frame of generated text."""
+        """Buffers generated text as a frame for the entry."""
         run = self.runs.get((event.request, event.attempt))
-        # A token that comes twice or out of order is of a connection that
-        # was cut and taken up again; passing it on would garble the stream.
+        # Duplicate or out-of-order tokens come from a connection that broke
+        # and was resumed. Forwarding them would corrupt the stream.
         if run is None or event.index != run.tokens:
             return []
         if run.tokens < PROVED_TOKENS <= run.tokens + event.tokens:
@@ -527,7 +535,10 @@
         return []
 
     def keep_text(self, run: runs.Run, text: str) -> None:
-        """Keeps the text of a completion with a key, while it is short."""
+        """Keeps the text of a completion with an idempotency key.
+
+        Text that is too long to be stored is discarded.
+        """
         if run.text is None:
             return
         run.text += text
@@ -535,13 +546,13 @@
             run.text = None
 
     def engine_ended(self, event: events.EngineEnded, now: float) -> Actions:
-        """Ends a stream, if all of it went through here."""
+        """Finishes a stream, or fails it if tokens were lost."""
         run = self.runs.get((event.request, event.attempt))
         if run is None:
             return []
         if event.completion_tokens != run.tokens:
-            # The engine counts more tokens than came: some were lost between
-            # it and here, so the stream must not pass as complete.
+            # Tokens were lost between the engine and the agent, so the
+            # stream must not be reported as complete.
             return self.fail(
                 run, results.Code.STREAM_BROKEN, results.Ran.RAN, now
             )
@@ -575,7 +586,7 @@
         return todo + self.advance(now)
 
     def service_done(self, event: events.ServiceDone, now: float) -> Actions:
-        """Passes a service's answer on, once a claim's outcome is noted."""
+        """Records the outcome of a claim, then forwards the answer."""
         run = self.runs.pop((event.request, event.attempt), None)
         if run is None:
             return []
@@ -600,14 +611,14 @@
         return todo + self.outbox.send(run.sender, message) + self.advance(now)
 
     def engine_broken(self, event: events.EngineBroken, now: float) -> Actions:
-        """Finds out what a broken answer means."""
+        """Handles an answer that broke off or never began."""
         run = self.runs.get((event.request, event.attempt))
         if run is None:
             return []
         if self.kind == declarations.ServerKind.SERVICE:
             code = results.Code.SERVICE_FAILED
             return self.fail(run, code, results.Ran(event.ran), now)
-        # What an engine refuses now it may have run before a pause.
+        # An attempt that the engine refuses now may have run before a pause.
         run.begun |= event.ran != results.Ran.NOT_RUN
         run.ran = results.Ran.RAN if run.begun else event.ran
         if run.stage == runs.RunStage.PAUSING:
@@ -618,7 +629,7 @@
         return [actions.CheckEngine()]
 
     def engine_status(self, status: events.EngineStatus, now: float) -> Actions:
-        """Takes the engine's status; finds out whether it died."""
+        """Handles the engine's status; detects a crash or restart."""
         before = self.status.incarnation
         self.status = status
         todo = self.update_orders(status, now)
@@ -632,11 +643,12 @@
         return todo + self.advance(now)
 
     def announce(self) -> Actions:
-        """Tells what is true here to each entry that ever sent work.
+        """Sends a report to each entry in `received`.
 
-        Entries hear of a server by its answers. One that is closed for half
-        a second would have none to give, and an upgrade closes many in turn:
-        entries would believe that all of them are closed.
+        Entries learn a server's state from its answers, and a server that is
+        closed for a load sends none. An upgrade closes many servers in turn,
+        each for about half a second, so without the reports entries would
+        treat all of them as closed.
         """
         return [
             actions.Send(
@@ -646,24 +658,24 @@
         ]
 
     def update_orders(self, status: events.EngineStatus, now: float) -> Actions:
-        """Gives the orders that a status calls for."""
+        """Passes the load and a new status to the orders."""
         adapters = {
             each.dispatch.completion.adapter
             for each in self.runs.values()
             if each.dispatch.completion is not None
         }
-        found = self.orders.work(
+        todo = self.orders.work(
             running=len(self.runs), adapters=frozenset(adapters), now=now
         )
-        found += self.orders.handle(status, now)
-        return self.apply_orders(found, now)
+        todo += self.orders.handle(status, now)
+        return self.apply_orders(todo, now)
 
     def resume(self, run: runs.Run, now: float) -> Actions:
-        """Resumes a stream whose connection broke though its engine lives.
+        """Resumes a stream whose connection broke while its engine is up.
 
-        The engine goes on generating meanwhile, so running it elsewhere
-        would compute the same answer twice. An engine that refuses to resume
-        breaks the stream again at once, hence the bound.
+        The engine has gone on generating, so a retry elsewhere would compute
+        the same answer twice. An engine that refuses to resume breaks the
+        stream again at once; MAX_RESUMES bounds that loop.
         """
         if run.ran == results.Ran.NOT_RUN or run.resumes >= MAX_RESUMES:
             code = results.Code.STREAM_BROKEN
@@ -678,7 +690,7 @@
         ]
 
     def engine_died(self, incarnation: str, now: float) -> Actions:
-        """Ends what the engine ran when it died, and what waited for it."""
+        """Fails the attempts that the engine ran, and refuses queued ones."""
         suspects = self.admission.suspects()
         self.admission.clear()
         todo: Actions = []
@@ -711,7 +723,7 @@
         now: float,
         crash: Crash | None = None,
     ) -> Actions:
-        """Ends an attempt that did not end well."""
+        """Ends an attempt with a failure."""
         request, attempt = run.key()
         self.admission.ended(request, attempt, now)
         verdict = self.failed_message(run, code, ran, crash)
@@ -732,7 +744,7 @@
         ran: results.Ran,
         crash: Crash | None = None,
     ) -> messages.Failed:
-        """Returns the message that says how an attempt failed."""
+        """Returns the message that reports the failure of an attempt."""
         request, attempt = run.key()
         return messages.Failed(
             request=request,
@@ -747,14 +759,18 @@
     def cancel(
         self, message: messages.Cancel, sender: str, now: float
     ) -> Actions:
-        """Stops an attempt that nobody waits for."""
+        """Handles the cancellation of an attempt by its entry."""
         run = self.runs.get((message.request, message.attempt))
         if run is None or run.sender != sender:
             return []
         return self.abandon(run, now)
 
     def abandon(self, run: runs.Run, now: float) -> Actions:
-        """Stops an attempt, unless its outcome has to be found and kept."""
+        """Stops an attempt that is no longer needed.
+
+        A service call, or an attempt with an idempotency key, goes on: its
+        outcome has to be recorded.
+        """
         if run.dispatch.key or run.dispatch.completion is None:
             run.wanted = False
             return []
@@ -767,7 +783,7 @@
         return [stop, *self.advance(now)]
 
     def unreachable(self, event: events.Unreachable, now: float) -> Actions:
-        """Stops what an entry asked for that is gone."""
+        """Stops the attempts of an entry that can't be reached."""
         self.outbox.drop(event.address)
         todo: Actions = []
         for run in list(self.runs.values()):
@@ -776,17 +792,17 @@
         return todo
 
     def probe(self, message: messages.Probe, sender: str) -> Actions:
-        """Tells an entry which of its requests are not here."""
-        held = {request for request, _ in self.runs}
-        unknown = [each for each in message.requests if each not in held]
+        """Replies to a probe with the requests that are unknown here."""
+        known = {request for request, _ in self.runs}
+        unknown = [each for each in message.requests if each not in known]
         report = messages.Report(truth=self.truth(sender), unknown=unknown)
         return self.outbox.send(sender, report)
 
 
 def _has_run(run: runs.Run) -> results.Ran:
-    """Returns what is known of an attempt whose engine has died.
+    """Returns whether an attempt ran on an engine that has crashed.
 
-    It was handed to the engine. Unless the engine said something of it, it
-    may have met one that was down already; "ran" could then be false.
+    It was submitted, but unless the engine reported anything about it, the
+    engine may have been down already; "ran" could then be false.
     """
     return results.Ran.RAN if run.begun else results.Ran.UNKNOWN
--- a/pimentoledge/decisions/events.py
+++ b/pimentoledge/decisions/events.py
@@ -1,7 +1,8 @@
-"""What happens to an entry or an agent, apart from messages and answers.
+"""Events that the state machines of entries and agents handle.
 
-The daemons turn what they read from sockets into these, and give them to the
-state machines together with the time.
+The daemons create them from what they read from sockets, and pass them to
+the state machines together with the time. Answers of the store are in
+`stores`.
 """
 
 import attrs
@@ -12,12 +13,12 @@
 
 @attrs.define(kw_only=True)
 class FromNode:
-    """A message came from another process.
+    """A message of another process has arrived.
 
     Attributes:
         sender: the sender's mailbox.
         message: one of the classes of nodes.messages.
-        configuration: newest configuration version that the sender knows.
+        configuration: newest configuration version that the sender has.
     """
 
     sender: str
@@ -31,8 +32,8 @@
 
     Attributes:
         address: its mailbox.
-        unsent: messages that surely never left this process; what was sent
-            before them may or may not have arrived.
+        unsent: messages that certainly never left this process. Messages
+            sent before them may or may not have arrived.
     """
 
     address: str
@@ -41,11 +42,11 @@
 
 @attrs.frozen(kw_only=True)
 class ListedVm:
-    """One VM as the platform's lagging list shows it.
+    """One VM in the platform's list, which lags.
 
     Attributes:
         address: its IP address.
-        leaving: whether the platform is about to take it away.
+        leaving: whether the platform is about to remove it.
     """
 
     address: str
@@ -54,10 +55,10 @@
 
 @attrs.define(kw_only=True)
 class VmsListed:
-    """Entry: the platform's list of VMs was read; it lags.
+    """Entry: the platform's list of VMs, which lags, was read.
 
     Attributes:
-        vms: the whole list.
+        vms: the complete list.
     """
 
     vms: list[ListedVm]
@@ -65,14 +66,14 @@
 
 @attrs.define(kw_only=True)
 class CallerRequest:
-    """Entry: a caller asks for something.
+    """Entry: a request of a client.
 
     Attributes:
         request: new id, unique over all entries and their restarts.
         key_digest: hexadecimal digest of the API key.
-        seconds: time the caller allows; 0 when it named none.
-        batch: whether the caller asks for batch priority.
-        idempotency_key: as given; empty for none.
+        seconds: time limit set by the client; 0 for none.
+        batch: whether the client requests batch priority.
+        idempotency_key: as received; empty for none.
         completion: the completion, or None.
         call: the service call, or None.
         trace: traceparent header.
@@ -90,19 +91,19 @@
 
 @attrs.define(kw_only=True)
 class CallerGone:
-    """Entry: the caller of a request went away or reads too slowly."""
+    """Entry: the client of a request disconnected or reads too slowly."""
 
     request: str
 
 
 @attrs.define(kw_only=True)
 class Drain:
-    """The process shall end: take no new work, finish what runs."""
+    """The process shuts down: it takes no new work and finishes the rest."""
 
 
 @attrs.define(kw_only=True)
 class EngineStarted:
-    """Agent: the engine took a completion into its batch."""
+    """Agent: the engine added a completion to its batch."""
 
     request: str
     attempt: int
@@ -118,9 +119,9 @@
     Attributes:
         request: request id.
         attempt: attempt number.
-        index: number of the first token in it, from 0 within this attempt.
+        index: index of its first token, from 0 within this attempt.
         text: the text.
-        tokens: tokens in it.
+        tokens: number of tokens in the text.
     """
 
     request: str
@@ -132,7 +133,7 @@
 
 @attrs.define(kw_only=True)
 class EngineEnded:
-    """Agent: the engine says that a completion is complete."""
+    """Agent: the engine reports that a completion has ended."""
 
     request: str
     attempt: int
@@ -149,8 +150,9 @@
     Attributes:
         request: request id.
         attempt: attempt number.
-        ran: results.Ran; "not_run" only if the engine surely did not start.
-        text: what was seen.
+        ran: results.Ran; "not_run" only if the engine certainly did not
+            start it.
+        text: description of the error.
     """
 
     request: str
@@ -161,19 +163,20 @@
 
 @attrs.define(kw_only=True)
 class EngineStatus:
-    """Agent: what the engine or service says of itself; lags.
+    """Agent: status reported by the engine or service; it lags.
 
     Attributes:
-        incarnation: id of its life; empty when it did not answer.
+        incarnation: id of its current start; empty if it did not answer.
         weights: weights version loaded.
         adapters: adapters loaded.
         role: its role, "both", "prefill" or "decode".
         running: requests in its batch.
         waiting: requests in its own queue.
-        slots: requests in its batch at most.
-        token_seconds: prefill time of one uncached token.
-        step_seconds: time of one batch step.
-        fencing: highest fencing number seen; 0 when it ignores them.
+        slots: maximum number of requests in its batch.
+        token_seconds: prefill time of one uncached token, in seconds.
+        step_seconds: time of one batch step, in seconds.
+        fencing: highest fencing number that it has received; 0 if it ignores
+            them.
     """
 
     incarnation: str = ""
@@ -190,12 +193,12 @@
 
 @attrs.define(kw_only=True)
 class OrderDone:
-    """Agent: what became of an order.
+    """Agent: the result of an order.
 
     Attributes:
         order: the order.
-        answer: the engine's answer; None when none came, so that the order
-            may or may not have been carried out.
+        answer: the engine's answer; None if none arrived, in which case the
+            order may or may not have been carried out.
     """
 
     order: runners.Order
@@ -215,21 +218,22 @@
 
 @attrs.define(kw_only=True)
 class OperatorRequest:
-    """Entry: an operator asks for something.
+    """Entry: a request of an operator.
 
     Attributes:
         request: new id, unique over all entries and their restarts.
         key_digest: hexadecimal digest of the operator's key.
         method: GET, PUT, PATCH or DELETE.
-        kind: the kind's part of the path, as "contracts"; or "status".
+        kind: path segment of the object kind, such as "contracts"; or
+            "status".
         name: the object's name; empty for a list.
-        history: whether the object's former versions are asked for.
-        limit: names in one page of a list.
-        cursor: the last name of the page before.
+        history: whether the object's former versions are requested.
+        limit: maximum number of names in one page of a list.
+        cursor: last name of the previous page.
         body: the JSON body.
-        expected: version that the object must have; 0 when it must be
-            absent; None when the operator names no condition.
-        dry_run: check everything, and write nothing.
+        expected: version that the object must have; 0 if it must be absent;
+            None for no condition.
+        dry_run: whether to validate the request without writing.
         at: the wall clock, in seconds since 1970.
     """
 
--- a/pimentoledge/decisions/loads.py
+++ b/pimentoledge/decisions/loads.py
@@ -1,9 +1,9 @@
-"""What an entry believes of one backend server's load and state.
+"""An entry's estimate of one backend server's load and state.
 
-An agent's report is old when it arrives, and until the next one comes the
-entry itself goes on sending. So the queue is kept as a fluid: it drains at
-the server's own speed, each dispatch adds to it, and a report replaces it
-together with those dispatches that the agent had counted in it.
+An agent's report is outdated when it arrives, and the entry goes on sending
+until the next one. So the backlog is estimated as a fluid queue: it drains at
+the server's prefill speed and each dispatch adds to it. A report replaces the
+backlog and removes the dispatches that the agent had counted in it.
 """
 
 import collections
@@ -12,10 +12,10 @@
 
 from pimentoledge.nodes import messages
 
-# Prefill time of a token until the first report says better.
+# Prefill time of a token until the first report, in seconds.
 UNKNOWN_TOKEN_SECONDS = 0.0002
-# Dispatches that no report covered for so long were lost, or their agent has
-# started anew; after this time they no longer weigh.
+# Seconds after which a dispatch that no report covers no longer counts: it was
+# lost, or its agent has restarted.
 UNCOVERED_SECONDS = 5.0
 _FIRST_BACKOFF = 0.5
 _LONGEST_BACKOFF = 8.0
@@ -26,8 +26,8 @@
     """A dispatch that no report has covered yet.
 
     Attributes:
-        number: number among the dispatches to this server, from 1.
-        tokens: uncached prompt tokens expected.
+        number: sequence number among the dispatches to this server, from 1.
+        tokens: expected uncached prompt tokens.
         at: time of the dispatch.
     """
 
@@ -37,17 +37,18 @@
 
 
 class EstimatedLoad:
-    """One backend server as this entry sees it.
+    """An entry's estimate of the load of one backend server.
 
     Attributes:
         truth: newest report; None before the first.
-        reported_at: when the newest report came.
-        backlog: uncached tokens believed to be waiting, at `drained_at`.
+        reported_at: arrival time of the newest report.
+        backlog: estimated uncached tokens waiting, at `drained_at`.
         drained_at: time up to which the backlog has been drained.
-        count: dispatches sent so far.
+        count: number of dispatches sent so far.
         uncovered: dispatches that no report covers, oldest first.
-        failures: failures in a row.
-        retry_at: time before which it is used only as a last resort.
+        failures: consecutive failures.
+        retry_at: end of the backoff, before which the server is used only as
+            a last resort.
     """
 
     def __init__(self):
@@ -61,26 +62,26 @@
         self.retry_at = 0.0
 
     def token_seconds(self) -> float:
-        """Returns the prefill time of one uncached token."""
+        """Returns the prefill time of one uncached token, in seconds."""
         if self.truth is None or self.truth.token_seconds <= 0:
             return UNKNOWN_TOKEN_SECONDS
         return self.truth.token_seconds
 
     def drain(self, now: float):
-        """Lets the backlog run down to a time."""
+        """Drains the backlog up to a time."""
         passed = max(0.0, now - self.drained_at)
         self.backlog = max(0.0, self.backlog - passed / self.token_seconds())
         self.drained_at = max(self.drained_at, now)
         self.forget(now)
 
     def forget(self, now: float):
-        """Drops dispatches that no report will cover any more."""
+        """Drops dispatches that have been uncovered for too long."""
         oldest = now - UNCOVERED_SECONDS
         while self.uncovered and self.uncovered[0].at < oldest:
             self.uncovered.popleft()
 
     def sent(self, tokens: int, now: float):
-        """Counts a dispatch with its uncached tokens."""
+        """Records a dispatch with its uncached tokens."""
         self.drain(now)
         self.count += 1
         self.backlog += tokens
@@ -88,19 +89,19 @@
         self.uncovered.append(sent)
 
     def reported(self, truth: messages.Truth, now: float):
-        """Takes a report in place of what was believed before."""
+        """Replaces the estimate by a report."""
         before = self.truth.received if self.truth else 0
         if truth.received < before:
-            # The agent has started anew and counts from 0: its numbers and
-            # ours no longer fit, and what was under way died with it.
+            # The agent has restarted and counts from 0: the sequence numbers
+            # no longer match, and the dispatches in flight are lost.
             self.uncovered.clear()
             self.count = truth.received
         while self.uncovered and self.uncovered[0].number <= truth.received:
             self.uncovered.popleft()
-        # This entry has started anew at its old address, and the agent goes
-        # on counting: without this each of our dispatches would seem covered
-        # by a report from before it, and a herd of restarted entries would
-        # send all their work to the runner that looked idle last.
+        # If this entry has restarted at its old address, the agent goes on
+        # counting. Without this, reports older than a dispatch would seem to
+        # cover it, and many restarted entries at once would send all their
+        # work to the runner that last reported itself idle.
         self.count = max(self.count, truth.received)
         self.truth = truth
         self.reported_at = now
@@ -113,7 +114,7 @@
         self.retry_at = 0.0
 
     def failed(self, now: float):
-        """Counts a failure to reach it or to be served by it."""
+        """Records a failure of the server or its agent; starts a backoff."""
         seconds = min(_LONGEST_BACKOFF, _FIRST_BACKOFF * 2**self.failures)
         self.failures += 1
         self.retry_at = now + seconds
@@ -123,7 +124,7 @@
         """Returns the expected wait before a new request's prefill begins.
 
         Args:
-            now: the time.
+            now: monotonic seconds.
             residence: how long a request holds a slot, in seconds.
         """
         self.drain(now)
--- a/pimentoledge/decisions/queues.py
+++ b/pimentoledge/decisions/queues.py
@@ -1,9 +1,10 @@
-"""A queue that shares an engine among organisations by tokens.
+"""A fair queue that shares an engine among organisations by tokens.
 
 Each organisation has a counter of the tokens that it was served, divided by
-its share. The one with the smallest counter goes next; within it, arrival
-order. An organisation that comes back from idleness starts at the floor, so
-it neither saves up service nor pays for what it used when nobody waited.
+its share. The organisation with the smallest counter is served next, and its
+items in order of arrival. The counter of an organisation that was idle starts
+at the floor, so that it neither accumulates credit while idle nor is charged
+for service that it used while no other organisation was waiting.
 """
 
 import collections
@@ -12,23 +13,23 @@
 
 from pimentoledge.nodes import messages
 
-# Idle organisations whose counter is remembered; beyond it the one that is
-# least ahead of the floor is forgotten, which gains it the least.
+# Bound on the idle organisations whose counter is kept. Beyond it the lowest
+# counter is evicted: that organisation gains the least from a reset.
 MAX_IDLE = 256
 
 
 @attrs.define(kw_only=True)
 class Item:
-    """One dispatch that waits.
+    """One queued dispatch.
 
     Attributes:
-        dispatch: what the entry sent.
+        dispatch: the dispatch.
         sender: the entry's mailbox.
-        arrived: when it came.
-        deadline: when its answer is due.
-        cost: tokens that it is expected to take.
-        crashes: engines that its content is known to have crashed.
-        started: whether it has held a slot already, before it was paused.
+        arrived: time of arrival.
+        deadline: time when its answer is due.
+        cost: expected uncached prompt tokens and generated tokens.
+        crashes: engine crashes known for its content.
+        started: whether it held a slot before it was paused.
     """
 
     dispatch: messages.Dispatch
@@ -51,7 +52,7 @@
         waiting: items by organisation, in order of arrival.
         counters: tokens served divided by share, by organisation.
         floor: counter of the organisation served last, before its charge.
-        size: items waiting.
+        size: number of waiting items.
     """
 
     def __init__(self):
@@ -74,12 +75,12 @@
         self.size += 1
 
     def push_front(self, item: Item) -> None:
-        """Puts an item that had started before those of its organisation."""
+        """Adds an item that has been paused ahead of its organisation's."""
         self.push(item)
         self.waiting[item.dispatch.organisation].rotate(1)
 
     def peek(self) -> Item | None:
-        """Returns the item that goes next."""
+        """Returns the next item to serve."""
         if not self.waiting:
             return None
         organisation = min(
@@ -92,12 +93,12 @@
         return self.waiting[organisation][0]
 
     def oldest(self) -> Item | None:
-        """Returns the item that has waited longest."""
+        """Returns the earliest-arrived of the organisations' first items."""
         heads = [items[0] for items in self.waiting.values()]
         return min(heads, key=lambda each: each.arrived, default=None)
 
     def heaviest(self) -> str:
-        """Returns the organisation with the most waiting for its share."""
+        """Returns the organisation with the most waiting tokens per share."""
         return max(
             self.waiting,
             key=lambda each: sum(
@@ -106,7 +107,7 @@
         )
 
     def remove(self, item: Item) -> None:
-        """Takes out an item that waits here."""
+        """Removes a waiting item."""
         organisation = item.dispatch.organisation
         self.waiting[organisation].remove(item)
         self.size -= 1
@@ -114,7 +115,7 @@
             del self.waiting[organisation]
 
     def charge(self, item: Item) -> None:
-        """Counts an item's tokens to its organisation, as it first starts."""
+        """Charges an item's expected tokens to its organisation, once."""
         if item.started:
             return
         organisation = item.dispatch.organisation
@@ -124,14 +125,14 @@
         self._evict_idle()
 
     def correct(self, item: Item, tokens: int) -> None:
-        """Replaces an item's expected tokens by what it really took."""
+        """Replaces an item's expected tokens by the actual number."""
         organisation = item.dispatch.organisation
         if organisation in self.counters:
             change = (tokens - item.cost) / item.dispatch.share
             self.counters[organisation] += change
 
     def ahead(self, dispatch: messages.Dispatch) -> float:
-        """Estimates how many items start before a new one would."""
+        """Estimates how many items would start before a new dispatch."""
         own = len(self.waiting.get(dispatch.organisation, ()))
         shares = dispatch.share
         for organisation, items in self.waiting.items():
@@ -140,14 +141,15 @@
         return min(self.size, (own + 1) * shares / dispatch.share - 1)
 
     def clear(self) -> list[Item]:
-        """Takes out all items."""
+        """Removes and returns all items."""
         items = list(self)
         self.waiting.clear()
         self.size = 0
         return items
 
     def _raise_to_floor(self, organisation: str) -> None:
-        # One that still waits keeps its counter: what it is owed stays.
+        # An organisation with waiting items keeps its counter, and with it
+        # the service that it is still owed.
         if organisation not in self.waiting:
             counter = self.counters.get(organisation, self.floor)
             self.counters[organisation] = max(counter, self.floor)
--- a/pimentoledge/decisions/run_logs.py
+++ b/pimentoledge/decisions/run_logs.py
@@ -7,7 +7,7 @@
 
 
 def pause(run: runs.Run, kind: str) -> actions.LogDecision:
-    """Returns the line of work that is paused or resumed."""
+    """Returns the log line of an attempt that is paused or resumed."""
     fields: dict[str, object] = {
         "request": run.dispatch.request,
         "attempt": run.dispatch.attempt,
@@ -19,7 +19,7 @@
 
 
 def claim(output: claim_verdicts.Verdict) -> actions.LogDecision:
-    """Returns the line of what became of a claim."""
+    """Returns the log line of the verdict on a claim."""
     fields: dict[str, object] = {
         "request": output.request,
         "attempt": output.attempt,
@@ -34,7 +34,7 @@
 def admit(
     run: runs.Run, verdict: admission.Admit | admission.Queue | admission.Refuse
 ) -> actions.LogDecision:
-    """Returns the line of an admission's verdict."""
+    """Returns the log line of an admission verdict."""
     fields: dict[str, object] = {
         "request": run.dispatch.request,
         "attempt": run.dispatch.attempt,
--- a/pimentoledge/decisions/runs.py
+++ b/pimentoledge/decisions/runs.py
@@ -1,4 +1,4 @@
-"""What an agent keeps of one attempt until it has ended."""
+"""State of one attempt at its agent, kept until the attempt has ended."""
 
 import enum
 
@@ -11,17 +11,18 @@
 
 
 class RunStage(enum.StrEnum):
-    """Where an attempt stands at its agent."""
+    """Stage of an attempt at its agent."""
 
-    # Its claim is on the way to the store.
+    # Its claim is being written to the store.
     CLAIMING = "claiming"
     QUEUED = "queued"
     RUNNING = "running"
-    # It was not run; its key is being freed before its entry hears of it.
+    # It was not run; its claim is released before the entry is informed.
     RELEASING = "releasing"
-    # Its answer broke off; the engine is asked whether it still lives.
+    # Its answer broke off; the engine's status is being fetched to find out
+    # whether the engine is still up.
     BROKEN = "broken"
-    # Told to stop at the engine, to make room for interactive work.
+    # It is being cancelled at the engine, to free a slot for interactive work.
     PAUSING = "pausing"
     PAUSED = "paused"
 
@@ -31,21 +32,22 @@
     """One attempt at its agent.
 
     Attributes:
-        dispatch: what to run.
+        dispatch: the dispatch to run.
         sender: the entry's mailbox.
-        expires: when its time is up.
-        stage: where it stands.
-        sequence: number of the next frame.
-        tokens: tokens generated since it was last handed to the engine.
+        expires: time of its deadline.
+        stage: its current stage.
+        sequence: sequence number of the next frame.
+        tokens: tokens generated since it was last submitted to the engine.
         earlier_tokens: tokens generated before it was paused.
-        pieces: what was generated, kept for work that may be paused.
-        ran: what was seen when it broke: results.Ran.
-        begun: whether an engine has ever begun it, before a pause too.
-        resumes: times that it was taken up again without a new token.
+        pieces: generated text, kept only for work that may be paused.
+        ran: results.Ran as determined when its answer broke off.
+        begun: whether an engine has ever begun it, also before a pause.
+        resumes: consecutive resumptions without a new token.
         wanted: whether its entry still waits for it.
-        text: what was generated, kept for a resend of a completion with a
-            key; None once it is too long.
-        verdict: RELEASING: what its entry will be told.
+        text: generated text, kept to answer a resend of a completion with an
+            idempotency key; None once it is too long.
+        verdict: the reply to send when the claim is released, in stage
+            RELEASING.
     """
 
     dispatch: messages.Dispatch
@@ -68,7 +70,7 @@
         return self.dispatch.request, self.dispatch.attempt
 
     def is_pausable(self) -> bool:
-        """Returns whether it may be stopped and go on later."""
+        """Returns whether it may be paused and resumed."""
         return (
             self.dispatch.priority == declarations.Priority.BATCH
             and self.dispatch.completion is not None
@@ -76,18 +78,18 @@
         )
 
     def completion(self) -> messages.Completion:
-        """Returns what the engine has to do, behind what it has done."""
-        wanted = self.dispatch.completion
+        """Returns the completion, continued after the text so far."""
+        original = self.dispatch.completion
         if not self.earlier_tokens:
-            return wanted
+            return original
         return attrs.evolve(
-            wanted,
-            continued=wanted.continued + "".join(self.pieces),
-            continued_tokens=wanted.continued_tokens + self.earlier_tokens,
+            original,
+            continued=original.continued + "".join(self.pieces),
+            continued_tokens=original.continued_tokens + self.earlier_tokens,
         )
 
     def salt(self, weights: str) -> str:
-        """Returns under what the engine may share cached blocks."""
+        """Returns the salt under which the engine may share cached blocks."""
         return prefixes.salt(
             organisation=self.dispatch.organisation,
             model=self.dispatch.completion.model,
@@ -98,7 +100,7 @@
     def action(
         self, *, weights: str
     ) -> actions.RunCompletion | actions.RunCall:
-        """Returns what hands this to the engine or service.
+        """Returns the action that submits this to the engine or service.
 
         Args:
             weights: weights version that the engine has loaded.
