--- a/pimentoledge/decisions/orders.py
+++ b/pimentoledge/decisions/orders.py
@@ -1,9 +1,9 @@
-"""Which orders an agent gives to its engine, and when.
+"""Reconciles an engine with its declared state by orders.
 
-The declared state says what the engine should have. The agent beside the
-engine alone gives orders, one at a time: only with a fencing number, a load
-only with a permit and without work in the engine. An order counts as done
-when the engine's status shows it, not when it was accepted.
+Only the agent on the engine's host sends orders, one at a time. Each order
+needs a fencing number; a load of weights also needs a permit and an engine
+without work. An order counts as done when the engine's status shows its
+effect, not when the engine accepted it.
 """
 
 import math
@@ -36,9 +36,10 @@
 
     Attributes:
         done: longest wait for the status to show an accepted order.
-        unknown: the same for an order whose answer did not come.
-        retry: wait after a refused order.
-        out: time an engine is down before the permits say so.
+        unknown: longest wait for an order that was not answered.
+        retry: delay after a refused order.
+        out: time that an engine is down before its permit entry becomes
+            "out".
     """
 
     done: float = 60.0
@@ -49,7 +50,12 @@
 
 @attrs.frozen(kw_only=True)
 class Target:
-    """One order that would bring the engine nearer to its declaration."""
+    """The next step towards the declared state.
+
+    Attributes:
+        kind: kind of the order.
+        value: weights version, adapter or role.
+    """
 
     kind: str
     value: str
@@ -57,13 +63,13 @@
 
 @attrs.define(kw_only=True)
 class PendingOrder:
-    """An order that was given and is not yet shown by the status.
+    """An order that was sent and that the status does not show yet.
 
     Attributes:
-        target: what it is to bring about.
-        order: the order itself.
-        incarnation: the engine's life that it was given to.
-        until: when to stop waiting for it.
+        target: the intended effect.
+        order: the order.
+        incarnation: incarnation of the engine that it was sent to.
+        until: timeout of the wait.
     """
 
     target: Target
@@ -73,26 +79,27 @@
 
 
 class Orders:
-    """Gives the orders of one agent life.
+    """Sends the orders of one start of an agent.
 
     Attributes:
         server: the backend server's name.
-        address: this agent's mailbox, as it would be declared.
-        timing: times.
-        tenure: the right to give orders.
-        permits: the entry in the object of permits.
+        address: this agent's mailbox, compared with the declared one.
+        timing: timeouts and delays.
+        tenure: the fencing number, which gives the right to send orders.
+        permits: this server's entry in the permit table.
         declared: the server's declaration; None before it is known.
         model: the declaration of the model that it serves.
-        runners: how many runners of the model are declared in; 0 while that
-            is not known.
-        status: what the engine said last.
+        runners: number of runners of the model that are declared in; 0 if
+            unknown.
+        status: the engine's latest status.
         down_since: when the engine went down; None while it is up.
         running: requests in the engine or waiting at this agent.
         adapters_in_use: adapters of those requests.
-        pending: the order under way.
-        closing: whether new work is refused, for a load.
-        retiring: whether the process shall end: no further order is given.
-        not_before: earliest next order.
+        pending: the order in progress.
+        closing: whether new work is refused because of a load.
+        retiring: whether the process is shutting down; no further order is
+            sent.
+        not_before: earliest time of the next order.
     """
 
     def __init__(
@@ -135,13 +142,13 @@
         runners: int,
         now: float,
     ) -> list[actions.Action]:
-        """Takes in what is declared now.
+        """Updates the declarations.
 
         Args:
-            server: this server's declaration; None when it has none.
-            model: its model's declaration; None when it has none.
-            runners: how many runners of the model are declared in; 0 for not
-                known, and then nothing is ordered.
+            server: this server's declaration; None if there is none.
+            model: its model's declaration; None if there is none.
+            runners: number of runners of the model that are declared in; 0
+                if unknown, in which case no order is sent.
             now: monotonic seconds.
         """
         self.declared = server
@@ -152,7 +159,7 @@
     def work(
         self, *, running: int, adapters: frozenset[str], now: float
     ) -> list[actions.Action]:
-        """Takes in how many requests the engine and the queue hold."""
+        """Updates the number of requests and the adapters that they use."""
         drained = self.closing and running == 0
         freed = self.adapters_in_use - adapters
         self.running = running
@@ -160,19 +167,19 @@
         return self._step(now) if drained or freed else []
 
     def retire(self, now: float) -> list[actions.Action]:
-        """Gives no further order; a load that runs keeps its permit."""
+        """Stops sending orders; a load in progress keeps its permit."""
         self.retiring = True
         return self._step(now)
 
     def held(self) -> bool:
-        """Returns whether the process should not end yet.
+        """Returns whether the process should not exit yet.
 
-        It waits for an order that runs, and to give its permit back. It does
-        not wait for a store that is down: its next life, or time, frees the
-        permit.
+        It waits for the order in progress and for the release of its permit.
+        It does not wait for a store that is down: the permit is then released
+        by the agent's next start or expires.
         """
-        leaves = self._has_entry() and not self.permits.unreachable
-        return self.pending is not None or leaves
+        entry_left = self._has_entry() and not self.permits.unreachable
+        return self.pending is not None or entry_left
 
     def owns(self, answer: stores.StoreAnswer) -> bool:
         """Returns whether the store's answer is to one of its calls."""
@@ -183,26 +190,26 @@
         event: events.EngineStatus | events.OrderDone | stores.StoreAnswer,
         now: float,
     ) -> list[actions.Action]:
-        """Takes an event; answers of the store only where it `owns` them."""
-        found: list[actions.Action] = []
+        """Handles an event; of the store's answers only those it `owns`."""
+        todo: list[actions.Action] = []
         match event:
             case events.EngineStatus():
                 self._handle_status(event, now)
             case events.OrderDone():
                 self._handle_done(event, now)
             case stores.StoreAnswer() if self.tenure.update.owns(event):
-                found = self.tenure.handle(event, now)
+                todo = self.tenure.handle(event, now)
             case stores.StoreAnswer():
-                found = self.permits.handle(event, now)
-        return found + self._step(now)
+                todo = self.permits.handle(event, now)
+        return todo + self._step(now)
 
     def next_wake(self) -> float | None:
         """Returns when to call `wake`; None for never."""
         waits = [self.not_before, self.tenure.retry_at]
         if self.down_since is not None:
             waits.append(self.down_since + self.timing.out)
-        # What was due at the last step was done there; it is named again
-        # only if it is still to come, or the daemon would spin.
+        # Times up to the last step were handled in it. Returning them again
+        # would make the daemon wake up in a busy loop.
         times = [each for each in waits if each > self._stepped_at]
         if self.pending is not None:
             times.append(self.pending.until)
@@ -213,7 +220,7 @@
         return min(times, default=None)
 
     def wake(self, now: float) -> list[actions.Action]:
-        """Does what is due by now."""
+        """Runs the timers that are due."""
         return self.tenure.wake(now) + self._step(now)
 
     def _handle_status(self, status: events.EngineStatus, now: float) -> None:
@@ -222,26 +229,26 @@
             self.down_since = None
         elif self.down_since is None:
             self.down_since = now
-        given = self.pending
-        if given is None:
+        pending = self.pending
+        if pending is None:
             return
-        # An engine that died has forgotten the order, and comes back with
-        # the weights that it was started with.
-        died = status.incarnation != given.incarnation
-        if died or _status_shows(status, given.target):
+        # A restarted engine has lost the order and is back at the weights that
+        # it was started with.
+        restarted = status.incarnation != pending.incarnation
+        if restarted or _status_shows(status, pending.target):
             self.pending = None
 
     def _handle_done(self, done: events.OrderDone, now: float) -> None:
-        given = self.pending
-        if given is None or done.order != given.order:
+        pending = self.pending
+        if pending is None or done.order != pending.order:
             return
         if done.answer is None:
-            # It may have been carried out: the status tells, and after that
-            # it is given again, which does no harm.
-            given.until = now + self.timing.unknown
+            # It may have been carried out. If the status does not show it in
+            # time, it is sent again, which is harmless.
+            pending.until = now + self.timing.unknown
             return
         if done.answer.accepted:
-            given.until = now + self.timing.done
+            pending.until = now + self.timing.done
             return
         self.pending = None
         self.not_before = now + self.timing.retry
@@ -256,22 +263,23 @@
             return self._withdraw(now)
         target = self._next_target()
         self.permits.set_want(self._wanted_permit(target, now))
-        found = []
+        todo = []
         if self._needs_number(target):
-            found += self.tenure.take(now)
+            todo += self.tenure.take(now)
         self.permits.number = self.tenure.number
-        found += self.permits.wake(now)
+        todo += self.permits.wake(now)
         self.closing = self._must_close(target)
         if target is not None and self.pending is None:
-            found += self._try_order(target, now)
-        return found
+            todo += self._try_order(target, now)
+        return todo
 
     def _is_declared_agent(self) -> bool:
-        """Returns whether this agent is the one that is declared.
+        """Returns whether this is the declared agent of a runner in service.
 
-        A process holds its mailbox's address alone as long as it lives. So
-        of two agents of one server at most one has the declared address, and
-        a paused one that has it keeps any other from starting there.
+        A process has its mailbox's address exclusively until it exits. So of
+        two agents of one server at most one has the declared address, and a
+        suspended process with that address prevents another one from starting
+        there.
         """
         return (
             self.declared is not None
@@ -283,9 +291,9 @@
         )
 
     def _withdraw(self, now: float) -> list[actions.Action]:
-        # Taken out of service in mid-load, the engine goes on loading. With
-        # its permit given back at once, another runner would load as well,
-        # over the limit; so it is kept until the status shows the load.
+        # An engine that is taken out of service during a load goes on loading.
+        # If its permit were released at once, another runner could load
+        # beyond the limit; so it is kept until the status shows the load.
         loading = self.pending is not None
         self.closing = loading and self.pending.target.kind == LOAD
         if not self._has_entry():
@@ -352,7 +360,7 @@
         return loading and self.permits.granted()
 
     def _try_order(self, target: Target, now: float) -> list[actions.Action]:
-        """Gives the order if all that it needs is there."""
+        """Sends the order if all its preconditions are met."""
         if self.tenure.number == 0 or now < self.not_before:
             return []
         needs_permit = target.kind in _PERMIT_KINDS
@@ -363,11 +371,11 @@
         if needs_permit and not self.permits.fresh(now):
             self.permits.renew(now)
             return self.permits.wake(now)
-        # An engine that ignores the number, or forgot it in a crash, would
-        # carry out the order of an agent that was paused and superseded. It
-        # shows as another life in the object; reading that just before
-        # leaves only a pause between the reading and the sending, and what
-        # comes of that the status shows afterwards.
+        # An engine that ignores fencing numbers, or lost its number in a
+        # crash, would carry out the order of an agent that was suspended and
+        # superseded. The stored record shows the successor, so it is read
+        # just before the order is sent. That leaves a suspension between the
+        # read and the send; the status shows its effect afterwards.
         if not self.tenure.fresh(now):
             return self.tenure.confirm(now)
         return self._send_order(target, now)
--- a/pimentoledge/decisions/permits.py
+++ b/pimentoledge/decisions/permits.py
@@ -1,10 +1,11 @@
-"""Permits for loads, kept in one object that all agents share.
-
-The weight store is rate limited, so only so many runners load at one time;
-and a model keeps at least half of its runners while others load. The object
-lists who loads and who is known to be out of service. Processes share no
-clock: a holder moves a counter on, and one whose counter stands still for
-`PermitTiming.expiry` seconds of another's own clock has lost its permit.
+"""Permits for loads, kept in one stored table that all agents share.
+
+The weight store is rate limited, so the number of runners that load at one
+time is limited, and at least half of a model's runners stay in service. The
+table lists the servers that are loading or known to be out of service.
+Processes share no clock, so a holder increments a counter as its heartbeat.
+If the counter is unchanged for `PermitTiming.expiry` seconds of an observer's
+own clock, the holder has lost its permit.
 """
 
 import enum
@@ -25,26 +26,26 @@
 
 
 class PermitKind(enum.StrEnum):
-    """What an entry of the object says."""
+    """Kind of an entry in the permit table."""
 
-    # It loads weights: counts as a load, and as out of service.
+    # Loading weights: counts as a load and as out of service.
     WEIGHTS = "weights"
-    # It loads an adapter while it serves: counts as a load.
+    # Loading an adapter while serving: counts as a load.
     ADAPTER = "adapter"
-    # It is out of service and loads nothing.
+    # Out of service and not loading.
     OUT = "out"
 
 
 @attrs.define(kw_only=True)
 class PermitEntry:
-    """One entry of the object.
+    """One entry of the permit table.
 
     Attributes:
         server: the backend server.
-        number: its agent's fencing number; a later life has a greater one.
+        number: its agent's fencing number, which grows with each start.
         model: the model that it serves.
-        kind: what the entry says.
-        counter: grows while the holder lives.
+        kind: kind of the entry.
+        counter: heartbeat counter, incremented by a live holder.
     """
 
     server: str
@@ -56,22 +57,22 @@
 
 @attrs.define(kw_only=True)
 class PermitTable:
-    """The object's value."""
+    """The value of the stored object at PATH."""
 
     holders: list[PermitEntry] = attrs.field(factory=list)
 
 
 @attrs.frozen(kw_only=True)
 class WantedPermit:
-    """What an agent wants its entry to be.
+    """The entry that an agent requests.
 
     Attributes:
-        kind: what to say.
+        kind: kind of the entry.
         model: the model that its server serves.
-        limit: loads at one time.
-        runners: how many runners of the model are declared in.
-        serving: whether its engine serves now, so that a load takes a runner
-            away.
+        limit: maximum number of concurrent loads.
+        runners: number of runners of the model that are declared in.
+        serving: whether its engine is serving, so that a load takes a runner
+            out of service.
     """
 
     kind: PermitKind
@@ -86,14 +87,15 @@
     """Times in seconds.
 
     Attributes:
-        expiry: how long a counter stands still before its permit is lost.
-        renew: time between two moves of one's own counter.
-        start: age of the last move up to which a load may be started; what
-            is left until `expiry` is the time that a load has.
-        poll: shortest time between two looks for a free permit.
-        poll_runner: time added to that for each runner of the model, so that
-            the looks of a large model together stay bounded.
-        retry: wait after the store was down.
+        expiry: time after which a holder with an unchanged counter loses its
+            permit.
+        renew: interval between increments of the own counter.
+        start: maximum age of the last increment at which a load may be
+            started; the rest of `expiry` is the time that a load has.
+        poll: base interval of polling for a free permit.
+        poll_runner: added to `poll` for each runner of the model, so that the
+            total polling rate of a large model stays bounded.
+        retry: delay after the store was down.
     """
 
     expiry: float = 10.0
@@ -107,21 +109,21 @@
 def most_out(runners: int) -> int:
     """Returns how many runners of a model may be out at one time.
 
-    At least half of them, rounded up, go on serving; only where more than
-    half are out for other reasons does one more go. The only runner of a
-    model must go out to load at all.
+    At least half of them, rounded up, go on serving. A model's only runner
+    has to go out to load at all. If this many are out already,
+    `_may_leave_service` may still allow one more.
     """
     return max(1, runners // 2)
 
 
 @attrs.define(kw_only=True)
 class CounterObservation:
-    """How long another's counter was seen to stand still.
+    """How long another holder's counter has been observed unchanged.
 
     Attributes:
-        counter: the counter.
-        unchanged_seconds: seconds, as far as they were watched.
-        read_at: when the last read that showed it was answered.
+        counter: the counter's value.
+        unchanged_seconds: observed seconds without a change.
+        read_at: when the answer of the last read arrived.
     """
 
     counter: int
@@ -130,29 +132,29 @@
 
 
 class LoadPermits:
-    """One agent's entry in the object.
+    """One agent's entry in the permit table.
 
-    It is brought to what is wanted and kept there. A slot freed by a death
-    turns into an entry that says "out", until the server's next agent or the
-    operator removes it.
+    Brings the entry to the requested state and keeps it there. When a holder
+    that loads weights expires, its entry becomes "out", until the server's
+    next agent or the operator removes it.
 
     Attributes:
         server: its backend server.
-        number: its fencing number; 0 while there is none, and then nothing
-            is written.
-        timing: times.
-        want: what the entry shall be; None for no entry.
-        mine: the entry as last read or written; None for none.
-        confirmed_at: when the read was sent that the entry rests on.
-        inspected: whether the object was read in this life.
-        reason: why a permit was not given: "limit", "guard" or "".
-        kept_until: until when an entry of an earlier life is kept though it
-            is not wanted.
-        superseded: whether a later life of the agent has the entry.
-        unreachable: whether the store was down at the last try.
-        update: the calls to the store that change the object.
-        unverified: another's entry that says "out" while its server may no
-            longer be declared; None for none.
+        number: the agent's fencing number; 0 if there is none, in which case
+            nothing is written.
+        timing: timeouts and intervals.
+        want: the requested entry; None for no entry.
+        mine: the own entry as last read or written; None for none.
+        confirmed_at: when the read that `mine` is based on was sent.
+        inspected: whether the table was read since this agent started.
+        reason: why the permit was denied: "limit", "guard" or "".
+        kept_until: until when an entry of an earlier start of the agent is
+            kept although none is requested.
+        superseded: whether a later start of the agent has the entry.
+        unreachable: whether the store was down at the last attempt.
+        update: the conditional update of the stored table.
+        unverified: another server's "out" entry whose declaration is to be
+            checked; None for none.
     """
 
     def __init__(
@@ -186,29 +188,29 @@
         self._poll_at = -math.inf
         self._retry_at = -math.inf
         self._renew_at = math.inf
-        # By server and fencing number; bounded by the size of the object.
+        # By server and fencing number; bounded by the size of the table.
         self._observations: dict[tuple[str, int], CounterObservation] = {}
 
     def set_want(self, want: WantedPermit | None) -> None:
-        """Says what the entry shall be; `wake` then brings it there."""
+        """Sets the requested entry; `wake` then writes it."""
         if _kind_of(want) is not _kind_of(self.want):
             self._poll_at = -math.inf
             self.reason = ""
         self.want = want
 
     def granted(self) -> bool:
-        """Returns whether the entry is what is wanted."""
+        """Returns whether the entry is the requested one."""
         if self.want is None or self.mine is None:
             return False
         return self.mine.number == self.number and self._matches_want(self.mine)
 
     def fresh(self, now: float) -> bool:
-        """Returns whether a load may be started under the permit."""
+        """Returns whether the permit is recent enough to start a load."""
         age = now - self.confirmed_at
         return self.granted() and age <= self.timing.start
 
     def renew(self, now: float) -> None:
-        """Has the counter moved on before its time, to start a load."""
+        """Schedules an early increment of the counter, to start a load."""
         self._renew_at = now
 
     def next_wake(self) -> float | None:
@@ -218,7 +220,7 @@
         return self._due()
 
     def wake(self, now: float) -> list[actions.Action]:
-        """Does what is due by now."""
+        """Runs the timers that are due."""
         if self.update.busy():
             return self.update.wake(now)
         due = self._due()
@@ -229,7 +231,7 @@
     def handle(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
-        """Takes the store's answer."""
+        """Handles the store's answer."""
         if answer.call.startswith(_CHECK_PREFIX):
             self._handle_check(answer)
             return []
@@ -269,23 +271,23 @@
         return [actions.CallStore(call=call)]
 
     def _handle_check(self, answer: stores.StoreAnswer) -> None:
-        """Finds out whether an entry's server is still declared.
+        """Records whether the server of `unverified` is still declared.
 
-        Without this the entry of a server that is gone for good would count
-        as out for ever, and hold up every upgrade of its model.
+        Without this check the entry of a permanently removed server would
+        count as out of service forever and block every upgrade of its model.
         """
-        doubted, self.unverified = self.unverified, None
-        if doubted is None or answer.call != f"{_CHECK_PREFIX}{self._checks}":
+        entry, self.unverified = self.unverified, None
+        if entry is None or answer.call != f"{_CHECK_PREFIX}{self._checks}":
             return
         match answer.outcome:
             case stores.Outcome.ABSENT:
-                counts = False
+                is_active = False
             case stores.Outcome.FOUND:
-                counts = _is_active_runner(answer.objects[0], doubted.model)
+                is_active = _is_active_runner(answer.objects[0], entry.model)
             case _:
                 return
-        if not counts:
-            self._undeclared.add((doubted.server, doubted.number))
+        if not is_active:
+            self._undeclared.add((entry.server, entry.number))
 
     def _poll_seconds(self) -> float:
         runners = self.want.runners if self.want else 0
@@ -293,7 +295,8 @@
         if any(
             each.unchanged_seconds > 0 for each in self._observations.values()
         ):
-            # Someone may be dead: to count its time it must be watched.
+            # A holder may have died. Each read counts for at most a quarter of
+            # the expiry, so the table is read that often.
             wait = min(wait, self.timing.expiry / 4)
         return wait * self._random.uniform(0.5, 1.0)
 
@@ -318,11 +321,11 @@
     def _change(
         self, found: stores.Object | None
     ) -> conditional_updates.Change:
-        book = _decode(found)
-        self._observe_counters(book)
+        table = _decode(found)
+        self._observe_counters(table)
         self.reason = ""
-        mine = [each for each in book.holders if each.server == self.server]
-        others = [each for each in book.holders if each.server != self.server]
+        mine = [each for each in table.holders if each.server == self.server]
+        others = [each for each in table.holders if each.server != self.server]
         self._next = mine[0] if mine else None
         if self._next and self._next.number > self.number > 0:
             self.superseded = True
@@ -336,11 +339,12 @@
         return self._write_entry(others)
 
     def _keep_earlier_entry(self) -> None:
-        """Keeps the entry of an earlier life as long as its load may last.
+        """Keeps an entry of an earlier agent start while its load may run.
 
-        The engine may still carry out that life's order, and its status
-        doesn't say so. Given back at once, when nothing is to be loaded any
-        more, the entry would let another runner load at the same time.
+        The engine may still be carrying out an order of the earlier start,
+        and its status does not show that. If the entry were released at once
+        because no load is pending any more, another runner could load at the
+        same time.
         """
         found = self._next
         if self.inspected or found is None or found.kind is PermitKind.OUT:
@@ -382,8 +386,8 @@
         self, others: list[PermitEntry], mine: PermitEntry | None
     ) -> str:
         want = self.want
-        # An entry of an earlier life already counts; taking it over does not
-        # make one more.
+        # An entry of an earlier start of the agent already counts, so taking
+        # it over does not add a load.
         if want.kind is PermitKind.OUT or (
             mine is not None and self._matches_want(mine)
         ):
@@ -406,46 +410,52 @@
         return "guard"
 
     def _expire_entry(self, holder: PermitEntry) -> PermitEntry | None:
-        """Returns another's entry as it is to stand; None to remove it."""
+        """Returns another server's entry after expiry; None to remove it."""
         if (holder.server, holder.number) in self._undeclared:
             return None
-        sighting = self._observations.get((holder.server, holder.number))
-        if sighting is None or sighting.unchanged_seconds < self.timing.expiry:
+        observation = self._observations.get((holder.server, holder.number))
+        if (
+            observation is None
+            or observation.unchanged_seconds < self.timing.expiry
+        ):
             return holder
         if holder.kind is PermitKind.ADAPTER:
             return None
         return attrs.evolve(holder, kind=PermitKind.OUT)
 
-    def _observe_counters(self, book: PermitTable) -> None:
-        """Counts how long the others' counters have stood still.
+    def _observe_counters(self, table: PermitTable) -> None:
+        """Measures how long the counters of other holders are unchanged.
 
-        A holder can't move its counter while the store is down. An observer
-        that took that time for the holder's silence would take a permit away
-        from one that lives. So a stretch between two reads counts for no
-        more than a quarter of the expiry, however long it was.
+        A holder can't increment its counter while the store is down. If an
+        observer counted that time, it would take the permit from a live
+        holder. So the interval between two reads counts for at most a quarter
+        of the expiry.
         """
         before = self._observations
         self._observations = {}
-        for each in book.holders:
+        for each in table.holders:
             if each.kind is PermitKind.OUT or each.server == self.server:
                 continue
             key = (each.server, each.number)
             last = before.get(key)
-            still = 0.0
+            unchanged = 0.0
             if last is not None and last.counter == each.counter:
-                # From the answer of the one read to the sending of the next:
-                # a slow store makes it shorter, never longer.
-                stretch = max(0.0, self.update.started - last.read_at)
-                still = last.unchanged_seconds + min(
-                    stretch, self.timing.expiry / 4
+                # The interval runs from the answer of one read to the request
+                # of the next, so a slow store shortens it and never
+                # lengthens it.
+                interval = max(0.0, self.update.started - last.read_at)
+                unchanged = last.unchanged_seconds + min(
+                    interval, self.timing.expiry / 4
                 )
             self._observations[key] = CounterObservation(
-                counter=each.counter, unchanged_seconds=still, read_at=self._now
+                counter=each.counter,
+                unchanged_seconds=unchanged,
+                read_at=self._now,
             )
 
 
 def _is_active_runner(stored: stores.Object, model: str) -> bool:
-    """Returns whether a stored declaration is of a runner of the model."""
+    """Returns whether a server is declared in for the model."""
     if stored.value is None:
         return False
     match declarations.decode(stored.path, stored):
@@ -459,11 +469,11 @@
     """Returns whether one more runner of a model may go out of service."""
     if len(out) < most_out(runners):
         return True
-    # Runners that stay out would hold an upgrade up for as long as they do,
-    # and it may be their cure. So the others then go one by one, as long as
-    # one is left that serves.
-    going = any(each.kind is PermitKind.WEIGHTS for each in out)
-    return not going and runners - len(out) > 1
+    # Runners that stay out of service would block an upgrade, which may be
+    # what repairs them. So beyond the limit the others go one at a time, as
+    # long as one is left in service.
+    loading = any(each.kind is PermitKind.WEIGHTS for each in out)
+    return not loading and runners - len(out) > 1
 
 
 def _kind_of(want: WantedPermit | None) -> PermitKind | None:
@@ -477,7 +487,7 @@
 
 
 def _encode(holders: list[PermitEntry]) -> conditional_updates.Change:
-    book = PermitTable(holders=holders)
+    table = PermitTable(holders=holders)
     return conditional_updates.Change(
-        write=True, value=msgspec.json.encode(book)
+        write=True, value=msgspec.json.encode(table)
     )
