--- a/pimentoledge/tests/test_admission.py
+++ b/pimentoledge/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission at the agent: truth, order, suspects, deadlines."""
+"""Admission at the agent: stale dispatches, order, suspects, deadlines."""
 
 import pytest
 
@@ -63,7 +63,7 @@
         ({"crashes": 3}, {}, results.Code.POISON),
     ],
 )
-def test_refuses_what_is_no_longer_true(assumed, true, code):
+def test_refuses_stale_or_impossible_dispatches(assumed, true, code):
     admitting = machine()
     refused = offer(admitting, dispatch("q", **assumed), **true)
     assert refused.code == code
@@ -71,12 +71,12 @@
     assert not admitting.queued
 
 
-def test_entry_that_stays_behind_is_refused():
-    """An entry that lost touch goes on by a contract that was withdrawn.
+def test_entry_with_stale_configuration_is_refused():
+    """Guards against an entry that applies a withdrawn contract.
 
-    The agent learned version 7 at 0 s; the entry still has 6. For a few
-    seconds that is ordinary lag; afterwards its work would break the newer
-    contract, which is to be in force everywhere within seconds.
+    The agent has version 7 from 0 s on, the entry still has version 6. A lag
+    within the grace period is accepted. Later dispatches are refused, because
+    the newer contract must be in force everywhere within seconds.
     """
     admitting = machine()
     behind = dispatch("a", configuration=6)
@@ -101,10 +101,10 @@
 
 
 def test_batch_is_not_starved_by_interactive_work():
-    """A dossier check never starts because the counter is always busy.
+    """Guards against batch work that waits until its deadline.
 
-    Interactive requests fill all slots and queue without end. After the age
-    limit the oldest batch request gets the next slot, but only one does.
+    Interactive requests fill all slots and the queue. After the age limit the
+    oldest batch request gets the next slot, but only one at a time does.
     """
     admitting = machine(age_seconds=10.0)
     for number in range(8):
@@ -134,11 +134,12 @@
     assert sum(each.startswith("small") for each in served) == 4
 
 
-def test_full_queue_pushes_out_the_organisation_that_filled_it():
-    """One organisation's flood must not have another one refused.
+def test_full_queue_displaces_work_of_the_organisation_that_filled_it():
+    """Guards against a flood of one organisation that locks out another.
 
-    A large one fills the queue; the first request of a small one comes. The
-    newest of the large one is refused as not run, truthfully.
+    A large organisation fills the queue before the first request of a small
+    one arrives. The newest item of the large one, which has not run, is
+    refused.
     """
     admitting = machine(slots=1, reserve=0, queue_limit=3)
     for number in range(4):
@@ -147,12 +148,12 @@
     assert full.code == results.Code.OVERLOADED
     small = offer(admitting, dispatch("small", "small"))
     assert isinstance(small, admission.Queue)
-    (pushed,) = admitting.expired(0.0)
-    assert pushed.dispatch.request == "big3"
-    assert pushed.code == results.Code.OVERLOADED
+    (displaced,) = admitting.expired(0.0)
+    assert displaced.dispatch.request == "big3"
+    assert displaced.code == results.Code.OVERLOADED
 
 
-def test_refuses_early_what_would_wait_past_its_deadline():
+def test_refuses_on_arrival_if_the_wait_exceeds_the_deadline():
     admitting = machine(slots=1, reserve=0)
     offer(admitting, dispatch("a"))
     admitting.ended("a", 1, 10.0, finished=True)
@@ -174,10 +175,10 @@
 
 
 def test_one_suspect_at_a_time_and_the_agent_remembers():
-    """A poison request comes back through an entry that heard nothing.
+    """Guards against poison resent by an entry that knows of no crash.
 
-    It crashed this engine; the entry sends it again as clean. The agent
-    outlived the engine and treats it as the suspect that it is.
+    The content crashed this engine, and the entry sends it again with no
+    crashes noted. The agent outlives the engine and treats it as a suspect.
     """
     admitting = machine()
     offer(admitting, dispatch("p", fingerprint=b"p"))
@@ -203,7 +204,7 @@
     assert b"q" not in admitting.remembered
 
 
-def test_next_suspect_is_tried_once_one_has_got_going():
+def test_next_suspect_is_admitted_once_the_first_generates():
     admitting = machine()
     offer(admitting, dispatch("s", fingerprint=b"s", crashes=1))
     other = dispatch("t", fingerprint=b"t", crashes=1)
@@ -213,7 +214,7 @@
     assert admitting.suspects() == [b"s", b"t"]
 
 
-def test_death_returns_what_only_waited():
+def test_crash_returns_only_queued_work():
     admitting = machine(slots=1, reserve=0)
     offer(admitting, dispatch("a"))
     offer(admitting, dispatch("b"))
--- a/pimentoledge/tests/test_admission_machine.py
+++ b/pimentoledge/tests/test_admission_machine.py
@@ -1,4 +1,4 @@
-"""Stateful fuzzing of admission against a list of what became of each."""
+"""Stateful fuzzing of admission against a state for each request."""
 
 import hypothesis
 from hypothesis import stateful
@@ -11,12 +11,12 @@
 
 SLOTS = 3
 RESERVE = 1
-PRINTS = [b"a", b"b", b"c"]
+FINGERPRINTS = [b"a", b"b", b"c"]
 COMPLETION = messages.Completion(model="m", prompt="p", max_tokens=9)
 
 
 class AdmissionMachine(stateful.RuleBasedStateMachine):
-    """The oracle keeps a state for each request, and checks each change."""
+    """Tracks the expected state of each request and checks each change."""
 
     def __init__(self):
         super().__init__()
@@ -27,21 +27,21 @@
             server="r1", slots=SLOTS, reserve=RESERVE, queue_limit=4
         )
 
-    def of(self, *states):
+    def names_in(self, *states):
         return sorted(k for k, v in self.states.items() if v in states)
 
     def collect(self):
         for refused in self.admitting.expired(self.now):
-            self.gave_back(refused)
+            self.record_refused(refused)
         for each in self.admitting.ready(self.now):
             name = each.dispatch.request
             assert self.states[name] == ("paused" if each.resumed else "queued")
             self.states[name] = "running"
 
-    def gave_back(self, refused):
+    def record_refused(self, refused):
         name = refused.dispatch.request
-        was = "paused" if refused.started else "queued"
-        assert self.states[name] == was
+        before = "paused" if refused.started else "queued"
+        assert self.states[name] == before
         self.states[name] = "ended"
 
     @stateful.rule(
@@ -56,7 +56,7 @@
             self.offer(organisation, batch, b"", 0, seconds, pausable)
 
     @stateful.rule(
-        fingerprint=strategies.sampled_from(PRINTS),
+        fingerprint=strategies.sampled_from(FINGERPRINTS),
         crashes=strategies.sampled_from([0, 1, 2]),
     )
     def offer_suspect(self, fingerprint, crashes):
@@ -106,7 +106,7 @@
 
     @stateful.rule(data=strategies.data(), finished=strategies.booleans())
     def end(self, data, finished):
-        holding = self.of("running", "pausing")
+        holding = self.names_in("running", "pausing")
         if holding:
             name = data.draw(strategies.sampled_from(holding))
             self.states[name] = "ended"
@@ -117,14 +117,14 @@
 
     @stateful.rule()
     def pauses_take_effect(self):
-        for name in self.of("pausing"):
+        for name in self.names_in("pausing"):
             self.states[name] = "paused"
             self.admitting.paused(name, 1, self.now)
         self.collect()
 
     @stateful.rule(data=strategies.data())
     def cancel(self, data):
-        waiting = self.of("queued", "paused")
+        waiting = self.names_in("queued", "paused")
         if waiting:
             name = data.draw(strategies.sampled_from(waiting))
             assert self.admitting.cancel(name, 1)
@@ -138,19 +138,19 @@
     @stateful.rule()
     def die(self):
         unrun = {each.request for each in self.admitting.clear()}
-        assert sorted(unrun) == self.of("queued")
-        for name in self.of("queued", "running", "pausing", "paused"):
+        assert sorted(unrun) == self.names_in("queued")
+        for name in self.names_in("queued", "running", "pausing", "paused"):
             self.states[name] = "ended"
 
     @stateful.invariant()
     def nothing_is_lost_or_twice(self):
         running = sorted(name for name, _ in self.admitting.running)
-        assert running == self.of("running", "pausing")
-        assert self.admitting.queued == len(self.of("queued", "paused"))
+        assert running == self.names_in("running", "pausing")
+        assert self.admitting.queued == len(self.names_in("queued", "paused"))
 
     @stateful.invariant()
     def slots_hold(self):
-        assert len(self.of("running")) <= SLOTS
+        assert len(self.names_in("running")) <= SLOTS
         running = self.admitting.running.values()
         held = [each for each in running if each.batch and not each.pausing]
         aged = [each for each in held if each.aged]
@@ -164,7 +164,7 @@
 
     @stateful.invariant()
     def interactive_waits_only_for_interactive_and_aged(self):
-        queued = [self.sent[name] for name in self.of("queued")]
+        queued = [self.sent[name] for name in self.names_in("queued")]
         if any(each.priority == "interactive" for each in queued):
             young = [
                 each
@@ -175,19 +175,19 @@
                 and each.item.dispatch.completion is not None
             ]
             assert not young
-            assert len(self.of("running")) == SLOTS
+            assert len(self.names_in("running")) == SLOTS
 
     @stateful.invariant()
     def suspects_stay_apart(self):
         here = [
             self.sent[name]
-            for name in self.of("running", "pausing", "queued", "paused")
+            for name in self.names_in("running", "pausing", "queued", "paused")
         ]
         assert sum(each.crashes > 0 for each in here) <= 1
 
     @stateful.invariant()
     def wakes_in_time(self):
-        if self.of("queued", "paused"):
+        if self.names_in("queued", "paused"):
             assert self.admitting.next_wake() is not None
 
 
--- a/pimentoledge/tests/test_agents.py
+++ b/pimentoledge/tests/test_agents.py
@@ -1,4 +1,4 @@
-"""The agent's state machine by itself: what it tells of its server."""
+"""The agent's state machine: what it reports about its server."""
 
 from pimentoledge import results
 from pimentoledge.decisions import agents
@@ -19,7 +19,7 @@
 
 
 def agent_with_dispatch():
-    """Returns an agent whose engine was given one completion."""
+    """Returns an agent that has submitted one completion to its engine."""
     agent = agents.Agent(
         name="r",
         kind=declarations.ServerKind.RUNNER,
@@ -47,10 +47,10 @@
 
 
 def test_a_prompt_in_prefill_counts_until_its_first_token():
-    """A runner works on a long manual for seconds and looks idle.
+    """Guards against a runner that looks idle during a long prefill.
 
-    Nothing waits at its agent, so every entry took it for the best place for
-    the next prompt, which then waited behind the first.
+    Nothing is queued at its agent, so each entry would choose it for the next
+    prompt, which would then wait behind the first.
     """
     agent, todo = agent_with_dispatch()
     assert agent.truth(ENTRY).queued_tokens == 4000
@@ -62,11 +62,12 @@
     assert agent.truth(ENTRY).queued_tokens == 0
 
 
-def test_what_met_a_dead_engine_is_not_said_to_have_run():
-    """A caller is told that its request ran, and it never did.
+def test_attempt_at_a_dead_engine_is_not_reported_as_run():
+    """Guards against "ran" being reported for a request that never ran.
 
-    The agent hands it to an engine that has just died; the status tells of
-    the death before the refused connection does. Nothing shows that it ran.
+    The agent submits it to an engine that has just crashed, and the status
+    shows the crash before the connection is refused. Nothing shows that the
+    request ran, so the outcome is unknown.
     """
     agent, _ = agent_with_dispatch()
     todo = agent.handle(events.EngineStatus(), 1.1)
--- a/pimentoledge/tests/test_orders.py
+++ b/pimentoledge/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines: upgrades, permits, fencing, and agents that pause."""
+"""Orders to engines: upgrades, permits, fencing and suspended agents."""
 
 import signal
 import subprocess
@@ -33,8 +33,8 @@
     return fleet
 
 
-def _settled(fleet):
-    """Runs until the declared weights are there and no permit is left."""
+def _run_until_settled(fleet):
+    """Runs until the declared weights are loaded and no permit is held."""
     fleet.run_until(lambda: fleet.upgraded() and not fleets.holders_of(fleet))
 
 
@@ -42,15 +42,15 @@
 def test_upgrade_under_load(size, limit):
     """New weights are declared while every runner has streams.
 
-    A load breaks the streams of its engine, more loads than the weight store
-    bears slow each other down, and too many at once leave callers without a
-    runner.
+    Guards against a load that breaks the streams of its engine, against more
+    concurrent loads than the weight store supports, and against too few
+    runners in service for the clients.
     """
     fleet = _fleet(size, limit)
     fleet.traffic(4 * size, 30.0)
     fleet.run(5.0)
     fleet.upgrade("w2")
-    _settled(fleet)
+    _run_until_settled(fleet)
     assert sorted(_loads(fleet, "w2")) == sorted(fleet.nodes)
     assert 0 < fleet.most_loading <= limit
     assert fleet.fewest >= size - permits.most_out(size)
@@ -60,18 +60,18 @@
 def test_the_only_runner_of_a_model_is_upgraded():
     fleet = _fleet(1)
     fleet.upgrade("w2", adapters=["a1"])
-    _settled(fleet)
+    _run_until_settled(fleet)
     fleet.upgrade("w2", adapters=["a2"])
-    _settled(fleet)
+    _run_until_settled(fleet)
     assert fleet.nodes["r1"].engine.adapters == ["a2"]
 
 
 @pytest.mark.parametrize("last", ["w1", "w3"])
-def test_another_declaration_amid_an_upgrade(last):
-    """An operator declares other weights, or the old ones, amid an upgrade.
+def test_another_declaration_during_an_upgrade(last):
+    """New weights, or the old ones, are declared during an upgrade.
 
-    The status lags: it still shows the old weights while a load runs. Taken
-    at its word, a rolled back load would count as done before it began.
+    The status lags and still shows the old weights while a load runs. Guards
+    against a rollback that counts as done because of the outdated status.
     """
     fleet = _fleet()
     for node in fleet.nodes.values():
@@ -80,18 +80,19 @@
     fleet.run(fleet.now + 0.7)
     assert 0 < len(_loads(fleet, "w2")) < 5
     fleet.upgrade(last)
-    _settled(fleet)
+    _run_until_settled(fleet)
     fleet.run(fleet.now + 2.0)
     assert fleet.upgraded()
     assert fleet.most_loading <= 2
 
 
 @pytest.mark.parametrize("returns", [True, False])
-def test_agent_dies_amid_a_load(returns):
-    """An agent dies with its permit; it comes back, or it never does.
+def test_agent_dies_during_a_load(returns):
+    """An agent dies while it holds a permit, and restarts or does not.
 
-    Kept forever, its permit would stop the upgrade. Its entry goes on to
-    count as a runner that is out, until its next life removes it.
+    Guards against a permit that is never released and blocks the upgrade.
+    The entry counts as a runner out of service until the agent's next start
+    removes it.
     """
     fleet = _fleet()
     fleet.upgrade("w2")
@@ -103,7 +104,7 @@
         fleet.run(fleet.now + 5.0)
         for node in dead:
             fleet.start_agent(node)
-        _settled(fleet)
+        _run_until_settled(fleet)
         return
     assert fleet.run_until(fleet.upgraded) > 5.0
     assert fleet.most_loading <= 2
@@ -113,33 +114,33 @@
 
 
 def test_store_down_amid_an_upgrade():
-    """The store goes down after the first permits were given.
+    """The store goes down after the first permits were granted.
 
-    Loads that run end and their runners serve again; no other load starts,
-    or there could be more than the weight store bears; and after the outage
-    the upgrade goes on, without taking permits from agents that were only
-    unable to write.
+    Loads in progress end and their runners serve again. No other load starts,
+    because the limit of the weight store could be exceeded. After the outage
+    the upgrade goes on, and agents that were only unable to write keep their
+    permits.
     """
     fleet = _fleet()
     fleet.upgrade("w2")
     fleet.run_until(lambda: fleet.given)
     fleet.store.down = True
     fleet.run(fleet.now + 5.0)
-    begun = len(fleet.given)
+    started = len(fleet.given)
     fleet.run(fleet.now + 600.0)
-    assert len(fleet.given) == begun < 5
+    assert len(fleet.given) == started < 5
     assert len(fleet.open_nodes()) == 5
     fleet.store.down = False
-    _settled(fleet)
+    _run_until_settled(fleet)
     assert fleet.most_loading <= 2
 
 
-def test_store_loses_answers_amid_an_upgrade():
+def test_store_loses_answers_during_an_upgrade():
     fleet = _fleet()
     fleet.store.lose_answers = 12
     fleet.store.lose_requests = 3
     fleet.upgrade("w2")
-    _settled(fleet)
+    _run_until_settled(fleet)
     assert fleet.most_loading <= 2
     assert len(_loads(fleet, "w2")) == 5
 
@@ -147,19 +148,19 @@
 def test_engine_comes_back_with_the_weights_it_was_started_with():
     fleet = _fleet()
     fleet.upgrade("w2")
-    _settled(fleet)
+    _run_until_settled(fleet)
     fleet.nodes["r1"].engine.crash(fleet.now)
     fleet.run(fleet.now + 8.0)
     assert [each.kind for each in fleets.holders_of(fleet)] == ["out"]
     fleet.nodes["r1"].engine.restart(fleet.now)
-    _settled(fleet)
+    _run_until_settled(fleet)
 
 
 def test_runners_that_are_down_count_as_out():
     """Two of five engines are down when new weights are declared.
 
-    Counted by loads alone, two more would go out, and one would be left. The
-    three go one by one.
+    If only loads were counted, two more would go out of service and one would
+    be left. The three are loaded one at a time.
     """
     fleet = _fleet()
     for name in ("r1", "r2"):
@@ -170,14 +171,14 @@
     assert fleet.fewest == 2
     for name in ("r1", "r2"):
         fleet.nodes[name].engine.restart(fleet.now)
-    _settled(fleet)
+    _run_until_settled(fleet)
 
 
-def test_the_last_serving_runner_is_not_taken_away():
-    """One of two runners is dead; the other must not go for an upgrade.
+def test_the_last_serving_runner_stays_in_service():
+    """One of two runners is down, so the other one must not be upgraded.
 
-    It may once the operator has declared the dead one as leaving: then the
-    model has one runner, which can't be upgraded otherwise.
+    Once the operator has declared the first as leaving, the model has only
+    one runner, which can't be upgraded without going out of service.
     """
     fleet = _fleet(2)
     fleet.nodes["r1"].engine.crash(fleet.now)
@@ -209,10 +210,11 @@
     assert sorted(_loads(fleet, "w2")) == ["r2", "r3", "r4", "r5"]
 
 
-def test_agent_that_is_not_in_charge_sleeps():
-    """An agent of a plain service, or one that knows no declaration yet.
+def test_agent_without_a_declaration_has_no_timer():
+    """Guards against a busy loop of an agent that sends no orders.
 
-    A wake-up that is due and never done would keep its processor busy.
+    An agent of a plain service, or one without a declaration yet, would spin
+    if a timer were due and never handled.
     """
     machine = orders.Orders(server="r1", life="1", address="", seed=1)
     assert machine.next_wake() is None
@@ -221,11 +223,12 @@
 
 
 @pytest.mark.parametrize("down", [False, True])
-def test_agent_that_ends_gives_its_permit_back(down):
-    """An agent is told to end while it loads; once the store is down too.
+def test_agent_that_shuts_down_releases_its_permit(down):
+    """An agent shuts down during a load, with the store up or down.
 
-    It ends when the load is done and its permit is back. With the store down
-    it can't be given back, and waiting for that would hold up the end.
+    It exits when the load is done and the permit is released. With the store
+    down the permit can't be released, and waiting for that would delay the
+    exit.
     """
     fleet = _fleet()
     fleet.upgrade("w2")
@@ -240,24 +243,24 @@
     assert (node.name in servers) is down
 
 
-def _drive(fleet, machine, found):
-    """Answers a machine's calls to the store; returns the orders it gives."""
-    given = []
-    while found:
-        match found.pop(0):
+def _run_actions(fleet, machine, todo):
+    """Answers a machine's calls to the store; returns the orders it sends."""
+    sent = []
+    while todo:
+        match todo.pop(0):
             case actions.CallStore(call=call):
                 answer = fleet.store.call(call)
-                found += machine.handle(answer, fleet.now)
+                todo += machine.handle(answer, fleet.now)
             case actions.OrderEngine(order=order):
-                given.append(order)
-    return given
+                sent.append(order)
+    return sent
 
 
 def _take_over(fleet, node):
-    """Pauses a node's agent and starts another life beside it.
+    """Suspends a node's agent and starts another agent for the server.
 
-    The other has the address that is declared now; the paused one does not
-    know of that declaration.
+    The new agent has the address that is declared now. The suspended one has
+    not received that declaration.
     """
     paused = node.orders
     fleet.servers[node.name] = declarations.BackendServer(
@@ -271,13 +274,13 @@
 
 
 @pytest.mark.parametrize("checks", [True, False])
-def test_order_of_a_paused_agent_comes_late(checks):
-    """An agent is paused in the instant before it sends an order.
+def test_late_order_of_a_suspended_agent(checks):
+    """An agent is suspended just before it sends an order.
 
-    Another one takes over and loads newer weights. Then the first goes on
-    and sends its order for the older ones. An engine that checks the number
-    refuses it. One that ignores it carries it out: the status shows that,
-    and the new agent closes the runner and loads again.
+    Another agent takes over and loads newer weights. Then the first resumes
+    and sends its order for the older ones. An engine that checks fencing
+    numbers refuses it. An engine that ignores them carries it out; the status
+    shows that, and the new agent closes the runner and loads again.
     """
     fleet = _fleet(1, checks_orders=checks)
     node = fleet.nodes["r1"]
@@ -295,22 +298,22 @@
         answer = runners.OrderAnswer(accepted=False, reason="fenced", highest=2)
         done = events.OrderDone(order=sent[0][2], answer=answer)
         found = paused.handle(done, fleet.now)
-        assert _drive(fleet, paused, found) == []
+        assert _run_actions(fleet, paused, found) == []
         assert fleet.store.objects["orders/r1"].write_id.startswith("r1-2/")
     fleet.run(fleet.now + 0.6)
     assert (node.engine.weights == "w2") is not checks
-    _settled(fleet)
+    _run_until_settled(fleet)
     assert node.engine.weights == "w3"
     assert len(_loads(fleet, "w3")) == (1 if checks else 2)
 
 
 @pytest.mark.parametrize("checks", [True, False])
-def test_agent_that_pauses_before_it_decides_gives_no_order(checks):
-    """An agent is paused for a minute while it has a permit.
+def test_agent_suspended_before_it_decides_sends_no_order(checks):
+    """An agent is suspended for a minute while it has a permit.
 
-    Another takes over meanwhile. The first goes on where it stopped: with a
-    permit that it believes to hold and a number that it believes to be the
-    latest. Both are read back before an order, whatever the engine checks.
+    Another agent takes over meanwhile. The first resumes with a cached permit
+    and a cached fencing number, both outdated. Both are read again before an
+    order, whether or not the engine checks the number.
     """
     fleet = _fleet(1, checks_orders=checks)
     node = fleet.nodes["r1"]
@@ -322,15 +325,15 @@
     fleet.run(fleet.now + 60.0)
     status = node.engine.status(fleet.now)
     found = old.handle(status, fleet.now) + old.wake(fleet.now)
-    assert _drive(fleet, old, found) == []
+    assert _run_actions(fleet, old, found) == []
     assert old.tenure.number == 0
 
 
-def test_permit_of_a_paused_agent_is_not_used_after_its_time():
-    """An agent gets a permit, is paused for a minute and goes on.
+def test_permit_of_a_suspended_agent_is_not_used_after_expiry():
+    """An agent gets a permit, is suspended for a minute and resumes.
 
-    The others have counted it dead and use its permit. Started on the old
-    one, its load would be one more than the weight store bears.
+    The others have treated the permit as expired and granted it again. A load
+    under the old permit would exceed the limit of the weight store.
     """
     fleet = _fleet()
     fleet.traffic(20, 3.0)
@@ -344,15 +347,15 @@
     assert paused.orders.permits.granted()
     assert not paused.orders.permits.fresh(fleet.now)
     fleet.go_on(paused)
-    _settled(fleet)
+    _run_until_settled(fleet)
     assert fleet.most_loading <= 2
 
 
 def test_paused_process_keeps_its_address():
-    """A stopped agent still holds its mailbox, so none starts beside it.
+    """A stopped agent keeps its mailbox, so no successor can start there.
 
-    That is what keeps a late order from an engine that checks no number: a
-    successor on the same address starts only when the stopped one is dead.
+    This protects an engine that ignores fencing numbers from a late order: a
+    successor on the same address starts only after the stopped agent is dead.
     """
     code = (
         "import pynng, sys, time\n"
@@ -384,12 +387,12 @@
     return node
 
 
-def test_runner_that_leaves_in_mid_load_keeps_its_permit():
-    """An operator takes a runner out while it loads weights.
+def test_runner_that_leaves_during_a_load_keeps_its_permit():
+    """Guards against two concurrent loads where one is allowed.
 
-    Its agent was no longer in charge and gave the permit back at once,
-    though the engine went on loading. The next runner got it and loaded as
-    well: two at one time, where one is allowed.
+    An operator takes a runner out of service while it loads weights. If its
+    agent released the permit at once, the next runner would load while the
+    first engine is still loading.
     """
     fleet = _fleet(3, 1)
     fleet.upgrade("w2")
@@ -402,11 +405,12 @@
 
 
 def test_permit_of_an_agent_that_died_outlasts_its_load():
-    """An agent dies in mid-load, and the old weights are declared again.
+    """Guards against two concurrent loads where one is allowed.
 
-    Its next life saw them in the engine's status, which doesn't tell of the
-    load, and gave the permit back. The next upgrade began on another runner
-    while the load went on: two at one time, where one is allowed.
+    An agent dies during a load, and the old weights are declared again. The
+    engine's status shows the old weights and not the load. If the agent's
+    next start released the permit because of that, the next upgrade would
+    begin on another runner while the load is still running.
     """
     fleet = _fleet(3, 1)
     fleet.upgrade("w2")
@@ -468,10 +472,10 @@
 @hypothesis.settings(max_examples=60, deadline=None)
 @hypothesis.given(faults=strategies.lists(_FAULT, max_size=15))
 def test_any_faults_keep_the_limit_and_end_as_declared(faults):
-    """Crashes, deaths, pauses, outages and upgrades in any order.
+    """Crashes, agent restarts, suspensions, outages and upgrades, any order.
 
-    None of them lasts as long as a permit, so the limit holds throughout;
-    and when all is over each engine has what is declared.
+    None of them lasts as long as a permit, so the limit holds throughout. At
+    the end each engine has its declared state.
     """
     fleet = _fleet()
     for fault, name, wait in faults:
@@ -481,5 +485,5 @@
     fleet.run(fleet.now + 10.0)
     fleet.store.lose_answers = 0
     fleet.upgrade("last")
-    _settled(fleet)
+    _run_until_settled(fleet)
     assert fleet.most_loading <= 2
--- a/pimentoledge/tests/test_paused_truth.py
+++ b/pimentoledge/tests/test_paused_truth.py
@@ -1,4 +1,4 @@
-"""What an agent says of batch work that it stopped for other work."""
+"""What an agent reports about batch work that it paused."""
 
 from pimentoledge.decisions import actions
 from pimentoledge.decisions import agents
@@ -10,8 +10,8 @@
 ENTRY = "tcp://10.0.0.1:1"
 
 
-class Desk:
-    """One agent before an engine with one slot, driven by hand."""
+class AgentDriver:
+    """Passes events to one agent whose engine has one slot."""
 
     def __init__(self):
         self.agent = agents.Agent(
@@ -23,12 +23,12 @@
             view=configuration.Configuration(),
             seeds=[],
         )
-        self.give(events.EngineStatus(incarnation="i1", slots=1))
+        self.handle(events.EngineStatus(incarnation="i1", slots=1))
 
-    def give(self, event):
+    def handle(self, event):
         return self.agent.handle(event, 1.0)
 
-    def ask(self, request, priority):
+    def send_dispatch(self, request, priority):
         dispatch = messages.Dispatch(
             request=request,
             attempt=1,
@@ -38,10 +38,10 @@
             server="r",
             completion=messages.Completion(model="m", prompt="p", max_tokens=9),
         )
-        return self.give(events.FromNode(sender=ENTRY, message=dispatch))
+        return self.handle(events.FromNode(sender=ENTRY, message=dispatch))
 
     def start(self, request):
-        return self.give(
+        return self.handle(
             events.EngineStarted(
                 request=request,
                 attempt=1,
@@ -52,13 +52,17 @@
         )
 
     def broken(self, request, ran):
-        return self.give(
+        return self.handle(
             events.EngineBroken(request=request, attempt=1, ran=ran, text="")
         )
 
-    def die(self):
-        """Returns what the entry is told, by request."""
-        todo = self.give(events.EngineStatus())
+    def crash(self):
+        """Reports the engine as down.
+
+        Returns:
+            Value of `ran` in the failures sent to the entry, by request.
+        """
+        todo = self.handle(events.EngineStatus())
         return {
             each.message.request: each.message.ran
             for each in todo
@@ -67,33 +71,35 @@
         }
 
 
-def test_stopped_before_it_reached_a_dead_engine():
-    """A check is told that it ran, though no engine ever had it.
+def test_paused_before_it_reached_a_dead_engine():
+    """Guards against "ran" being reported for work that no engine received.
 
-    It is handed to an engine that has just died, a quote comes at that
-    moment and the check is to be stopped for it. The engine's "not run" was
-    forgotten, and the death then counted as one while the check ran.
+    Batch work is submitted to an engine that has just crashed, and an
+    interactive request makes the agent pause it at that moment. If the
+    engine's "not run" were dropped, the crash would count as one during the
+    batch work.
     """
-    desk = Desk()
-    desk.ask("check", "batch")
-    desk.ask("quote", "interactive")
-    desk.broken("check", "not_run")
-    desk.broken("quote", "not_run")
-    assert desk.die() == {"check": "not_run", "quote": "not_run"}
+    driver = AgentDriver()
+    driver.send_dispatch("check", "batch")
+    driver.send_dispatch("quote", "interactive")
+    driver.broken("check", "not_run")
+    driver.broken("quote", "not_run")
+    assert driver.crash() == {"check": "not_run", "quote": "not_run"}
 
 
 def test_refused_after_it_ran_and_was_paused():
-    """A check that ran, was paused and then met a dead engine did run.
+    """Guards against "not run" for work that ran before a pause.
 
-    The engine's refusal speaks of the second time only; "not run" would be
-    false, and the caller might pay for the work twice.
+    Batch work runs, is paused and is then submitted to a dead engine. The
+    refusal applies to the second submission only. "not run" would be false,
+    and the client might pay for the work twice.
     """
-    desk = Desk()
-    desk.ask("check", "batch")
-    desk.start("check")
-    desk.ask("quote", "interactive")
-    desk.broken("check", "ran")
-    desk.give(events.EngineStatus(incarnation="i1", slots=1))
+    driver = AgentDriver()
+    driver.send_dispatch("check", "batch")
+    driver.start("check")
+    driver.send_dispatch("quote", "interactive")
+    driver.broken("check", "ran")
+    driver.handle(events.EngineStatus(incarnation="i1", slots=1))
     ended = events.EngineEnded(
         request="quote",
         attempt=1,
@@ -102,7 +108,7 @@
         cached_tokens=0,
         completion_tokens=0,
     )
-    resumed = desk.give(ended)
+    resumed = driver.handle(ended)
     assert any(isinstance(each, actions.RunCompletion) for each in resumed)
-    desk.broken("check", "not_run")
-    assert desk.die() == {"check": "ran"}
+    driver.broken("check", "not_run")
+    assert driver.crash() == {"check": "ran"}
--- a/pimentoledge/tests/test_pausing.py
+++ b/pimentoledge/tests/test_pausing.py
@@ -1,4 +1,4 @@
-"""Batch work gives way to interactive work, through entry and agent."""
+"""Preemption of batch work by interactive work, through entry and agent."""
 
 from pimentoledge.runners import fake_engines
 from pimentoledge.tests import paths
@@ -19,21 +19,21 @@
     path.run(1.0)
 
 
-def test_a_quote_waits_for_one_step_and_the_check_is_whole():
-    """A customer waits at the counter while checks fill the runner.
+def test_interactive_waits_one_step_and_batch_answer_is_complete():
+    """Guards against a long wait of interactive work and a corrupt resume.
 
-    Both slots run long batch answers. The quote must not wait for one of
-    them to be complete; the one that gives way is complete in the end, with
-    no word lost or twice.
+    Both slots run long batch answers. The interactive request must not wait
+    until one of them is complete. The preempted answer is complete in the
+    end, with no text lost or duplicated.
     """
     path = paths.Path(entry_count=1, runners=1, slots=2, step_seconds=STEP)
     full_runner(path)
-    asked = path.now
+    sent_at = path.now
     path.request(0, "i", QUOTE, tokens=5)
     path.run(1.0, until=lambda: "i" in path.first)
     messages = 4 * 0.002
     prefill = 0.0001 * len(QUOTE) / 4
-    assert path.first["i"] - asked <= STEP + prefill + messages
+    assert path.first["i"] - sent_at <= STEP + prefill + messages
     path.run(60.0, until=lambda: len(path.answers) == 3)
     assert {path.code(each) for each in ("i", "b0", "b1")} == {0}
     for each in ("b0", "b1"):
@@ -43,10 +43,10 @@
 
 
 def test_paused_work_goes_on_elsewhere_when_its_engine_dies():
-    """An engine dies while a batch answer is paused there.
+    """An engine crashes while a batch answer is paused at it.
 
-    The paused one did run, so it is not refused as "not run"; another
-    runner goes on behind what the caller has.
+    The paused attempt has run, so it must not be refused as "not run".
+    Another runner continues after the text that the client has received.
     """
     path = paths.Path(entry_count=1, runners=2, slots=1, step_seconds=STEP)
     prompts = {f"b{n}": f"Lot {n}. " + CHECK for n in range(6)}
