--- a/pimentoledge/tests/test_agents.py
+++ b/pimentoledge/tests/test_agents.py
@@ -62,7 +62,7 @@
     assert agent.truth(ENTRY).queued_tokens == 0
 
 
-def test_attempt_at_a_dead_engine_is_not_reported_as_run():
+def test_what_met_a_dead_engine_is_not_said_to_have_run():
     """Guards against "ran" being reported for a request that never ran.
 
     The agent submits it to an engine that has just crashed, and the status
