--- a/pimentoledge/platform/stores.py
+++ b/pimentoledge/platform/stores.py
@@ -118,7 +118,7 @@
 
     async def watch(
         self, kind: str, revision: int, seconds: float
-    ) -> registrations.Watched:
+    ) -> registrations.WatchResult:
         """Returns what changed after a revision, as soon as something did."""
         target = f"{kind}?watch={revision}&waitMs={int(seconds * 1000)}"
         reply = await self._call(
--- a/pimentoledge/routing/cache_monitors.py
+++ b/pimentoledge/routing/cache_monitors.py
@@ -18,7 +18,7 @@
 # Between attempts to reach a server that is down.
 RETRY_SECONDS = 0.5
 # After a connection ended: one that is closed at once must not make a loop.
-AGAIN_SECONDS = 0.05
+RECONNECT_SECONDS = 0.05
 
 
 class CacheMonitor:
@@ -70,7 +70,7 @@
                 await connection.next()
             finally:
                 connection.abort()
-            await asyncio.sleep(AGAIN_SECONDS)
+            await asyncio.sleep(RECONNECT_SECONDS)
 
     def _set_down(self, address: str, why: str) -> None:
         if address not in self.view.caches_down:
--- a/pimentoledge/routing/cluster_views.py
+++ b/pimentoledge/routing/cluster_views.py
@@ -60,8 +60,8 @@
         bounds: figures that the deployment sets.
         configuration: newest configuration, or None before the first.
         configured: when that came into force here.
-        copied: the copies of the store's objects that all this comes from, by
-            name.
+        caches_by_kind: the copies of the store's objects that all this comes
+            from, by name.
         servers: the backend servers.
         server_limits: the limits that servers have named in their answers.
         wanted: wanted weights by model.
@@ -87,7 +87,9 @@
     bounds: RouterBounds = attrs.field(factory=RouterBounds)
     configuration: configurations.Configuration | None = None
     configured: float = 0.0
-    copied: dict[str, object_caches.ObjectCache] = attrs.field(factory=dict)
+    caches_by_kind: dict[str, object_caches.ObjectCache] = attrs.field(
+        factory=dict
+    )
     servers: backends.Backends = attrs.field(factory=backends.Backends)
     server_limits: server_limits_module.ServerLimits = attrs.field(
         factory=server_limits_module.ServerLimits
@@ -113,7 +115,7 @@
 
     def known_at(self, name: str) -> float:
         """Returns as of when a kind of the store's objects is known, or 0."""
-        found = self.copied.get(name)
+        found = self.caches_by_kind.get(name)
         return found.known_at if found is not None else 0.0
 
     def budget(self, service: str) -> retry_budgets.Budget:
@@ -139,7 +141,7 @@
         """Returns what a model's requests don't share, in the mean."""
         return self.unshared.setdefault(model, memory_estimates.MeanTokens())
 
-    def rebound(self) -> None:
+    def update_budgets(self) -> None:
         """Brings the budgets to changed bounds; what was spent stays."""
         for budget in self.repeats.values():
             budget.ratio = self.bounds.budget_ratio
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -99,23 +99,24 @@
         self.updater = view_updaters.ViewUpdater(
             view=self.view,
             lines=self.lines,
-            news=self._news,
-            died=self._died,
+            on_change=self._news,
+            on_death=self._died,
             lapse_ends=self._lapse_ends,
-            restarted=self._restarted,
+            on_restart=self._restarted,
         )
         kinds = {
             "configuration": object_caches.ObjectCache(
-                kind=names.CONFIGURATIONS, take=self.updater.configuration
+                kind=names.CONFIGURATIONS,
+                on_change=self.updater.apply_configuration,
             ),
             "servers": object_caches.ObjectCache(
-                kind=names.SERVERS, take=self.updater.servers
+                kind=names.SERVERS, on_change=self.updater.apply_servers
             ),
             "weights": object_caches.ObjectCache(
-                kind=names.WEIGHTS_NAMED, take=self.updater.weights
+                kind=names.WEIGHTS_NAMED, on_change=self.updater.apply_weights
             ),
         }
-        self.view.copied = kinds
+        self.view.caches_by_kind = kinds
         bounds = {
             "configuration": lambda: (self.view.bounds.configuration_seconds),
             "servers": lambda: self.view.bounds.drain_seconds,
@@ -131,7 +132,7 @@
                 bound_seconds=bounds[name],
                 answers=answers,
                 # Without a configuration nothing can be served.
-                leads=name == "configuration",
+                polls_in_outage=name == "configuration",
                 arrived=self.pauses.arrived,
             )
             for name, each in kinds.items()
@@ -160,12 +161,12 @@
             lines=self.lines,
         )
         for each in self.watchers:
-            each.turn = self.peers.replicator.poll_rank
+            each.poll_rank = self.peers.replicator.poll_rank
         for name in ("servers", "weights"):
             self.kinds[name].follows = self.peers.replicator.follows
-        self.kinds["servers"].told = self.peers.replicator.forward_changes
+        self.kinds["servers"].on_changes = self.peers.replicator.forward_changes
         runners = orders.Runners(
-            caller=self.caller, holder=holder, heard=self.notices.take_reply
+            caller=self.caller, holder=holder, heard=self.notices.apply_reply
         )
         self.rechecks = rechecks.Rechecks(
             runners=runners, permits=self.permits, lines=self.lines
@@ -231,7 +232,7 @@
         now = clocks.now()
         ages = {
             f"{name}_age_seconds": now - each.known_at
-            for name, each in self.view.copied.items()
+            for name, each in self.view.caches_by_kind.items()
             if each.known_at
         }
         return self.counters.page(
@@ -261,7 +262,7 @@
         ]
         self.chosen = chosen
         self.view.bounds = _bounds(chosen)
-        self.view.rebound()
+        self.view.update_budgets()
         self.peers.limiter.rebound(self.view.bounds.limits)
         self.lease.lease_seconds = self.view.bounds.lease_seconds
         self.store.address = chosen.text("store-address")
@@ -301,7 +302,7 @@
             lines=self.lines,
             everyone=self.exchanges,
             died=self._died,
-            doubt=self.rechecks.doubt,
+            doubt=self.rechecks.recheck,
             prompt_changed=self.peers.load_reports.prompt_changed,
             limiter=self.peers.limiter,
             notices=self.notices,
--- a/pimentoledge/routing/exchanges.py
+++ b/pimentoledge/routing/exchanges.py
@@ -361,7 +361,9 @@
         self.history.note_outcome(incarnation, outcome)
         if outcome is retry_rules.AttemptOutcome.BROKE:
             backend.troubled(clocks.now())
-            self.view.suspects.broke(self.content, incarnation, clocks.now())
+            self.view.suspects.record_break(
+                self.content, incarnation, clocks.now()
+            )
 
     def _may_send(self, backend: backends.Backend) -> bool:
         service = backend.registration.service
@@ -534,7 +536,7 @@
     ) -> None:
         """Takes what an answer's head says of its server."""
         backend = attempt.backend
-        self.notices.take(backend, answer, attempt.sent)
+        self.notices.apply(backend, answer, attempt.sent)
         if answer.load is not None:
             backend.update_load(answer.load, clocks.now())
         found = answer.server
@@ -592,14 +594,14 @@
         """
         if status >= 500 and status != GATEWAY_TIMEOUT:
             backend.troubled(clocks.now())
-            self.view.suspects.served(self.content)
+            self.view.suspects.clear(self.content)
         else:
             self._served(backend)
 
     def _served(self, backend: backends.Backend) -> None:
         """Takes a whole answer as proof that server and content are sound."""
         backend.served()
-        self.view.suspects.served(self.content)
+        self.view.suspects.clear(self.content)
 
     def _refused_by(
         self,
--- a/pimentoledge/routing/hedged_calls.py
+++ b/pimentoledge/routing/hedged_calls.py
@@ -8,7 +8,7 @@
 
 # Calls of one question under way at a time. With a pause of half a second and
 # 2.5 s for each, a silent store never has more waiting for it.
-MOST_CALLS = 5
+MAX_CALLS = 5
 
 
 async def first_answer(
@@ -31,8 +31,8 @@
     Returns:
         The answer, or Unavailable once no call is under way any more.
     """
-    calls = {_begin(call())}
-    again = _begin(overdue())
+    calls = {_start(call())}
+    again = _start(overdue())
     try:
         while True:
             await asyncio.wait(
@@ -47,15 +47,15 @@
             if not calls:
                 return found
             if again.done():
-                again = _begin(overdue())
-                if len(calls) < MOST_CALLS:
-                    calls.add(_begin(call()))
+                again = _start(overdue())
+                if len(calls) < MAX_CALLS:
+                    calls.add(_start(call()))
     finally:
         for each in (*calls, again):
             each.cancel()
 
 
-def _begin(what: Awaitable[object]) -> asyncio.Task:
+def _start(what: Awaitable[object]) -> asyncio.Task:
     return asyncio.ensure_future(what)
 
 
--- a/pimentoledge/routing/object_caches.py
+++ b/pimentoledge/routing/object_caches.py
@@ -13,63 +13,65 @@
 
     Attributes:
         kind: which kind.
-        take: called with (changed, names of the removed).
+        on_change: called with (changed, names of the removed).
         objects: by name.
         revision: up to which they are known, or None before the first.
         changed_at: revision of the newest change that is known.
         known_at: as of when all changes are known, in seconds of clocks.now;
             0 before the first.
-        unseen_seconds: how long ago at most the newest changes came about
+        change_age_seconds: how long ago at most the newest changes came about
             that nothing had told of; 0 where a wait brought them.
         silent_at: when the store was last found to answer nothing, in seconds
             of clocks.now, or 0.
     """
 
     kind: str
-    take: Callable[[list[registrations.Stored], list[str]], None]
+    on_change: Callable[[list[registrations.Stored], list[str]], None]
     objects: dict[str, registrations.Stored] = attrs.field(factory=dict)
     revision: int | None = None
     changed_at: int = 0
     known_at: float = 0.0
-    unseen_seconds: float = 0.0
+    change_age_seconds: float = 0.0
     silent_at: float = 0.0
 
-    def freshen(self, when: float) -> None:
+    def advance_known_at(self, when: float) -> None:
         """Takes that all changes up to a time are known."""
         self.known_at = max(self.known_at, when)
 
     def apply(
         self,
         found: registrations.Listing | registrations.Changes,
-        unseen_seconds: float = 0.0,
+        change_age_seconds: float = 0.0,
     ) -> bool:
         """Takes a listing or changes, unless newer ones were taken.
 
         Args:
             found: the listing or the changes.
-            unseen_seconds: how long ago at most they came about.
+            change_age_seconds: how long ago at most they came about.
 
         Returns:
             Whether that changed anything.
         """
         if self.revision is not None and found.revision < self.revision:
             return False
-        self.unseen_seconds = unseen_seconds
+        self.change_age_seconds = change_age_seconds
         match found:
             case registrations.Listing(objects=objects):
                 present = {each.name for each in objects}
                 removed = [name for name in self.objects if name not in present]
-                changed = [each for each in objects if self._is_news(each)]
+                changed = [each for each in objects if self._is_newer(each)]
                 newest = objects
                 if removed:
                     # When they went is not told; it was by then.
                     self.changed_at = max(self.changed_at, found.revision)
             case registrations.Changes():
                 changed = [
-                    each for each in found.changed if self._is_news(each)
+                    each for each in found.changed if self._is_newer(each)
                 ]
                 removed = [
-                    each.name for each in found.removed if self._is_held(each)
+                    each.name
+                    for each in found.removed
+                    if self._is_removal_current(each)
                 ]
                 newest = found.changed + found.removed
         for each in changed:
@@ -80,14 +82,14 @@
         self.changed_at = max(
             [self.changed_at, *(each.revision for each in newest)]
         )
-        self.take(changed, removed)
+        self.on_change(changed, removed)
         return bool(changed or removed)
 
-    def _is_news(self, each: registrations.Stored) -> bool:
+    def _is_newer(self, each: registrations.Stored) -> bool:
         held = self.objects.get(each.name)
         return held is None or held.revision < each.revision
 
-    def _is_held(self, gone: registrations.Stored) -> bool:
+    def _is_removal_current(self, gone: registrations.Stored) -> bool:
         """Returns whether what is gone is what is held.
 
         Changes come from several tellers: one that came back meanwhile, with
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -289,7 +289,9 @@
 
     def server_died(self, incarnation: str) -> None:
         """Tells the others which content a dead server had."""
-        for content in self.view.suspects.died(incarnation, clocks.now()):
+        for content in self.view.suspects.record_death(
+            incarnation, clocks.now()
+        ):
             self.lines.write("crashed", content=content, server=incarnation)
             self._tell(
                 self.roster.partners,
@@ -299,7 +301,7 @@
             )
 
     def _crashed(self, crash: peer_messages.CrashReport) -> None:
-        is_news = self.view.suspects.crashed(
+        is_news = self.view.suspects.record_crash(
             crash.content, crash.incarnation, clocks.now()
         )
         if is_news and not self.roster.reaches_all():
--- a/pimentoledge/routing/rechecks.py
+++ b/pimentoledge/routing/rechecks.py
@@ -12,7 +12,7 @@
 from pimentoledge.routing import server_permits
 
 # No work is sent there while the question is under way.
-ASK_SECONDS = 0.3
+REPORT_SECONDS = 0.3
 # A runner that loads is asked again by the next request that meets it.
 LOADING_SECONDS = 0.4
 
@@ -24,7 +24,7 @@
         runners: makes the calls.
         permits: hold the limits that runners have named.
         lines: where changes of belief are written.
-        asking: servers that are being asked, by incarnation.
+        pending: servers that are being asked, by incarnation.
     """
 
     def __init__(
@@ -37,14 +37,14 @@
         self.runners = runners
         self.permits = permits
         self.lines = lines
-        self.asking: dict[str, asyncio.Task] = {}
+        self.pending: dict[str, asyncio.Task] = {}
 
     def close(self) -> None:
         """Gives up all questions."""
-        for each in self.asking.values():
+        for each in self.pending.values():
             each.cancel()
 
-    def doubt(self, backend: backends.Backend) -> None:
+    def recheck(self, backend: backends.Backend) -> None:
         """Leaves a runner alone until it has said which weights it has.
 
         The store tells of changed weights late, or not at all where it turns
@@ -53,14 +53,16 @@
         """
         incarnation = backend.registration.incarnation
         now = clocks.now()
-        backend.loading_until = max(backend.loading_until, now + ASK_SECONDS)
-        if incarnation in self.asking:
+        backend.loading_until = max(backend.loading_until, now + REPORT_SECONDS)
+        if incarnation in self.pending:
             return
-        task = asyncio.get_running_loop().create_task(self._ask(backend))
-        self.asking[incarnation] = task
-        task.add_done_callback(lambda _: self.asking.pop(incarnation, None))
+        task = asyncio.get_running_loop().create_task(
+            self._request_report(backend)
+        )
+        self.pending[incarnation] = task
+        task.add_done_callback(lambda _: self.pending.pop(incarnation, None))
 
-    async def _ask(self, backend: backends.Backend) -> None:
+    async def _request_report(self, backend: backends.Backend) -> None:
         if not (await self.permits.acquire(backend)).granted:
             return
         found = await self.runners.report(backend.registration)
--- a/pimentoledge/routing/registrations.py
+++ b/pimentoledge/routing/registrations.py
@@ -125,7 +125,7 @@
 
 
 # What a call for changes may bring.
-Watched = Changes | HistoryGone | Unavailable
+WatchResult = Changes | HistoryGone | Unavailable
 
 
 @attrs.frozen(kw_only=True)
--- a/pimentoledge/routing/replicators.py
+++ b/pimentoledge/routing/replicators.py
@@ -92,10 +92,10 @@
             if mirror is None or mirror.revision is None:
                 continue
             if name == "weights" or changed_at <= mirror.revision:
-                mirror.freshen(now - age / 1000)
+                mirror.advance_known_at(now - age / 1000)
 
     def poll_rank(self) -> int:
-        """Returns when this router looks, as an index of LOOK_SHARES.
+        """Returns when this router looks, as an index of POLL_SHARES.
 
         Of few routers the first is one that the store answers, of many the
         first of each data centre. It may have died up to 30 s ago without
--- a/pimentoledge/routing/server_notices.py
+++ b/pimentoledge/routing/server_notices.py
@@ -17,7 +17,7 @@
 # Statuses by which a server asks to be left alone for a while.
 BUSY_STATUSES = frozenset((429, 503))
 # Characters of an unreadable header in a line.
-MOST_SHOWN = 40
+MAX_SHOWN_CHARS = 40
 
 
 @attrs.frozen(kw_only=True)
@@ -39,7 +39,7 @@
     limit_changed: Callable[[str], None] = lambda server: None
     arrived: Callable[[float], float] = lambda now: now
 
-    def take(
+    def apply(
         self,
         asked: backends.Backend,
         answer: request_types.ServerResponse,
@@ -53,7 +53,7 @@
             sent: when a client's request was sent; None for other calls, whose
                 answers need not repeat a limit.
         """
-        backend = self._answerer(asked, answer)
+        backend = self._responding_server(asked, answer)
         if backend is None:
             return
         self._update_limit(backend, answer, sent)
@@ -66,7 +66,7 @@
                 declared=backend.registration.leaving,
             )
         if answer.status in BUSY_STATUSES and answer.retry_text:
-            self._take_retry(backend, answer)
+            self._apply_retry_after(backend, answer)
 
     def _update_limit(
         self,
@@ -80,7 +80,7 @@
             self.lines.write(
                 "server_limit_unreadable",
                 server=server,
-                value=answer.limit_text[:MOST_SHOWN],
+                value=answer.limit_text[:MAX_SHOWN_CHARS],
             )
             return
         if answer.limit is None and (sent is None or answer.not_run):
@@ -120,7 +120,7 @@
         )
         self.limit_changed(server)
 
-    def _take_retry(
+    def _apply_retry_after(
         self, backend: backends.Backend, answer: request_types.ServerResponse
     ) -> None:
         """Takes for how long a server that is busy asks for no request."""
@@ -129,7 +129,7 @@
             self.lines.write(
                 "retry_after_unreadable",
                 server=server,
-                value=answer.retry_text[:MOST_SHOWN],
+                value=answer.retry_text[:MAX_SHOWN_CHARS],
             )
             return
         now = clocks.now()
@@ -145,7 +145,7 @@
             retry_after_s=answer.retry_seconds,
         )
 
-    def take_reply(
+    def apply_reply(
         self,
         asked: registrations.Registration,
         answer: request_types.ServerResponse,
@@ -153,9 +153,9 @@
         """Takes the head of an answer to a call of the system's own."""
         backend = self.servers.by_incarnation.get(asked.incarnation)
         if backend is not None:
-            self.take(backend, answer)
+            self.apply(backend, answer)
 
-    def _answerer(
+    def _responding_server(
         self, asked: backends.Backend, answer: request_types.ServerResponse
     ) -> backends.Backend | None:
         """Returns the server that gave an answer, or None if unknown."""
--- a/pimentoledge/routing/suspects.py
+++ b/pimentoledge/routing/suspects.py
@@ -14,14 +14,14 @@
 
 # The users' pages allow three servers; what is stopped after the second
 # crash leaves one for a router that hasn't heard yet.
-MOST_CRASHES = 2
+MAX_CRASHES = 2
 # A connection that broke counts against its content only if the server is
 # found dead so soon after; most broken connections have other causes.
 DEATH_SECONDS = 3.0
 # After so long without a crash the content is innocent again.
 MEMORY_SECONDS = 60.0
 # How many contents are remembered: some 300 bytes each.
-MOST_CONTENTS = 2000
+MAX_CONTENTS = 2000
 
 
 def fingerprint(client_request: request_types.ClientRequest) -> str:
@@ -44,7 +44,7 @@
 
 
 @attrs.frozen
-class _Break:
+class _BrokenConnection:
     content: str
     when: float
 
@@ -61,18 +61,18 @@
         self.contents: collections.OrderedDict[str, _Suspect] = (
             collections.OrderedDict()
         )
-        self.breaks: dict[str, list[_Break]] = {}
+        self.breaks: dict[str, list[_BrokenConnection]] = {}
 
-    def broke(self, content: str, incarnation: str, now: float) -> None:
+    def record_break(self, content: str, incarnation: str, now: float) -> None:
         """Notes that the connection to a server broke under content."""
         recent = [
             each
             for each in self.breaks.get(incarnation, ())
             if now - each.when < DEATH_SECONDS
         ]
-        self.breaks[incarnation] = [*recent, _Break(content, now)]
+        self.breaks[incarnation] = [*recent, _BrokenConnection(content, now)]
 
-    def died(self, incarnation: str, now: float) -> list[str]:
+    def record_death(self, incarnation: str, now: float) -> list[str]:
         """Takes proof that a server died; returns the contents it had."""
         found = [
             each.content
@@ -80,10 +80,10 @@
             if now - each.when < DEATH_SECONDS
         ]
         for content in found:
-            self.crashed(content, incarnation, now)
+            self.record_crash(content, incarnation, now)
         return found
 
-    def crashed(self, content: str, incarnation: str, now: float) -> bool:
+    def record_crash(self, content: str, incarnation: str, now: float) -> bool:
         """Notes that content was in a server when it died.
 
         Returns whether that is news.
@@ -93,11 +93,11 @@
         suspect.crashed[incarnation] = now
         suspect.newest = now
         self.contents.move_to_end(content)
-        while len(self.contents) > MOST_CONTENTS:
+        while len(self.contents) > MAX_CONTENTS:
             self.contents.popitem(last=False)
         return is_news
 
-    def served(self, content: str) -> None:
+    def clear(self, content: str) -> None:
         """Takes a whole answer as proof of innocence."""
         self.contents.pop(content, None)
 
@@ -109,4 +109,4 @@
         if now - suspect.newest > MEMORY_SECONDS:
             del self.contents[content]
             return False
-        return len(suspect.crashed) >= MOST_CRASHES
+        return len(suspect.crashed) >= MAX_CRASHES
--- a/pimentoledge/tests/test_platform_adapter.py
+++ b/pimentoledge/tests/test_platform_adapter.py
@@ -247,7 +247,7 @@
         lines=log_lines.Lines(counters=counters.Counters()),
     )
     good = {"service": "s", "address": "1.2.3.4:5", "zone": "a"}
-    takers.servers(
+    takers.apply_servers(
         [
             registrations.Stored(name="bad", revision=1, value=None),
             registrations.Stored(name="odd", revision=2, value={"zone": 1}),
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -38,7 +38,7 @@
     """Returns servers and the one of them that backs off."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
-    taker(servers).take(backend, busy(seconds))
+    taker(servers).apply(backend, busy(seconds))
     return servers, backend
 
 
@@ -92,7 +92,7 @@
     [router] = world.routers
     known = router.view.servers.by_incarnation
     asked = await world.ask_while_opening("p0", "p1")
-    router.notices.take(known["p0"], busy(60.0))
+    router.notices.apply(known["p0"], busy(60.0))
     assert (await asked).status == 200
     assert not world.servers["p0"].calls
 
@@ -102,8 +102,8 @@
     await _patient_route(world)
     [router] = world.routers
     known = router.view.servers.by_incarnation
-    router.notices.take(known["p0"], busy(5.0))
-    router.notices.take(known["p1"], busy(2.0))
+    router.notices.apply(known["p0"], busy(5.0))
+    router.notices.apply(known["p1"], busy(2.0))
     waits = set()
     began = time.monotonic()
     for _ in range(5):
@@ -139,7 +139,7 @@
     [router] = world.routers
     known = router.view.servers.by_incarnation
     world.servers["p0"].fail = 1
-    router.notices.take(known["p1"], busy(60.0))
+    router.notices.apply(known["p1"], busy(60.0))
     began = time.monotonic()
     assert (await world.ask("/notices/", body=b"n")).status == 500
     assert time.monotonic() - began < 0.5
@@ -150,7 +150,7 @@
     await _patient_route(world)
     [router] = world.routers
     known = router.view.servers.by_incarnation["p0"]
-    router.notices.take(known, busy(0.3))
+    router.notices.apply(known, busy(0.3))
     assert (await world.ask("/notices/", body=b"n")).status == 200
 
 
@@ -168,7 +168,7 @@
 async def test_a_runner_that_backs_off_gets_no_report_call_either(world):
     [router] = world.routers
     doubted = []
-    router.rechecks.doubt = doubted.append
+    router.rechecks.recheck = doubted.append
     runner = world.servers["r0"]
     runner.refuse, runner.retry_after = 1, "60"
     while not runner.calls:
@@ -199,7 +199,7 @@
     view = cluster_views.ClusterView(name="b", data_centre="a", born=0.0)
     view.want(MODEL, 2, 0.0)
     backend = view.servers.put(REGISTRATION)
-    taker(view.servers).take(backend, busy(60.0))
+    taker(view.servers).apply(backend, busy(60.0))
     rollout = rollouts.Rollout(view=view)
     now = clocks.now()
     assert not rollout.due(now)
@@ -212,8 +212,8 @@
     now = clocks.now()
     backend.served()
     backend.loaded()
-    taker(servers).take(backend, answer())
-    taker(servers).take(backend, busy(1.0))
+    taker(servers).apply(backend, answer())
+    taker(servers).apply(backend, busy(1.0))
     servers.put(attrs.evolve(REGISTRATION, slots=9))
     assert not backend.usable(now + 59.0)
     servers.remove("s0")
@@ -244,5 +244,5 @@
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
     found = attrs.evolve(busy(60.0), status=status, server="s0")
-    taker(servers).take(backend, found)
+    taker(servers).apply(backend, found)
     assert backend.usable(clocks.now())
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -437,8 +437,8 @@
     def test_content_in_two_dead_servers_is_barred_for_a_while(self):
         known = suspects.Suspects()
         for name, when in (("i", 1.0), ("j", 2.0)):
-            known.broke("c", name, when)
-            assert known.died(name, when + 0.5) == ["c"]
+            known.record_break("c", name, when)
+            assert known.record_death(name, when + 0.5) == ["c"]
         assert known.is_quarantined("c", 3.0)
         assert not known.is_quarantined("d", 3.0)
         assert not known.is_quarantined("c", 3.0 + suspects.MEMORY_SECONDS)
@@ -447,15 +447,15 @@
         """Lost answers must not bar an innocent client's requests."""
         known = suspects.Suspects()
         for number in range(9):
-            known.broke("c", f"i{number}", 1.0)
+            known.record_break("c", f"i{number}", 1.0)
         assert not known.is_quarantined("c", 2.0)
-        assert not known.died("i1", 1.0 + suspects.DEATH_SECONDS + 0.1)
+        assert not known.record_death("i1", 1.0 + suspects.DEATH_SECONDS + 0.1)
 
     def test_a_whole_answer_proves_innocence(self):
         known = suspects.Suspects()
-        known.crashed("c", "i", 1.0)
-        known.served("c")
-        known.crashed("c", "j", 2.0)
+        known.record_crash("c", "i", 1.0)
+        known.clear("c")
+        known.record_crash("c", "j", 2.0)
         assert not known.is_quarantined("c", 3.0)
 
 
@@ -466,7 +466,7 @@
         seen = []
         held = object_caches.ObjectCache(
             kind="k",
-            take=lambda changed, removed: seen.append(
+            on_change=lambda changed, removed: seen.append(
                 ([each.name for each in changed], removed)
             ),
         )
@@ -896,13 +896,13 @@
         for half of the time until no request may begin on older weights.
         """
         taken = self.takers()
-        taken.weights([], [])
-        taken.weights([self.named(2)], [])
+        taken.apply_weights([], [])
+        taken.apply_weights([self.named(2)], [])
         assert self.age(taken) < 1.0
 
     def test_a_version_read_at_the_start_may_be_old(self):
         taken = self.takers()
         taken.view.born = clocks.now()
-        taken.weights([self.named(2)], [])
+        taken.apply_weights([self.named(2)], [])
         bound = taken.view.bounds.weights_seconds
-        assert self.age(taken) >= bound - view_updaters.START_SECONDS
+        assert self.age(taken) >= bound - view_updaters.STARTUP_SECONDS
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -237,23 +237,27 @@
     """
     servers = watchers.Watcher(
         mirror=object_caches.ObjectCache(
-            kind="servers", take=lambda changed, gone: None
+            kind="servers", on_change=lambda changed, gone: None
         ),
         store=None,
         lines=log_lines.Lines(counters=counters.Counters()),
         bound_seconds=lambda: DRAIN_SECONDS,
         answers=hedged_calls.AnswerSignal(),
-        leads=False,
+        polls_in_outage=False,
     )
-    servers.mirror.freshen(clocks.now() - away)
-    servers._lost(registrations.Unavailable(reason="cut", maybe_done=False))
-    servers._found()
+    servers.mirror.advance_known_at(clocks.now() - away)
+    servers._record_failure(
+        registrations.Unavailable(reason="cut", maybe_done=False)
+    )
+    servers._record_answer()
     assert (servers.lapse_ends() > clocks.now()) is lapsed
     # A further call that is lost soon after takes nothing back.
-    servers.mirror.freshen(clocks.now())
-    servers._lost(registrations.Unavailable(reason="cut", maybe_done=False))
+    servers.mirror.advance_known_at(clocks.now())
+    servers._record_failure(
+        registrations.Unavailable(reason="cut", maybe_done=False)
+    )
     assert (servers.lapse_ends() > clocks.now()) is lapsed
-    servers._found()
+    servers._record_answer()
     assert (servers.lapse_ends() > clocks.now()) is lapsed
 
 
@@ -280,8 +284,8 @@
             for each in world.routers
         ]
         oldest = max(oldest, *ages)
-    assert oldest < watchers.LOOK_SHARES[-1] * DRAIN_SECONDS + 0.3
-    early = watchers.LOOK_SHARES[0] * DRAIN_SECONDS
+    assert oldest < watchers.POLL_SHARES[-1] * DRAIN_SECONDS + 0.3
+    early = watchers.POLL_SHARES[0] * DRAIN_SECONDS
     assert world.store.counts["GET servers"] - before <= 4.0 / early + 2
 
 
@@ -319,7 +323,7 @@
     for each in second.watchers:
         each.close()
         each.reached = False
-    first.kinds["servers"].back_at = clocks.now()
+    first.kinds["servers"].recovered_at = clocks.now()
     world.store.remove("servers", "p0")
     mirror = second.kinds["servers"].mirror
     await world.until(lambda: "p0" in first.updater.lapsed)
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -41,14 +41,14 @@
         self.takers = view_updaters.ViewUpdater(
             view=self.view,
             lines=self.lines,
-            restarted=self.restarted.append,
-            died=self.died.append,
+            on_restart=self.restarted.append,
+            on_death=self.died.append,
         )
         self.revision = 0
 
     def take(self, name="i", **fields):
         self.revision += 1
-        self.takers.servers([stored(name, self.revision, **fields)], [])
+        self.takers.apply_servers([stored(name, self.revision, **fields)], [])
         return self.view.servers.by_server.get(name)
 
 
@@ -111,8 +111,8 @@
     suspects = taken.view.suspects
     first = taken.take().registration.incarnation
     second = taken.take(born=2000).registration.incarnation
-    assert suspects.crashed("content", first, 1.0)
-    assert suspects.crashed("content", second, 2.0)
+    assert suspects.record_crash("content", first, 1.0)
+    assert suspects.record_crash("content", second, 2.0)
     assert suspects.is_quarantined("content", 3.0)
 
 
@@ -175,7 +175,7 @@
     """
     taken = Taken()
     odd = registrations.Stored(name="odd", revision=1, value=spec)
-    taken.takers.servers([odd, stored("good", 2)], [])
+    taken.takers.apply_servers([odd, stored("good", 2)], [])
     known = taken.view.servers.by_server
     assert "good" in known
     if "odd" in known:
--- a/pimentoledge/tests/test_router_logs.py
+++ b/pimentoledge/tests/test_router_logs.py
@@ -115,7 +115,7 @@
         world.tell(world.servers["p0"], leaving=True)
         known = router.view.servers.by_incarnation["p0"]
         await world.until(lambda: known.registration.leaving)
-        await asyncio.sleep(watchers.GATHER_SECONDS + 0.05)
+        await asyncio.sleep(watchers.BATCH_SECONDS + 0.05)
     calls = [e for e in lines["store_watched"] if e["kind"] == "servers"]
     call = calls[-1]
     assert call["since"] == router.kinds["servers"].mirror.revision
--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -66,7 +66,7 @@
     """Returns servers and the one of them that has said that it leaves."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
-    taker(servers).take(backend, answer(leaving=True))
+    taker(servers).apply(backend, answer(leaving=True))
     return servers, backend
 
 
@@ -110,7 +110,7 @@
     [router] = world.routers
     known = router.view.servers.by_incarnation
     asked = await world.ask_while_opening("p0", "p1")
-    router.notices.take(known["p0"], answer(leaving=True))
+    router.notices.apply(known["p0"], answer(leaving=True))
     assert (await asked).status == 200
     assert not world.servers["p0"].calls
 
@@ -121,8 +121,8 @@
     runner = world.servers["r0"]
     known = router.view.servers.by_incarnation["r0"]
     runner.leaving = True
-    router.rechecks.doubt(known)
-    await world.until(lambda: not router.rechecks.asking)
+    router.rechecks.recheck(known)
+    await world.until(lambda: not router.rechecks.pending)
     assert known.is_leaving()
 
 
@@ -132,8 +132,8 @@
     [router] = world.routers
     known = router.view.servers.by_incarnation["r0"]
     world.servers["r0"].reports_leaving = True
-    router.rechecks.doubt(known)
-    await world.until(lambda: not router.rechecks.asking)
+    router.rechecks.recheck(known)
+    await world.until(lambda: not router.rechecks.pending)
     assert known.is_leaving()
 
 
@@ -167,7 +167,7 @@
     before = servers.put(REGISTRATION)
     servers.remove("s0")
     present = servers.put(REGISTRATION)
-    taker(servers).take(before, answer(leaving=True))
+    taker(servers).apply(before, answer(leaving=True))
     assert not present.usable(1.0)
 
 
@@ -181,7 +181,7 @@
     servers = backends.Backends()
     former = servers.put(REGISTRATION)
     present = servers.put(attrs.evolve(REGISTRATION, born=200))
-    taker(servers).take(former, answer(leaving=True))
+    taker(servers).apply(former, answer(leaving=True))
     assert present.usable(1.0)
 
 
@@ -190,10 +190,10 @@
     asked = servers.put(REGISTRATION)
     other = servers.put(attrs.evolve(REGISTRATION, server="s1"))
     found = answer(status=421, not_run=True, leaving=True)
-    taker(servers).take(asked, found)
+    taker(servers).apply(asked, found)
     assert not asked.is_leaving()
     assert not other.is_leaving()
-    taker(servers).take(asked, attrs.evolve(found, server="s1"))
+    taker(servers).apply(asked, attrs.evolve(found, server="s1"))
     assert not asked.notice.leaving
     assert other.is_leaving()
 
@@ -203,6 +203,6 @@
     view.want(MODEL, 2, 0.0)
     leaves = view.servers.put(REGISTRATION)
     stays = view.servers.put(attrs.evolve(REGISTRATION, server="s1"))
-    taker(view.servers).take(leaves, answer(leaving=True))
+    taker(view.servers).apply(leaves, answer(leaving=True))
     rollout = rollouts.Rollout(view=view)
     assert rollout.behind(MODEL) == [stays]
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -369,7 +369,7 @@
     [router] = world.routers
     world.store.objects.down = True
     await world.until(lambda: not router.kinds["servers"].reached)
-    await asyncio.sleep(watchers.LAPSE_AFTER_SECONDS)
+    await asyncio.sleep(watchers.MIN_LAPSE_OUTAGE_SECONDS)
     world.store.objects.down = False
     for name in ("p0", "p1"):
         world.store.remove("servers", name)
@@ -472,7 +472,7 @@
     """
     [router] = world.routers
     servers = router.kinds["servers"]
-    servers.back_at = clocks.now() - 1.4
+    servers.recovered_at = clocks.now() - 1.4
     world.store.remove("servers", "p0")
     known = router.view.servers.by_incarnation
     begun = clocks.now()
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -290,7 +290,7 @@
 
     def mirror(self):
         found = object_caches.ObjectCache(
-            kind="servers", take=lambda changed, gone: None
+            kind="servers", on_change=lambda changed, gone: None
         )
         found.apply(
             registrations.Listing(objects=[self.stored("a", 3)], revision=5)
@@ -457,7 +457,7 @@
     ]
     assert far
     for incarnation in ("p0", "p1"):
-        first.view.suspects.broke("content", incarnation, clocks.now())
+        first.view.suspects.record_break("content", incarnation, clocks.now())
         first.peers.server_died(incarnation)
     await world.until(
         lambda: all(
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -51,11 +51,11 @@
     taking.lines.write = lambda message, **fields: written.append(
         (message, fields)
     )
-    taking.take(backend, limited(2.0), clocks.now())
-    taking.take(backend, limited(2.0), clocks.now())
-    taking.take(backend, limited(1.0), clocks.now())
-    taking.take(backend, answer(limit_text="many"), clocks.now())
-    taking.take(backend, answer(), clocks.now())
+    taking.apply(backend, limited(2.0), clocks.now())
+    taking.apply(backend, limited(2.0), clocks.now())
+    taking.apply(backend, limited(1.0), clocks.now())
+    taking.apply(backend, answer(limit_text="many"), clocks.now())
+    taking.apply(backend, answer(), clocks.now())
     assert [message for message, _ in written] == [
         "server_limit",
         "server_limit",
@@ -68,9 +68,9 @@
 
 def test_a_limit_ends_with_an_answer_that_names_none():
     taking, backend = taker()
-    taking.take(backend, limited(), clocks.now())
+    taking.apply(backend, limited(), clocks.now())
     assert taking.limits.get(SERVER) == 1.0
-    taking.take(backend, answer(), clocks.now())
+    taking.apply(backend, answer(), clocks.now())
     assert taking.limits.get(SERVER) is None
 
 
@@ -83,39 +83,39 @@
 )
 def test_a_limit_is_not_ended_by(other):
     taking, backend = taker()
-    taking.take(backend, limited(), clocks.now())
-    taking.take(backend, other, clocks.now())
+    taking.apply(backend, limited(), clocks.now())
+    taking.apply(backend, other, clocks.now())
     assert taking.limits.get(SERVER) == 1.0
 
 
 def test_a_report_without_a_limit_ends_none_and_one_with_it_counts():
     taking, _ = taker()
-    taking.take_reply(REGISTRATION, limited(2.0))
-    taking.take_reply(REGISTRATION, answer())
+    taking.apply_reply(REGISTRATION, limited(2.0))
+    taking.apply_reply(REGISTRATION, answer())
     assert taking.limits.get(SERVER) == 2.0
 
 
 def test_an_answer_that_was_overtaken_only_lowers_a_limit():
     taking, backend = taker()
     before = clocks.now()
-    taking.take(backend, limited(2.0), before)
-    taking.take(backend, answer(), before)
-    taking.take(backend, limited(3.0), before)
+    taking.apply(backend, limited(2.0), before)
+    taking.apply(backend, answer(), before)
+    taking.apply(backend, limited(3.0), before)
     assert taking.limits.get(SERVER) == 2.0
-    taking.take(backend, limited(1.0), before)
+    taking.apply(backend, limited(1.0), before)
     assert taking.limits.get(SERVER) == 1.0
 
 
 def test_a_new_life_has_no_limit():
     taking, backend = taker()
-    taking.take(backend, limited(), clocks.now())
+    taking.apply(backend, limited(), clocks.now())
     later = attrs.evolve(REGISTRATION, born=200)
     assert taking.limits.get(later.incarnation) is None
 
 
 def test_a_limit_of_zero_lets_an_answer_tell_of_its_end():
     taking, backend = taker()
-    taking.take(backend, limited(0.0), clocks.now())
+    taking.apply(backend, limited(0.0), clocks.now())
     assert taking.limits.get(SERVER) == server_limits.LEAST_PER_SECOND
 
 
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -113,7 +113,7 @@
 def name_limit(router, server, per_second):
     """Lets a router hear of a server's limit by an answer of it."""
     backend = router.view.servers.by_incarnation[server]
-    router.notices.take(backend, limited(per_second), clocks.now())
+    router.notices.apply(backend, limited(per_second), clocks.now())
     return backend
 
 
@@ -234,8 +234,8 @@
     backend = name_limit(router, "r0", 1.0)
     backend.limited_until = clocks.now() + 60.0
     reached = len(world.servers["r0"].reached)
-    router.rechecks.doubt(backend)
-    await world.until(lambda: not router.rechecks.asking)
+    router.rechecks.recheck(backend)
+    await world.until(lambda: not router.rechecks.pending)
     assert len(world.servers["r0"].reached) == reached
 
 
@@ -282,7 +282,7 @@
     now = clocks.now()
     router.pauses.ticked = now - 5.0
     backend = router.view.servers.by_incarnation["p0"]
-    router.notices.take(backend, limited(2.0), now + 1.0)
+    router.notices.apply(backend, limited(2.0), now + 1.0)
     assert limits.advertised["p0"].received_at == now - 5.0
     meanwhile = server_limits.AdvertisedLimit(
         per_second=1.0, received_at=now - 3.0
--- a/pimentoledge/tests/test_router_store.py
+++ b/pimentoledge/tests/test_router_store.py
@@ -47,13 +47,13 @@
     found = {
         kind: watchers.Watcher(
             mirror=object_caches.ObjectCache(
-                kind=kind, take=lambda new, gone: None
+                kind=kind, on_change=lambda new, gone: None
             ),
             store=store,
             lines=lines,
             bound_seconds=lambda: 2.0,
             answers=answers,
-            leads=kind == "configuration",
+            polls_in_outage=kind == "configuration",
         )
         for kind in KINDS
     }
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -155,7 +155,7 @@
     def list_second(self, view):
         value = {"model": MODEL, "version": 2}
         stored = registrations.Stored(name=MODEL, revision=2, value=value)
-        self.taken(view).weights([stored], [])
+        self.taken(view).apply_weights([stored], [])
 
     def test_weights_of_unknown_age_are_over_soon_after_the_start(self):
         """Half of a long bound was added to all that had passed before."""
@@ -489,7 +489,7 @@
         )
         for version in (1, 2)
     ]
-    taken.servers(entries, [])
+    taken.apply_servers(entries, [])
     late = clocks.now() + view.bounds.weights_seconds
     assert not selections.weights_allow(
         view, MODEL, view.servers.by_server["r1"], late
@@ -575,7 +575,7 @@
 
         async def play():
             mirror = object_caches.ObjectCache(
-                kind="versions", take=lambda changed, removed: None
+                kind="versions", on_change=lambda changed, removed: None
             )
             mirror.revision = 5
             mirror.known_at = clocks.now() - known_age
@@ -587,11 +587,11 @@
                 lines=log_lines.Lines(counters=counters.Counters()),
                 bound_seconds=lambda: 8.0,
                 answers=hedged_calls.AnswerSignal(),
-                leads=False,
+                polls_in_outage=False,
             )
             watcher._relist = False
             await watcher._step()
-            return mirror.unseen_seconds
+            return mirror.change_age_seconds
 
         return asyncio.run(play())
 
