--- a/pimentoledge/routing/cluster_views.py
+++ b/pimentoledge/routing/cluster_views.py
@@ -1,4 +1,4 @@
-"""All that one router process believes, and how old it is."""
+"""A router process's view of the cluster, with the age of its parts."""
 
 import attrs
 
@@ -17,24 +17,27 @@
 from pimentoledge.routing import wanted_weights
 from pimentoledge.routing.quotas import ledgers
 
-# A request must begin well before its server's weights count as too old: it
-# may wait there for its turn.
+# Requests are sent to a server with superseded weights only until this long
+# before those weights expire, because a request may queue there before it
+# begins.
 WEIGHTS_MARGIN_SECONDS = 1.5
 
 
 @attrs.frozen(kw_only=True)
 class RouterBounds:
-    """Figures that the deployment sets.
+    """Bounds set by the deployment.
 
     Attributes:
-        budget_ratio: repeats for each request of a service.
-        budget_slack: repeats besides, in a window, over all entries.
-        budget_seconds: the window.
-        weights_seconds: until when a request may begin on older weights.
-        lease_seconds: no two holders' orders may be closer than this.
-        grace_seconds: from SIGTERM to SIGKILL.
-        drain_seconds: for how long a server that leaves may get requests.
-        configuration_seconds: in which a new configuration is to be in force.
+        budget_ratio: retries allowed for each request of a service.
+        budget_slack: further retries allowed in a window, over all routers.
+        budget_seconds: length of the window of the retry budget.
+        weights_seconds: how long after weights are superseded requests may
+            still begin on them.
+        lease_seconds: least time between the orders of two lease holders.
+        grace_seconds: time from SIGTERM to SIGKILL.
+        drain_seconds: how long a server that is leaving may get requests.
+        configuration_seconds: time within which a new configuration must be
+            in force.
         limits: by how much organisations' limits may be exceeded.
     """
 
@@ -51,34 +54,36 @@
 
 @attrs.define(kw_only=True)
 class ClusterView:
-    """What one process believes; only its loop touches it.
+    """One process's view of the cluster; only its event loop accesses it.
 
     Attributes:
-        name: this process.
-        data_centre: where it runs.
-        born: when it started.
-        bounds: figures that the deployment sets.
+        name: name of this process.
+        data_centre: data centre in which it runs.
+        born: when it started, in seconds of clocks.now.
+        bounds: bounds set by the deployment.
         configuration: newest configuration, or None before the first.
-        configured: when that came into force here.
-        caches_by_kind: the copies of the store's objects that all this comes
-            from, by name.
+        configured: when that came into force here, in seconds of clocks.now.
+        caches_by_kind: copies of the store's objects from which this view is
+            built, by kind.
         servers: the backend servers.
-        server_limits: the limits that servers have named in their answers.
+        server_limits: rate limits that servers announced in their responses.
         wanted: wanted weights by model.
-        caches_down: addresses of KV cache servers that don't answer.
-        members: how many entries there are, this one included.
-        leaving: whether it was told to end.
-        refusing: whether it begins no request any more.
-        repeats: budget of repeats by service.
-        first_events: how long what is to be read keeps them, by model.
-        unshared: tokens that a request doesn't share, by model.
-        saved: which shared parts the KV cache servers keep.
-        links: how busy those servers' links are.
-        prompts_sent: what the other routers are yet to be told of prompts.
-        reaches_all: whether every router tells this one what it has at servers;
-            else those of its data centre do.
-        elsewhere: what runners of other data centres have, in the mean.
-        suspects: content that was in servers that crashed.
+        caches_down: addresses of KV cache servers that don't respond.
+        members: number of routers, this one included.
+        leaving: whether this process is shutting down.
+        refusing: whether it has stopped starting requests.
+        repeats: retry budgets by service.
+        first_events: estimates of the time to the first event, from the tokens
+            to be read, by model.
+        unshared: mean tokens of a request outside of shared prompt parts, by
+            model.
+        saved: shared prompt parts held by the KV cache servers.
+        links: load of the links of the KV cache servers.
+        prompts_sent: prompt reports not yet sent to the other routers.
+        reaches_all: whether all routers send this one their load reports; if
+            not, only those of its data centre do.
+        elsewhere: mean load of runners in other data centres.
+        suspects: request content that was on servers when they crashed.
     """
 
     name: str
@@ -114,12 +119,12 @@
     links: cache_sources.Links = attrs.field(factory=cache_sources.Links)
 
     def known_at(self, name: str) -> float:
-        """Returns as of when a kind of the store's objects is known, or 0."""
-        found = self.caches_by_kind.get(name)
-        return found.known_at if found is not None else 0.0
+        """Returns up to when changes of a kind of objects are known, or 0."""
+        cache = self.caches_by_kind.get(name)
+        return cache.known_at if cache is not None else 0.0
 
     def budget(self, service: str) -> retry_budgets.Budget:
-        """Returns the budget of a service."""
+        """Returns the retry budget of a service; creates it if needed."""
         found = self.repeats.get(service)
         if found is None:
             found = retry_budgets.Budget(
@@ -132,17 +137,17 @@
         return found
 
     def first_event(self, model: str) -> first_events_module.FirstEventFit:
-        """Returns what is known of a model's first events."""
+        """Returns the estimate of a model's time to the first event."""
         return self.first_events.setdefault(
             model, first_events_module.FirstEventFit()
         )
 
     def mean_unshared(self, model: str) -> memory_estimates.MeanTokens:
-        """Returns what a model's requests don't share, in the mean."""
+        """Returns the mean of the unshared tokens of a model's requests."""
         return self.unshared.setdefault(model, memory_estimates.MeanTokens())
 
     def update_budgets(self) -> None:
-        """Brings the budgets to changed bounds; what was spent stays."""
+        """Applies changed bounds to the retry budgets; keeps their spending."""
         for budget in self.repeats.values():
             budget.ratio = self.bounds.budget_ratio
             budget.slack = self.bounds.budget_slack
@@ -156,12 +161,13 @@
         *,
         source: wanted_weights.Source = wanted_weights.Source.HEARD,
     ) -> bool:
-        """Takes a named version; returns whether it is news.
+        """Records the wanted version of a model; returns whether that is new.
 
         Args:
-            model: which model.
-            version: the version that it is to have.
-            since: when it was named, as far as known.
+            model: the model.
+            version: the wanted version of its weights.
+            since: when it was named, in seconds of clocks.now, as far as
+                known.
             source: where that time comes from.
         """
         named = wanted_weights.Named(
@@ -176,9 +182,9 @@
     def begins_until(self, model: str, version: int | None) -> float | None:
         """Returns until when requests may begin on a version of the weights.
 
-        None is for any time; the time is in seconds of clocks.now. Each
-        version is bound by the first that was named after it: a runner may
-        have missed several.
+        The time is in seconds of clocks.now; None means without limit. The
+        limit counts from the first version that was named after this one,
+        since a runner may have missed several versions.
         """
         wanted = self.wanted.get(model)
         if wanted is None or version is None:
@@ -189,22 +195,22 @@
         return superseded + self.bounds.weights_seconds
 
     def may_begin(self, model: str, version: int | None, now: float) -> bool:
-        """Returns whether requests may be sent to begin on a version."""
+        """Returns whether requests may be sent to servers with a version."""
         until = self.begins_until(model, version)
         return until is None or now < until - WEIGHTS_MARGIN_SECONDS
 
     def has_quotas(self) -> bool:
-        """Returns whether some organisation has a limit."""
+        """Returns whether any organisation has a limit."""
         return self.configuration is not None and self.configuration.has_quotas
 
     def clock(self, now: float) -> tuple[int, int]:
-        """Returns when this process started and the time, in ms."""
+        """Returns the start time of this process and the time, in ms."""
         return int(self.born * 1000), int(now * 1000)
 
     def shares_limits(self) -> bool:
-        """Returns whether some limit is held over all routers together."""
+        """Returns whether any limit is shared by all routers."""
         return self.has_quotas() or self.server_limits.has_any()
 
     def ready(self) -> bool:
-        """Returns whether clients should be sent here."""
+        """Returns whether this router is ready to serve clients."""
         return self.configuration is not None and not self.leaving
--- a/pimentoledge/routing/configurations.py
+++ b/pimentoledge/routing/configurations.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-# For a route that states none; the clients' own deadlines are shorter.
+# For routes without a timeout of their own; clients' deadlines are shorter.
 USUAL_TIMEOUT_SECONDS = 60.0
 
 
 class Repeatability(enum.StrEnum):
-    """What may be repeated."""
+    """Whether requests of a route may be retried."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -26,22 +26,22 @@
 
 @attrs.frozen(kw_only=True)
 class Route:
-    """Where requests of a host and path go, and under which terms.
+    """Services, timeouts and retry rules for requests of a host and path.
 
     Attributes:
-        name: its name.
-        host: the host, in lower case.
-        path_prefix: begins the paths; ends with a slash.
-        kind: what may be repeated.
-        timeout_seconds: longest time a client is kept waiting.
-        objective_seconds: time within which an answer has its full worth.
-        urgency: 0 is first.
-        shares: services, with weights.
-        most_servers: on how many servers one attempt of a client may run.
-        open: whether no key is needed.
-        by_prefix: whether requests share prompts.
-        resumable: whether a stream may go on at another server.
-        gap_seconds: longest pause between events in time, or None.
+        name: name of the route.
+        host: host name, in lower case.
+        path_prefix: prefix of the paths; ends with a slash.
+        kind: whether requests may be retried.
+        timeout_seconds: longest time that a client waits for a response.
+        objective_seconds: target latency of a response.
+        urgency: priority; 0 is the highest.
+        shares: services, with the weights of the traffic split.
+        most_servers: most servers on which one client request may run.
+        open: whether requests need no API key.
+        by_prefix: whether requests have shared prompt prefixes.
+        resumable: whether a stream may resume on another server.
+        gap_seconds: target for the longest gap between events, or None.
     """
 
     name: str
@@ -64,7 +64,7 @@
 
 
 class Unit(enum.StrEnum):
-    """What an organisation's limit counts."""
+    """Unit of an organisation's rate limit."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -72,13 +72,13 @@
 
 @attrs.frozen(kw_only=True)
 class Quota:
-    """An organisation's limit over all routers.
+    """An organisation's rate limit over all routers.
 
     Attributes:
-        unit: what it counts.
-        per_second: its rate.
-        burst: what may come at once.
-        plain_tokens: what a request counts that tells no tokens.
+        unit: unit of the rate and the burst.
+        per_second: rate, in units a second.
+        burst: most units that may be used at once.
+        plain_tokens: cost of a request that states no number of tokens.
     """
 
     unit: Unit
@@ -87,7 +87,7 @@
     plain_tokens: int = 1
 
     def cost(self, tokens: int) -> float:
-        """Returns what a request counts, by the tokens that it tells, or 0."""
+        """Returns a request's cost; tokens is 0 where it states none."""
         match self.unit:
             case Unit.TOKENS:
                 return tokens or self.plain_tokens
@@ -97,14 +97,14 @@
 
 @attrs.frozen(kw_only=True)
 class Organisation:
-    """Whose keys they are, and its contract's terms.
+    """An organisation, its API keys and its contract's terms.
 
     Attributes:
-        name: its name.
+        name: name of the organisation.
         keys: its API keys.
-        urgency: goes before the route's, or None.
-        isolated: whether it shares no cached part with others.
-        quota: its limit, or None.
+        urgency: priority that overrides the route's, or None.
+        isolated: whether it shares no cached prompt parts with others.
+        quota: its rate limit, or None.
     """
 
     name: str
@@ -119,16 +119,17 @@
     """A service of backend servers, or a KV cache server.
 
     Attributes:
-        name: its name.
-        max_connections: a server's connections from all callers.
-        models: its models, where it runs any.
+        name: name of the service.
+        max_connections: most connections to one server, from all clients.
+        models: models that it runs, if any.
         slots: requests that an engine runs at once, or None.
-        cache_tokens: an engine's or KV cache server's memory, or None.
+        cache_tokens: memory of an engine or a KV cache server, in tokens, or
+            None.
         cache_address: address of a KV cache server, or None.
-        data_centre: where a KV cache server stands, or None.
-        token_bytes: cached memory of a token, or None.
-        link_bytes: bytes in a second that an engine's or KV cache server's
-            link carries, or None.
+        data_centre: data centre of a KV cache server, or None.
+        token_bytes: cache memory used by a token, in bytes, or None.
+        link_bytes: bandwidth of an engine's or a KV cache server's link, in
+            bytes a second, or None.
     """
 
     name: str
@@ -144,12 +145,12 @@
 
 @attrs.frozen(kw_only=True)
 class ClientLimits:
-    """Bounds on what clients send.
+    """Bounds on client requests and connections.
 
     Attributes:
-        header_bytes: largest head.
-        body_bytes: largest body.
-        header_seconds: longest time to send a head.
+        header_bytes: largest request head.
+        body_bytes: largest request body.
+        header_seconds: longest time to send a request head.
         idle_seconds: longest idle time of a connection.
     """
 
@@ -161,16 +162,16 @@
 
 @attrs.define(kw_only=True)
 class Configuration:
-    """One version of everything that the operator declares.
+    """One version of the configuration that operators declare.
 
     Attributes:
-        version: grows with each change.
-        routes: the routes of a host, longest prefix first.
-        organisations: by name.
-        services: by name.
-        limits: bounds on what clients send.
-        by_key: the organisation of each key; None where there are no keys.
-        has_quotas: whether some organisation has a limit.
+        version: increases with each change.
+        routes: routes by host, longest prefix first.
+        organisations: organisations by name.
+        services: services by name.
+        limits: bounds on client requests and connections.
+        by_key: organisations by API key; None if no keys are declared.
+        has_quotas: whether any organisation has a limit.
     """
 
     version: int
@@ -209,8 +210,8 @@
     by_host: dict[str, list[Route]] = {}
     for route in routes:
         by_host.setdefault(route.host, []).append(route)
-    for found in by_host.values():
-        found.sort(key=lambda route: -len(route.path_prefix))
+    for host_routes in by_host.values():
+        host_routes.sort(key=lambda route: -len(route.path_prefix))
     by_key = None
     if organisations is not None:
         by_key = {key: each for each in organisations for key in each.keys}
--- a/pimentoledge/routing/object_caches.py
+++ b/pimentoledge/routing/object_caches.py
@@ -1,4 +1,4 @@
-"""Copies of the store's objects, from the store or from another router."""
+"""Local copies of the store's objects, read from the store or a peer."""
 
 from collections.abc import Callable
 
@@ -9,20 +9,22 @@
 
 @attrs.define(kw_only=True)
 class ObjectCache:
-    """All objects of one kind, as of a revision.
+    """A copy of all objects of one kind, as of a revision.
 
     Attributes:
-        kind: which kind.
-        on_change: called with (changed, names of the removed).
-        objects: by name.
-        revision: up to which they are known, or None before the first.
-        changed_at: revision of the newest change that is known.
-        known_at: as of when all changes are known, in seconds of clocks.now;
-            0 before the first.
-        change_age_seconds: how long ago at most the newest changes came about
-            that nothing had told of; 0 where a wait brought them.
-        silent_at: when the store was last found to answer nothing, in seconds
-            of clocks.now, or 0.
+        kind: kind of the objects.
+        on_change: called with the changed objects and the names of the removed
+            ones.
+        objects: objects by name.
+        revision: revision up to which changes are known, or None before the
+            first listing.
+        changed_at: revision of the newest known change.
+        known_at: time up to which all changes are known, in seconds of
+            clocks.now; 0 before the first listing.
+        change_age_seconds: greatest possible age of the newest changes when
+            they were read; 0 if a watch returned them as they were made.
+        silent_at: when the store was last found not to respond, in seconds of
+            clocks.now, or 0.
     """
 
     kind: str
@@ -35,7 +37,7 @@
     silent_at: float = 0.0
 
     def advance_known_at(self, when: float) -> None:
-        """Takes that all changes up to a time are known."""
+        """Records that all changes up to a time are known."""
         self.known_at = max(self.known_at, when)
 
     def apply(
@@ -43,14 +45,14 @@
         found: registrations.Listing | registrations.Changes,
         change_age_seconds: float = 0.0,
     ) -> bool:
-        """Takes a listing or changes, unless newer ones were taken.
+        """Applies a listing or changes, unless newer ones were applied.
 
         Args:
             found: the listing or the changes.
-            change_age_seconds: how long ago at most they came about.
+            change_age_seconds: greatest possible age of the changes.
 
         Returns:
-            Whether that changed anything.
+            Whether any object changed.
         """
         if self.revision is not None and found.revision < self.revision:
             return False
@@ -62,7 +64,8 @@
                 changed = [each for each in objects if self._is_newer(each)]
                 newest = objects
                 if removed:
-                    # When they went is not told; it was by then.
+                    # A listing doesn't show the revision of a removal; it is at
+                    # most that of the listing.
                     self.changed_at = max(self.changed_at, found.revision)
             case registrations.Changes():
                 changed = [
@@ -86,20 +89,20 @@
         return bool(changed or removed)
 
     def _is_newer(self, each: registrations.Stored) -> bool:
-        held = self.objects.get(each.name)
-        return held is None or held.revision < each.revision
+        cached = self.objects.get(each.name)
+        return cached is None or cached.revision < each.revision
 
     def _is_removal_current(self, gone: registrations.Stored) -> bool:
-        """Returns whether what is gone is what is held.
+        """Returns whether a removal applies to the cached object.
 
-        Changes come from several tellers: one that came back meanwhile, with
-        a later revision, must not be taken away by the news of its going.
+        Changes arrive from several sources. The late report of a removal must
+        not remove an object that was created again at a later revision.
         """
-        held = self.objects.get(gone.name)
-        return held is not None and held.revision <= gone.revision
+        cached = self.objects.get(gone.name)
+        return cached is not None and cached.revision <= gone.revision
 
     def listing(self) -> registrations.Listing:
-        """Returns all objects as of the mirror's revision."""
+        """Returns all objects as of the cached revision."""
         return registrations.Listing(
             objects=list(self.objects.values()), revision=self.revision
         )
--- a/pimentoledge/routing/registrations.py
+++ b/pimentoledge/routing/registrations.py
@@ -1,22 +1,23 @@
-"""What the platform's store says: servers, named weights, objects."""
+"""Objects of the platform's store: registrations, weights, changes."""
 
 import attrs
 
 
 @attrs.frozen(kw_only=True)
 class Registration:
-    """What a backend server says of itself.
+    """A backend server's own entry in the store.
 
     Attributes:
-        server: its id. It may start again under the same one.
-        service: which service it serves.
+        server: id of the server; a restarted server may keep its id.
+        service: the service to which it belongs.
         address: IP:PORT.
-        data_centre: where it stands.
+        data_centre: data centre in which it runs.
         slots: requests that it runs at once.
-        leaving: whether it asks for no new work.
-        weights: version of each of its models.
-        born: when its present life began, in whole ms since 1970 by its own
-            clock; None where it doesn't tell, and each start has a new id.
+        leaving: whether it is draining and takes no new requests.
+        weights: loaded version of each of its models.
+        born: when this incarnation started, in whole ms since 1970 by the
+            server's clock; None if not reported, where each start has a new
+            id.
     """
 
     server: str
@@ -30,18 +31,18 @@
 
     @property
     def incarnation(self) -> str:
-        """Its present life, by which all that is believed of it is kept.
+        """Identifies this run of the server; keys all state kept about it.
 
-        A server that starts again under the id that it had holds and knows
-        nothing of before. Kept by its id alone, its former life's cached
-        parts, load, failures and count of orders would count as its own.
+        A server that restarts under the same id has lost its state. If state
+        were keyed by the id alone, the cached parts, load, failures and order
+        count of the previous incarnation would be attributed to the new one.
         """
         if self.born is None:
             return self.server
         return f"{self.server}@{self.born}"
 
     def is_older_than(self, other: "Registration") -> bool:
-        """Returns whether another life of the same server came later."""
+        """Returns whether another incarnation of the server started later."""
         if self.born is None or other.born is None:
             return False
         return self.born < other.born
@@ -49,7 +50,7 @@
 
 @attrs.frozen(kw_only=True)
 class NamedWeights:
-    """The version that a model's runners are to have."""
+    """The version of a model's weights that its runners must load."""
 
     model: str
     version: int
@@ -60,10 +61,10 @@
     """An object of the store.
 
     Attributes:
-        name: its name within its kind.
-        revision: of its last change.
-        value: what it holds, as decoded JSON.
-        leaving: whether it is marked to be deleted.
+        name: name, unique within its kind.
+        revision: revision of its last change.
+        value: content, as decoded JSON.
+        leaving: whether it is marked for deletion.
     """
 
     name: str
@@ -77,9 +78,9 @@
     """All objects of a kind at a revision.
 
     Attributes:
-        objects: those that could be read.
-        revision: as of which.
-        unreadable: why others couldn't be.
+        objects: the readable objects.
+        revision: revision of the listing.
+        unreadable: for each unreadable object, why it can't be read.
     """
 
     objects: list[Stored]
@@ -89,13 +90,13 @@
 
 @attrs.define(kw_only=True)
 class Changes:
-    """What changed in a kind up to a revision.
+    """Changes of the objects of a kind up to a revision.
 
     Attributes:
-        changed: objects as they are now.
-        removed: objects that are gone.
-        revision: from which to ask on.
-        unreadable: why others couldn't be read.
+        changed: changed objects, in their newest state.
+        removed: deleted objects.
+        revision: revision from which the next watch continues.
+        unreadable: for each unreadable object, why it can't be read.
     """
 
     changed: list[Stored]
@@ -106,17 +107,17 @@
 
 @attrs.frozen(kw_only=True)
 class HistoryGone:
-    """The changes asked for are no longer kept; list anew."""
+    """The requested changes are no longer kept; a new listing is needed."""
 
 
 @attrs.frozen(kw_only=True)
 class Unavailable:
-    """A call had no answer, or none that says anything.
+    """A call got no response, or an unusable one.
 
     Attributes:
-        reason: what was met.
-        maybe_done: whether a write may have been or may yet be carried out.
-        overdue: whether nothing came in time.
+        reason: the error.
+        maybe_done: whether a write may have been applied, or may yet be.
+        overdue: whether the call timed out.
     """
 
     reason: str
@@ -124,16 +125,16 @@
     overdue: bool = False
 
 
-# What a call for changes may bring.
+# Result of a watch.
 WatchResult = Changes | HistoryGone | Unavailable
 
 
 @attrs.frozen(kw_only=True)
 class Conflict:
-    """A conditional write met another revision.
+    """A conditional write failed: the object has another revision.
 
     Attributes:
-        found: the object as it is, or None if there is none.
+        found: the stored object, or None if it doesn't exist.
     """
 
     found: Stored | None
