--- a/pimentoledge/routing/cache_monitors.py
+++ b/pimentoledge/routing/cache_monitors.py
@@ -1,8 +1,9 @@
-"""Whether KV cache servers live, told by one idle connection to each.
+"""Monitors KV cache servers through one idle connection to each.
 
-A KV cache server stands on no list, and a fetch from a dead one costs a
-request some hundred ms. An idle connection costs nothing, and its end is the
-first sign of the server's death; keep-alive probes find one that went dark.
+KV cache servers have no entries in the store, and a fetch from a dead one
+delays a request by some hundred ms. An idle connection costs nothing, and its
+end is the first sign of the server's death. Keep-alive probes detect a server
+that stops responding without closing the connection.
 """
 
 import asyncio
@@ -15,9 +16,10 @@
 
 logger = logbook.Logger("cache_links")
 
-# Between attempts to reach a server that is down.
+# Delay between attempts to connect to a server that is down.
 RETRY_SECONDS = 0.5
-# After a connection ended: one that is closed at once must not make a loop.
+# Delay after a connection ended: without it, a server that closes connections
+# at once would cause a busy loop.
 RECONNECT_SECONDS = 0.05
 
 
@@ -25,8 +27,9 @@
     """Keeps a connection to each KV cache server of the configuration.
 
     Attributes:
-        view: what the process believes; `caches_down` is kept here.
-        lines: where changes of belief are written.
+        view: the process's view of the cluster; the monitor updates its
+            `caches_down`.
+        lines: log of changes of the view.
         pool: opens the connections.
     """
 
@@ -39,7 +42,7 @@
         self._tasks: dict[str, asyncio.Task] = {}
 
     def tick(self) -> None:
-        """Follows the configuration's KV cache servers."""
+        """Connects to the KV cache servers of the current configuration."""
         configuration = self.view.configuration
         if configuration is None:
             return
--- a/pimentoledge/routing/calls.py
+++ b/pimentoledge/routing/calls.py
@@ -8,18 +8,18 @@
 from pimentoledge.routing import http_messages
 from pimentoledge.routing import server_connections
 
-# How long an idle connection to a peer of calls is kept.
+# How long an idle connection is kept.
 IDLE_SECONDS = 8.0
 
 
 @attrs.frozen(kw_only=True)
 class Reply:
-    """A whole answer.
+    """A complete response.
 
     Attributes:
         status: HTTP status.
         body: decoded JSON, or None.
-        headers: names in lower case, and values, in order.
+        headers: names, in lower case, and values, in order.
     """
 
     status: int
@@ -28,11 +28,11 @@
 
 
 class CallError(Exception):
-    """A call had no whole answer.
+    """A call got no complete response.
 
     Attributes:
         sent: whether the request may have arrived.
-        overdue: whether nothing came in time.
+        overdue: whether the call timed out.
     """
 
     def __init__(self, reason: str, *, sent: bool, overdue: bool = False):
@@ -42,10 +42,10 @@
 
 
 class Caller:
-    """Makes calls over connections of its own.
+    """Makes calls over its own connection pool.
 
     Attributes:
-        pool: its connections.
+        pool: the connection pool.
     """
 
     def __init__(self):
@@ -71,9 +71,9 @@
             address: IP:PORT.
             method: HTTP method.
             target: path and query.
-            body: encoded as JSON unless None.
+            body: sent as JSON unless None.
             headers: further headers.
-            seconds: for the whole call.
+            seconds: timeout of the whole call.
         """
         sent = False
         connection = None
@@ -87,7 +87,7 @@
             raise CallError(str(error), sent=False) from error
         except TimeoutError as error:
             raise CallError(
-                "no answer in time", sent=sent, overdue=True
+                "no response in time", sent=sent, overdue=True
             ) from error
         finally:
             if connection is not None and connection.busy:
@@ -134,4 +134,4 @@
     try:
         return msgspec.json.decode(data)
     except msgspec.MsgspecError as error:
-        raise CallError(f"unreadable answer: {error}", sent=True) from error
+        raise CallError(f"unreadable response: {error}", sent=True) from error
--- a/pimentoledge/routing/clocks.py
+++ b/pimentoledge/routing/clocks.py
@@ -1,12 +1,13 @@
-"""The clock by which leases, deadlines and beliefs age."""
+"""The clock for leases, deadlines and the age of cached state."""
 
 import time
 
 
 def now() -> float:
-    """Returns seconds on a steady clock that counts suspended time.
+    """Returns seconds on a monotonic clock that counts suspended time.
 
-    CLOCK_MONOTONIC stands still while a VM is suspended; a lease measured by
-    it would outlive its term, and orders would be given beside a successor's.
+    CLOCK_MONOTONIC stops while a VM is suspended. A lease measured with it
+    would outlive its term, and its holder would send orders at the same time as
+    its successor.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/pimentoledge/routing/pauses.py
+++ b/pimentoledge/routing/pauses.py
@@ -1,20 +1,20 @@
-"""When this process stood still, and what it read may have waited."""
+"""Detects pauses of this process, in which received data was not read."""
 
 from pimentoledge.routing import clocks
 
-# A tick that comes so late shows that the process did not run.
+# A tick that is later than this shows that the process was paused.
 PAUSE_SECONDS = 0.4
-# What lay in the sockets has been read so long after a pause.
+# Time after a pause by which the data that lay in sockets has been read.
 SETTLE_SECONDS = 1.0
 
 
 class Pauses:
-    """The newest pause of this process, by its ticks.
+    """The newest pause of this process, found by late ticks.
 
     Attributes:
-        ticked: when it ticked last, in seconds of clocks.now.
-        began: since when it may have stood still in the newest pause.
-        ended: when that pause was over.
+        ticked: time of the last tick, in seconds of clocks.now.
+        began: earliest start of the newest pause.
+        ended: when that pause ended.
     """
 
     def __init__(self):
@@ -22,13 +22,13 @@
         self.began = self.ended = -SETTLE_SECONDS
 
     def tick(self, now: float) -> None:
-        """Takes that the process runs."""
+        """Records that the process is running."""
         if now - self.ticked > PAUSE_SECONDS:
             self.began, self.ended = self.ticked, now
         self.ticked = now
 
     def arrived(self, now: float) -> float:
-        """Returns as of when what is read now may have lain in a socket."""
+        """Returns the earliest time at which data read now may have arrived."""
         if now - self.ticked > PAUSE_SECONDS:
             return self.ticked
         return self.began if now - self.ended < SETTLE_SECONDS else now
--- a/pimentoledge/routing/rechecks.py
+++ b/pimentoledge/routing/rechecks.py
@@ -1,4 +1,4 @@
-"""Asks a runner what it has, when an answer showed that beliefs are wrong."""
+"""Requests a runner's report after a response contradicted its known state."""
 
 import asyncio
 
@@ -11,20 +11,21 @@
 from pimentoledge.routing import registrations
 from pimentoledge.routing import server_permits
 
-# No work is sent there while the question is under way.
+# For how long no requests are sent to a runner whose report is requested.
 REPORT_SECONDS = 0.3
-# A runner that loads is asked again by the next request that meets it.
+# For how long no requests are sent to a runner that reports that it is loading.
+# After that the next request that it refuses triggers another recheck.
 LOADING_SECONDS = 0.4
 
 
 class Rechecks:
-    """Questions to runners, at most one at a time for each.
+    """Requests reports from runners, at most one at a time from each.
 
     Attributes:
-        runners: makes the calls.
-        permits: hold the limits that runners have named.
-        lines: where changes of belief are written.
-        pending: servers that are being asked, by incarnation.
+        runners: client for calls to runners.
+        permits: enforce the rate limits that runners announced.
+        lines: log of changes of the view.
+        pending: tasks of open report requests, by incarnation.
     """
 
     def __init__(
@@ -40,16 +41,16 @@
         self.pending: dict[str, asyncio.Task] = {}
 
     def close(self) -> None:
-        """Gives up all questions."""
+        """Cancels all open report requests."""
         for each in self.pending.values():
             each.cancel()
 
     def recheck(self, backend: backends.Backend) -> None:
-        """Leaves a runner alone until it has said which weights it has.
+        """Sends a runner no requests until it has reported its weights.
 
-        The store tells of changed weights late, or not at all where it turns
-        this router away: each request would be refused by the same runner
-        again, and each refusal counts against the budget of repeats.
+        The store reports changed weights late, or not at all if it rejects this
+        router's calls. Until then the same runner would refuse each request
+        again, and each refusal counts against the retry budget.
         """
         incarnation = backend.registration.incarnation
         now = clocks.now()
@@ -65,25 +66,25 @@
     async def _request_report(self, backend: backends.Backend) -> None:
         if not (await self.permits.acquire(backend)).granted:
             return
-        found = await self.runners.report(backend.registration)
-        if isinstance(found, registrations.Unavailable):
+        report = await self.runners.report(backend.registration)
+        if isinstance(report, registrations.Unavailable):
             return
-        if backend.is_other_incarnation(found.born):
+        if backend.is_other_incarnation(report.born):
             return
-        if found.loading:
+        if report.loading:
             backend.loading_until = clocks.now() + LOADING_SECONDS
             return
         before = backend.registration.weights
-        if before == found.weights:
+        if before == report.weights:
             backend.loading_until = 0.0
             return
         backend.registration = attrs.evolve(
-            backend.registration, weights=found.weights
+            backend.registration, weights=report.weights
         )
         backend.loaded()
         self.lines.write(
             "server_reported",
             server=backend.registration.incarnation,
-            weights=found.weights,
+            weights=report.weights,
             before=before,
         )
--- a/pimentoledge/routing/server_notices.py
+++ b/pimentoledge/routing/server_notices.py
@@ -1,4 +1,4 @@
-"""What servers say of themselves in the heads of their answers."""
+"""Notices that servers send about themselves in response headers."""
 
 from collections.abc import Callable
 
@@ -11,26 +11,27 @@
 from pimentoledge.routing import request_types
 from pimentoledge.routing import server_limits
 
-# Status of a server that is not the one that was meant, or that has other
-# weights than were asked for.
+# Status of a response from another server than the requested one, or from one
+# with other weights than requested.
 MISDIRECTED = 421
-# Statuses by which a server asks to be left alone for a while.
+# Statuses with which a server requests a backoff.
 BUSY_STATUSES = frozenset((429, 503))
-# Characters of an unreadable header in a line.
+# Most characters of an unreadable header in a log line.
 MAX_SHOWN_CHARS = 40
 
 
 @attrs.frozen(kw_only=True)
 class ServerNotices:
-    """Takes what answers say of the servers that gave them.
+    """Applies the notices in response headers to the servers that sent them.
 
     Attributes:
-        servers: the servers that are believed to be.
-        limits: the limits that servers have named.
-        lines: where changes of belief are written.
-        limit_changed: called with a server whose limit changed, by incarnation.
-        arrived: returns as of when what is read at a time may have lain in a
-            socket, since the process stood still.
+        servers: the known servers.
+        limits: the rate limits that servers announced.
+        lines: log of changes of the view.
+        limit_changed: called with the incarnation of a server whose limit
+            changed.
+        arrived: returns the earliest time at which data read at a given time
+            may have arrived, which is earlier if the process was paused.
     """
 
     servers: backends.Backends
@@ -45,13 +46,13 @@
         answer: request_types.ServerResponse,
         sent: float | None = None,
     ) -> None:
-        """Takes the head of an answer.
+        """Applies the notices in a response head.
 
         Args:
             asked: the server to which the request was sent.
-            answer: what came back.
+            answer: the response.
             sent: when a client's request was sent; None for other calls, whose
-                answers need not repeat a limit.
+                responses need not repeat a limit.
         """
         backend = self._responding_server(asked, answer)
         if backend is None:
@@ -74,7 +75,7 @@
         answer: request_types.ServerResponse,
         sent: float | None,
     ) -> None:
-        """Takes how many requests a second a server says that it takes."""
+        """Applies the rate limit that a server announces, or its absence."""
         server = backend.registration.incarnation
         if answer.limit is None and answer.limit_text:
             self.lines.write(
@@ -98,7 +99,7 @@
     def merge_limit(
         self, server: str, limit: server_limits.AdvertisedLimit, router: str
     ) -> None:
-        """Takes a limit that another router received."""
+        """Merges a limit that another router received."""
         before = self.limits.get(server)
         if self.limits.merge(server, limit):
             self._limit_changed(server, before, router)
@@ -108,7 +109,7 @@
     ) -> None:
         backend = self.servers.by_incarnation.get(server)
         if backend is not None:
-            # A wait that an owner told is that of the previous limit.
+            # A wait set by the owner of the limit is for its former value.
             backend.limited_until = 0.0
         self.lines.write(
             "server_limit",
@@ -123,7 +124,7 @@
     def _apply_retry_after(
         self, backend: backends.Backend, answer: request_types.ServerResponse
     ) -> None:
-        """Takes for how long a server that is busy asks for no request."""
+        """Applies the Retry-After value of a busy server."""
         server = backend.registration.incarnation
         if answer.retry_seconds is None:
             self.lines.write(
@@ -135,7 +136,7 @@
         now = clocks.now()
         until = now + answer.retry_seconds
         if until <= max(now, backend.notice.retry_at):
-            # An answer that was on its way meanwhile asks for less.
+            # Responses may arrive out of order: a longer backoff stays.
             return
         backend.notice.retry_at = until
         self.lines.write(
@@ -150,7 +151,7 @@
         asked: registrations.Registration,
         answer: request_types.ServerResponse,
     ) -> None:
-        """Takes the head of an answer to a call of the system's own."""
+        """Applies the notices in a response to a call of the router itself."""
         backend = self.servers.by_incarnation.get(asked.incarnation)
         if backend is not None:
             self.apply(backend, answer)
@@ -158,7 +159,7 @@
     def _responding_server(
         self, asked: backends.Backend, answer: request_types.ServerResponse
     ) -> backends.Backend | None:
-        """Returns the server that gave an answer, or None if unknown."""
+        """Returns the server that sent a response, or None if unknown."""
         if answer.server is not None:
             if answer.server == asked.registration.server:
                 return asked
--- a/pimentoledge/routing/suspects.py
+++ b/pimentoledge/routing/suspects.py
@@ -1,8 +1,8 @@
-"""Content that was in servers that crashed.
+"""Quarantine of request content that crashes servers.
 
-A request may crash each server that begins to run it, and comes again from
-its client with a new id, at any router. Without a memory of its content it
-would take down one server after the other.
+A request may crash each server that begins to run it, and its client may send
+it again with a new id, to any router. Unless routers remember its content, it
+crashes one server after another.
 """
 
 import collections
@@ -12,20 +12,20 @@
 
 from pimentoledge.routing import request_types
 
-# The users' pages allow three servers; what is stopped after the second
-# crash leaves one for a router that hasn't heard yet.
+# At most three servers may crash from one content. Quarantine after the second
+# crash leaves one for a router that has not yet received the report.
 MAX_CRASHES = 2
-# A connection that broke counts against its content only if the server is
-# found dead so soon after; most broken connections have other causes.
+# A broken connection counts against its content only if the server is found
+# dead within this time; most connections break for other reasons.
 DEATH_SECONDS = 3.0
-# After so long without a crash the content is innocent again.
+# Content is released from quarantine after this time without a crash.
 MEMORY_SECONDS = 60.0
-# How many contents are remembered: some 300 bytes each.
+# Most contents remembered, at some 300 bytes each.
 MAX_CONTENTS = 2000
 
 
 def fingerprint(client_request: request_types.ClientRequest) -> str:
-    """Returns what is the same for a request that comes again."""
+    """Returns a hash that is the same for repetitions of a request."""
     digest = xxhash.xxh3_128(client_request.method)
     for part in (
         client_request.host.encode(),
@@ -50,11 +50,12 @@
 
 
 class Suspects:
-    """What this router knows of such content.
+    """Request content suspected of crashing servers.
 
     Attributes:
-        contents: crashes by content, the newest last.
-        breaks: connections that broke under content, by server.
+        contents: crashes by content fingerprint, the newest last.
+        breaks: connections that broke during requests, by incarnation of the
+            server.
     """
 
     def __init__(self):
@@ -64,7 +65,7 @@
         self.breaks: dict[str, list[_BrokenConnection]] = {}
 
     def record_break(self, content: str, incarnation: str, now: float) -> None:
-        """Notes that the connection to a server broke under content."""
+        """Records that a connection broke while the server ran content."""
         recent = [
             each
             for each in self.breaks.get(incarnation, ())
@@ -73,36 +74,36 @@
         self.breaks[incarnation] = [*recent, _BrokenConnection(content, now)]
 
     def record_death(self, incarnation: str, now: float) -> list[str]:
-        """Takes proof that a server died; returns the contents it had."""
-        found = [
+        """Records that a server died; returns the contents that it ran."""
+        contents = [
             each.content
             for each in self.breaks.pop(incarnation, ())
             if now - each.when < DEATH_SECONDS
         ]
-        for content in found:
+        for content in contents:
             self.record_crash(content, incarnation, now)
-        return found
+        return contents
 
     def record_crash(self, content: str, incarnation: str, now: float) -> bool:
-        """Notes that content was in a server when it died.
+        """Records that a server died while it ran content.
 
-        Returns whether that is news.
+        Returns whether this crash was not known before.
         """
         suspect = self.contents.setdefault(content, _Suspect())
-        is_news = incarnation not in suspect.crashed
+        is_new = incarnation not in suspect.crashed
         suspect.crashed[incarnation] = now
         suspect.newest = now
         self.contents.move_to_end(content)
         while len(self.contents) > MAX_CONTENTS:
             self.contents.popitem(last=False)
-        return is_news
+        return is_new
 
     def clear(self, content: str) -> None:
-        """Takes a whole answer as proof of innocence."""
+        """Clears content of suspicion after a complete response."""
         self.contents.pop(content, None)
 
     def is_quarantined(self, content: str, now: float) -> bool:
-        """Returns whether content crashed too many servers to run again."""
+        """Returns whether content has crashed too many servers to run again."""
         suspect = self.contents.get(content)
         if suspect is None:
             return False
