--- a/pimentoledge/tests/test_router_evidence.py
+++ b/pimentoledge/tests/test_router_evidence.py
@@ -1,4 +1,4 @@
-"""What counts as evidence: requests, not status checks nor old beliefs."""
+"""Tests that requests, not status checks or stale state, show health."""
 
 import asyncio
 
@@ -27,11 +27,11 @@
 
 
 @played(plain=2)
-async def test_a_healthy_look_brings_no_failing_server_back(world):
-    """Pickup notices go to a server that fails them all and looks healthy.
+async def test_a_good_status_check_brings_no_failing_server_back(world):
+    """Guards against requests to a server that fails them but looks healthy.
 
-    Its status check is good, and the store shows it as ready; what counts is
-    that requests failed there. The other server must get nearly all.
+    Its status check passes and the store shows it as ready, but requests fail
+    there. The other server must get nearly all of them.
     """
     grey = world.servers["p0"]
     grey.fail = 1000
@@ -51,10 +51,10 @@
 
 @played(plain=2)
 async def test_a_server_that_recovers_is_found_by_requests_alone(world):
-    """A server whose status check stays bad after it recovered is wasted.
+    """Guards against a recovered server that stays unused.
 
-    Nobody asks its status check: once its failures are old, requests try it
-    again, and one that is served brings it back.
+    Its status check may still fail, but routers don't use it: once its failures
+    are old, requests try the server again, and one success brings it back.
     """
     once = world.servers["p0"]
     [router] = world.routers
@@ -71,10 +71,10 @@
 
 
 def test_a_flapping_server_costs_a_few_requests_each_turn():
-    """A server goes down and up by turns of two seconds.
+    """Guards against many failed requests on a server that flaps every 2 s.
 
-    Each time it is down, the first request finds that out, and only a few
-    more may be spent on finding it still down; when it is up it is used.
+    Each time it goes down, the first request detects that, and only a few more
+    may fail on it; while it is up it must be used.
     """
     server = backends.Backend(registration=registration("f"))
     for turn in range(10):
@@ -95,7 +95,7 @@
 
 
 def test_a_flapping_server_is_avoided_for_longer_while_it_stays_down():
-    """One that is down for a minute must not cost a request each second."""
+    """Guards against a failed request each second on a server that is down."""
     server = backends.Backend(registration=registration("f"))
     tries = 0
     for step in range(6000):
@@ -109,10 +109,10 @@
 async def test_after_a_freeze_no_connection_or_list_from_before_is_used(
     world,
 ):
-    """A VM wakes from a freeze and cuts the first card after it.
+    """Guards against a lost request after a VM was frozen.
 
-    Its idle connections were closed by servers meanwhile: a card sent on one
-    may have run or not. Its list of servers is as old as the freeze.
+    Servers closed its idle connections meanwhile: a request sent on one may
+    have run or not. Its list of servers is as old as the freeze.
     """
     [router] = world.routers
     await world.ask("/cards/", body=b"before")
@@ -129,10 +129,10 @@
 
 
 def test_after_a_freeze_the_lease_is_over_before_anything_is_done():
-    """A frozen holder wakes while its successor gives orders.
+    """Guards against orders from a former lease holder after a freeze.
 
-    Two holders' orders within the lease's time break the one-holder rule; the
-    term is counted by a clock that goes on while the VM is frozen.
+    Its successor may already send orders, and only one holder may do so within
+    a lease. The clock of the term includes the time of the freeze.
     """
     lease = leases.Lease(holder="me", lease_seconds=3.0, revision=0)
     sent = 100.0
@@ -146,8 +146,8 @@
 
 
 @played(routers=3, plain=1, runners=1)
-async def test_after_a_freeze_other_routers_count_as_unheard(world):
-    """A router that wakes must not wait for a holder that died meanwhile."""
+async def test_after_a_freeze_other_routers_count_as_silent(world):
+    """Guards against a wait for a lease holder that died in the freeze."""
     first = world.routers[0]
     await world.until(
         lambda: len(first.peers.roster.present(clocks.now())) == 2
@@ -160,10 +160,11 @@
 
 @played(plain=1)
 async def test_idle_connections_are_shared_among_all_routers(world):
-    """A server resets connections beyond its bound, counted over all callers.
+    """Guards against idle connections that exhaust a server's limit.
 
-    Three hundred routers that each keep a few idle would use them up, and
-    requests would be reset.
+    A server resets connections beyond its limit over all clients. Three hundred
+    routers with a few idle ones each would use it up, and requests would be
+    reset.
     """
     [router] = world.routers
 
--- a/pimentoledge/tests/test_router_faults.py
+++ b/pimentoledge/tests/test_router_faults.py
@@ -1,4 +1,4 @@
-"""What a router makes of answers that no good server gives."""
+"""Tests of a router's handling of faulty responses and slow peers."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 
 def reply(body=b"answer", *, length=None, status=200):
-    """Returns a signed answer to the request of these tests."""
+    """Returns a signed response to the request of these tests."""
     head = (
         f"HTTP/1.1 {status} X\r\nRequest-Id: q-raw\r\nServer-Stamp: s\r\n"
     ).encode()
@@ -30,7 +30,7 @@
 
 
 def before(answer, **how):
-    """Makes a test of a coroutine with one server that sends given bytes."""
+    """Turns a coroutine into a test with a server that sends given bytes."""
 
     def decorate(test):
         def run():
@@ -72,7 +72,7 @@
 
 @before(reply(b"half", length=9))
 async def test_an_answer_that_is_cut_is_not_passed_on(world):
-    """Half an answer must not reach a client as a whole one."""
+    """Guards against a truncated response passed on as complete."""
     assert (await ask(world)).status == 502
 
 
@@ -83,10 +83,10 @@
 
 @before(reply(b"first", length=5) + reply(b"second", length=6), hang=True)
 async def test_a_second_answer_reaches_nobody(world):
-    """A server sends two answers; the second belongs to no request.
+    """Guards against a second response that belongs to no request.
 
-    The connection is closed, so that the next request's answer can't be
-    taken from what was left on it.
+    The connection is closed, so that the leftover bytes can't become the
+    response to the next request.
     """
     got = await ask(world)
     assert got.body == b"first"
@@ -101,18 +101,17 @@
 
 
 @before(reply(b"no", length=2, status=503))
-async def test_a_servers_unpromised_503_is_not_passed_on_as_a_promise(world):
-    """A 503 tells a client that its request never ran.
+async def test_a_503_without_a_not_run_signal_is_not_passed_on(world):
+    """Guards against a client that repeats a request that may have run.
 
-    This server doesn't say so; passed on, the client would post again what
-    may have run.
+    A router's 503 means that the request never ran, but this server's doesn't.
     """
     assert (await ask(world)).status == 502
 
 
 @before(b"", hang=True)
 async def test_a_silent_server_holds_a_request_only_to_its_deadline(world):
-    """A server that takes a request and falls silent must not hold clients."""
+    """Guards against a server that accepts a request and never responds."""
     async with asyncio.timeout(1.5):
         got = await ask(world, **{"Deadline-Ms": "400"})
     assert got.status == 504
@@ -120,7 +119,7 @@
 
 @router_world.played(plain=1)
 async def test_a_client_that_reads_nothing_holds_up_no_other(world):
-    """A slow client's answer waits for it alone."""
+    """Guards against a slow client that delays other clients."""
     slow = world.client()
     await slow.open()
     for _ in range(6):
@@ -155,10 +154,10 @@
 
 
 def test_a_store_that_falls_silent_is_given_up_and_asked_anew():
-    """A connection may go silent for good while new ones work.
+    """Guards against a watch that waits for ever on a silent connection.
 
-    A watch that gets no answer well after its time must not wait for ever,
-    and its connection is not used again.
+    New connections may still work. A watch without a response well after its
+    time must end, and its connection must not be used again.
     """
 
     async def play(address):
@@ -176,7 +175,7 @@
 
 @router_world.played(plain=1)
 async def test_idle_connections_are_watched_for_silence(world):
-    """A server without power sends no end; only probes show that it is dark."""
+    """Guards against a server without power, which only probes detect."""
     await world.ask("/cards/", body=b"c")
     [router] = world.routers
     [connection] = next(filter(None, router.pool.idle.values()))
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -1,8 +1,8 @@
-"""Ways by which a router could learn late that a server leaves.
+"""Tests that routers learn in time that a server is leaving.
 
-A server that says so in the store serves on for a while and then ends. After
-that while, `drain-ms`, nobody may send it a request. So a router must notice
-whenever it may not have heard.
+A server that announces in the store that it leaves serves on for `drain-ms`
+and then ends. After that time no router may send it a request, so a router must
+detect when it may have missed the announcement.
 """
 
 import asyncio
@@ -21,23 +21,23 @@
 
 played = router_world.played
 MODEL = router_world.MODEL
-# For so long a server that leaves may get requests, by default.
+# Default time for which a server that is leaving may get requests.
 DRAIN_SECONDS = 2.0
 
 
-def knows(router, server="p0"):
-    """Returns whether a router knows that a server leaves, or is gone."""
+def has_seen_leaving(router, server="p0"):
+    """Returns whether a router has seen that a server is leaving or gone."""
     found = router.view.servers.by_incarnation.get(server)
     return found is None or found.registration.leaving
 
 
 async def _all_wait(world):
-    """Returns when every wait for changes has begun."""
+    """Waits until every watch has started."""
     await asyncio.sleep(0.3)
 
 
 async def _outage(world):
-    """Plays one that ends every wait, and swallows the calls made anew."""
+    """Simulates a store outage that ends all watches and loses new calls."""
     world.store.silent = True
     world.store.cut_watches()
     await asyncio.sleep(2.0)
@@ -46,31 +46,30 @@
 
 
 def _silence(router):
-    """Lets every call of a router to the store go without an answer."""
+    """Leaves every call of a router to the store without a response."""
 
     async def unanswered(*_, **__):
         await asyncio.sleep(stores.CALL_SECONDS)
         return registrations.Unavailable(reason="silent", maybe_done=True)
 
-    async def unheard(kind, revision, seconds):
+    async def silent_watch(kind, revision, seconds):
         await asyncio.sleep(seconds)
         return await unanswered()
 
-    router.store.watch = unheard
+    router.store.watch = silent_watch
     for name in ("list", "read", "write"):
         setattr(router.store, name, unanswered)
 
 
 @played(routers=2, plain=2, runners=1)
 async def test_requests_reach_no_server_that_left_after_an_outage(world):
-    """Guests' requests reached a server 2,041 ms after it said that it leaves.
-
-    The store fell silent. Each router's wait for changes ended; it asked anew,
-    to wait 20 s. A call that comes into an outage is never answered, also when
-    it is over, so all routers heard of no server for 22 s. Evidence: the
-    store's figures have one call of each router in the outage, without an
-    answer, and none after it, while a server that had been gone for 9 s still
-    counted as usable in what a choice went by.
+    """Guards against requests to a server more than 2 s after it leaves.
+
+    In an outage of the store each router's watch ends and it opens another one,
+    with a wait of 20 s. A call sent during an outage is never answered, even
+    after it. Routers that relied on it missed all changes for 22 s: requests
+    reached a server 2,041 ms after it announced that it leaves, and one that
+    had been gone for 9 s still counted as usable.
     """
     await _outage(world)
     world.tell(world.servers["p0"], leaving=True)
@@ -81,15 +80,15 @@
         await asyncio.sleep(0.02)
     last = max((each.at for each in world.servers["p0"].calls), default=0.0)
     assert last < left + DRAIN_SECONDS
-    assert all(knows(each) for each in world.routers)
+    assert all(has_seen_leaving(each) for each in world.routers)
 
 
 @played(routers=2, plain=1, runners=1)
-async def test_revoked_keys_and_weights_are_heard_of_after_an_outage(world):
-    """What travels the same way came as late: 22 s after an outage.
+async def test_revoked_keys_and_new_weights_arrive_after_an_outage(world):
+    """Guards against configuration and weights 22 s late after an outage.
 
-    A key that was taken away went on working, and requests went on to older
-    weights, at every router whose wait for changes ended in the outage.
+    On routers whose watches ended in the outage a revoked key kept working, and
+    requests went on to older weights.
     """
     await _outage(world)
     world.store.put(
@@ -111,40 +110,41 @@
 
 
 @played(plain=2, runners=1)
-async def test_a_wait_that_the_network_forgot_is_found_out(world):
-    """An open connection may go silent for good while new ones work.
+async def test_a_watch_on_a_dead_connection_is_detected(world):
+    """Guards against missed changes on a connection that went silent.
 
-    A lone router hears of no change on it, and nobody else can tell.
+    New connections still work, but a single router has no peer that could
+    report the changes.
     """
     [router] = world.routers
     await _all_wait(world)
     world.store.forget_watches()
     world.tell(world.servers["p0"], leaving=True)
-    await world.until(lambda: knows(router), seconds=DRAIN_SECONDS)
+    await world.until(lambda: has_seen_leaving(router), seconds=DRAIN_SECONDS)
 
 
 @played(routers=2, plain=2, runners=1)
-async def test_a_router_whose_wait_is_unheard_heeds_the_others(world):
-    """A router that waited on a dead call took no other's word for servers.
+async def test_a_router_with_a_dead_watch_fetches_changes_from_peers(world):
+    """Guards against a router that relies on its own dead watch.
 
-    Its heartbeats showed it the newer change; as it took itself to be
-    watching, it asked nobody for it.
+    Its peers' heartbeats showed a newer change, but as its own watch was open
+    it requested the change from nobody.
     """
     first, second = world.routers
     await world.until(lambda: first.peers.roster.present(clocks.now()))
     await _all_wait(world)
     _silence(second)
-    # Ends the wait that was begun before.
+    # Ends the watch that was opened before.
     world.tell(world.servers["r0"], leaving=True)
-    await world.until(lambda: knows(first, "r0"))
-    await world.until(lambda: knows(second, "r0"))
+    await world.until(lambda: has_seen_leaving(first, "r0"))
+    await world.until(lambda: has_seen_leaving(second, "r0"))
     await _all_wait(world)
     world.tell(world.servers["p0"], leaving=True)
-    await world.until(lambda: knows(second), seconds=DRAIN_SECONDS)
+    await world.until(lambda: has_seen_leaving(second), seconds=DRAIN_SECONDS)
 
 
-async def _none_hears_of_many(world, *, cut_off):
-    """Plays that the calls of those who watch for all others are dead."""
+async def _all_watches_die(world, *, cut_off):
+    """Simulates dead watches on the routers that watch for all others."""
     await world.until(
         lambda: all(
             len(each.peers.roster.members(clocks.now())) == 12
@@ -160,7 +160,9 @@
         seconds=9,
     )
     world.tell(world.servers["r0"], leaving=True)
-    await world.until(lambda: all(knows(each, "r0") for each in world.routers))
+    await world.until(
+        lambda: all(has_seen_leaving(each, "r0") for each in world.routers)
+    )
     await _all_wait(world)
     watching = [
         each for each in world.routers if each.kinds["servers"].watching
@@ -171,69 +173,70 @@
     world.store.forget_watches()
     world.tell(world.servers["p0"], leaving=True)
     await world.until(
-        lambda: all(knows(each) for each in world.routers),
+        lambda: all(has_seen_leaving(each) for each in world.routers),
         seconds=DRAIN_SECONDS,
     )
 
 
 @played(routers=13, plain=2, runners=1)
-async def test_those_for_whom_others_wait_find_out_that_nobody_hears(world):
-    """With many routers two wait for all; both may wait on dead calls.
+async def test_watching_routers_detect_that_all_watches_are_dead(world):
+    """Guards against missed changes when all watches are dead.
 
-    They went on to give signs that they watch, so the others asked nobody.
+    With many routers two watch for all. Both may have dead calls while they
+    still report that they watch, so the others polled nobody.
     """
-    await _none_hears_of_many(world, cut_off=False)
+    await _all_watches_die(world, cut_off=False)
 
 
 @played(routers=13, plain=2, runners=1)
-async def test_those_for_whom_others_wait_ask_when_these_reach_no_store(world):
-    """The same, and the store is silent to those who watch, to no other."""
-    await _none_hears_of_many(world, cut_off=True)
+async def test_other_routers_poll_when_watching_ones_reach_no_store(world):
+    """The same, where the store answers all routers but those that watch."""
+    await _all_watches_die(world, cut_off=True)
 
 
 @played(plain=2, runners=1)
 async def test_a_server_that_leaves_while_it_is_being_reached_gets_nothing(
     world,
 ):
-    """A choice may be older than the news of the server's leaving.
+    """Guards against a request sent after its server announced leaving.
 
-    Opening a connection may take 0.6 s; the request was sent on it whatever
-    had been heard meanwhile.
+    Opening a connection may take 0.6 s; the request was sent on it even if the
+    server had announced meanwhile that it leaves.
     """
     [router] = world.routers
     asked = await world.ask_while_opening("p0", "p1")
     world.tell(world.servers["p0"], leaving=True)
-    await world.until(lambda: knows(router))
+    await world.until(lambda: has_seen_leaving(router))
     assert (await asked).status == 200
     assert not world.servers["p0"].calls
     assert len(world.servers["p1"].calls) == 1
 
 
 @played(plain=2, runners=1)
-async def test_a_router_that_was_paused_asks_the_store_at_once(world):
-    """A VM that was frozen doesn't know what it missed.
+async def test_a_router_that_was_paused_polls_the_store_at_once(world):
+    """Guards against changes missed while the VM was frozen.
 
-    It meant to ask the store as soon as it runs again; a router that waits
-    for changes itself did not, and its wait may have been forgotten.
+    A router must poll the store as soon as it runs again. One with an open
+    watch of its own did not, though the network may have dropped the watch.
     """
     [router] = world.routers
     await _all_wait(world)
     world.store.forget_watches()
     world.tell(world.servers["p0"], leaving=True)
     await asyncio.sleep(0.1)
-    assert not knows(router)
+    assert not has_seen_leaving(router)
     router._ticked = clocks.now() - 5.0
     router.look_for_a_pause(clocks.now())
-    await world.until(lambda: knows(router), seconds=0.3)
+    await world.until(lambda: has_seen_leaving(router), seconds=0.3)
 
 
 @pytest.mark.parametrize(("away", "lapsed"), [(0.3, False), (3.0, True)])
 def test_only_a_long_outage_lets_entries_lapse(away, lapsed):
-    """A server that had left got requests for 1.6 s more, after each lost call.
+    """Guards against 1.6 s more of requests to a server that left.
 
-    Entries lapse only where servers could not write for two of the intervals
-    at which they do. A call that is cut or turned away shows no such outage:
-    what is gone then has left.
+    Entries lapse only if servers could not write for two of their write
+    intervals. A single call that is cut or rejected shows no such outage: an
+    entry that is missing after it belongs to a server that left.
     """
     servers = watchers.Watcher(
         mirror=object_caches.ObjectCache(
@@ -251,7 +254,7 @@
     )
     servers._record_answer()
     assert (servers.lapse_ends() > clocks.now()) is lapsed
-    # A further call that is lost soon after takes nothing back.
+    # Another lost call soon after doesn't change that.
     servers.mirror.advance_known_at(clocks.now())
     servers._record_failure(
         registrations.Unavailable(reason="cut", maybe_done=False)
@@ -262,10 +265,11 @@
 
 
 @played(routers=3, plain=1, runners=1)
-async def test_one_router_looks_for_all(world):
-    """Each call to the store is paid for, and each router would look.
+async def test_one_router_polls_for_all(world):
+    """Guards against polls by each router, since each call has a cost.
 
-    One looks, its heartbeats tell the others, and what all know stays young.
+    One router polls and reports in its heartbeats that nothing changed, so the
+    copies of all routers stay recent.
     """
     await world.until(
         lambda: all(
@@ -290,10 +294,11 @@
 
 
 @played(routers=2, plain=1, runners=1)
-async def test_a_heartbeat_freshens_only_where_all_it_knows_is_known(world):
-    """A router that lacks a change must not take its list for whole.
+async def test_a_heartbeat_counts_only_where_its_changes_are_known(world):
+    """Guards against a router that takes an incomplete copy for complete.
 
-    One that has heard of the change shows that there is none newer.
+    A heartbeat shows that nothing is newer only to a router that has all the
+    changes known to the sender.
     """
     first, second = world.routers
     await world.until(lambda: second.peers.roster.present(clocks.now()))
@@ -302,7 +307,7 @@
     mirror = copies.watching["servers"].mirror
     beat = first.peers._own_beat(clocks.now())
     for ahead, age in ((1, -60_000), (0, -120_000)):
-        # Ages from the time to come, which nothing else has.
+        # Negative ages, which no other source produces.
         beat.known = {"servers": (mirror.revision + ahead, age)}
         now = clocks.now()
         copies.merge_known(beat, now)
@@ -310,12 +315,12 @@
 
 
 @played(routers=2, plain=2, runners=1)
-async def test_lapsed_entries_are_not_dropped_on_another_routers_word(world):
-    """Calls were refused after an outage, though the servers lived.
+async def test_lapsed_entries_in_a_peers_listing_are_kept(world):
+    """Guards against refusals after an outage although the servers run.
 
-    A router that heard first from the store kept those whose entries had lapsed
-    until they would be back. One that had the list from it dropped them at
-    once: the list came without the time for which that router waits.
+    The router that first reached the store kept servers with lapsed entries
+    until they would return. A peer that got the listing from it dropped them at
+    once, as the listing came without the time for which they are kept.
     """
     first, second = world.routers
     await world.until(lambda: first.peers.roster.present(clocks.now()))
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -1,4 +1,4 @@
-"""Servers that start again under their id, and entries of other writers."""
+"""Tests of restarted servers and of invalid entries of other writers."""
 
 from hypothesis import given
 from hypothesis import strategies
@@ -28,8 +28,8 @@
 PART = request_types.Part(name="p", tokens=100)
 
 
-class Taken:
-    """A router's beliefs of servers, with what it was told to do."""
+class RouterState:
+    """A router's view of servers, with the callbacks that it got."""
 
     def __init__(self):
         self.view = cluster_views.ClusterView(
@@ -38,7 +38,7 @@
         self.restarted = []
         self.died = []
         self.lines = log_lines.Lines(counters=counters.Counters())
-        self.takers = view_updaters.ViewUpdater(
+        self.updater = view_updaters.ViewUpdater(
             view=self.view,
             lines=self.lines,
             on_restart=self.restarted.append,
@@ -46,9 +46,9 @@
         )
         self.revision = 0
 
-    def take(self, name="i", **fields):
+    def put(self, name="i", **fields):
         self.revision += 1
-        self.takers.apply_servers([stored(name, self.revision, **fields)], [])
+        self.updater.apply_servers([stored(name, self.revision, **fields)], [])
         return self.view.servers.by_server.get(name)
 
 
@@ -58,20 +58,20 @@
     )
 
 
-def test_a_server_that_starts_again_under_its_id_holds_nothing_of_before():
-    """Prompts went to a runner for parts that it had lost in a restart.
+def test_a_server_restarted_under_its_id_has_no_former_state():
+    """Guards against prompts sent to a runner for parts lost in a restart.
 
-    A runner crashed and was back under the id that it had. The router kept
-    its table of cached parts, its load and its failures by the id alone.
+    A runner crashes and restarts under the same id. The router kept its cached
+    parts, load and failures by the id alone.
     """
-    taken = Taken()
-    before = taken.take()
+    router = RouterState()
+    before = router.put()
     before.note_parts("1", (PART,), 1000, 0.0)
     before.update_load(
         request_types.ServerLoad(running=7, waiting=9, slots=8), 1.0
     )
     before.failed(1.0)
-    after = taken.take(born=2000)
+    after = router.put(born=2000)
     assert after is not before
     assert before.over
     assert not after.over
@@ -79,17 +79,17 @@
     assert after.load is None
     assert after.usable(1.0)
     assert after.trouble == 0.0
-    assert taken.restarted == ["1.2.3.4:5"]
-    assert taken.died == ["i@1000"]
+    assert router.restarted == ["1.2.3.4:5"]
+    assert router.died == ["i@1000"]
 
 
-def test_a_former_lifes_late_word_changes_nothing():
-    """A copy of the list from another router may be older than the restart."""
-    taken = Taken()
-    taken.take(born=1000)
-    present = taken.take(born=2000)
+def test_a_late_entry_of_a_former_incarnation_changes_nothing():
+    """Guards against a peer's listing that is older than the restart."""
+    router = RouterState()
+    router.put(born=1000)
+    present = router.put(born=2000)
     assert (
-        taken.take(born=1000, models=[{"name": "m", "version": 9}]) is present
+        router.put(born=1000, models=[{"name": "m", "version": 9}]) is present
     )
     assert present.registration.born == 2000
     assert present.registration.weights == {"m": 1}
@@ -97,46 +97,46 @@
 
 
 def test_a_restarted_runner_is_ordered_by_its_own_count_of_orders():
-    """An order named a count that a restart had cleared, and was refused."""
-    taken = Taken()
-    taken.view.want("m", 2, 0.0)
-    rollout = rollouts.Rollout(view=taken.view)
-    rollout.of(taken.take()).orders_taken = 5
-    after = taken.take(born=2000)
+    """Guards against a refused order with a count from before a restart."""
+    router = RouterState()
+    router.view.want("m", 2, 0.0)
+    rollout = rollouts.Rollout(view=router.view)
+    rollout.of(router.put()).orders_taken = 5
+    after = router.put(born=2000)
     assert rollout.of(after).orders_taken is None
 
 
-def test_a_crash_proven_of_one_life_is_not_the_next_ones():
-    taken = Taken()
-    suspects = taken.view.suspects
-    first = taken.take().registration.incarnation
-    second = taken.take(born=2000).registration.incarnation
+def test_crashes_of_two_incarnations_count_separately():
+    router = RouterState()
+    suspects = router.view.suspects
+    first = router.put().registration.incarnation
+    second = router.put(born=2000).registration.incarnation
     assert suspects.record_crash("content", first, 1.0)
     assert suspects.record_crash("content", second, 2.0)
     assert suspects.is_quarantined("content", 3.0)
 
 
-def test_a_request_may_go_to_the_next_life_of_a_server_that_refused_it():
-    taken = Taken()
-    first = taken.take().registration.incarnation
-    second = taken.take(born=2000).registration.incarnation
+def test_a_request_may_go_to_the_next_incarnation_after_a_refusal():
+    router = RouterState()
+    first = router.put().registration.incarnation
+    second = router.put(born=2000).registration.incarnation
     assert first != second
 
 
-def test_a_report_of_another_life_is_not_taken_for_this_one():
-    """A count of orders that was read from the former life is not used."""
-    life = backends.Backend(
+def test_a_report_of_another_incarnation_is_not_applied():
+    """Guards against an order count read from a former incarnation."""
+    backend = backends.Backend(
         registration=objects.registration(stored("i", 1, born=2000))
     )
-    assert not life.is_other_incarnation(2000)
-    assert not life.is_other_incarnation(None)
-    assert life.is_other_incarnation(1000)
-    assert not life.over
-    assert life.is_other_incarnation(3000)
-    assert life.over
+    assert not backend.is_other_incarnation(2000)
+    assert not backend.is_other_incarnation(None)
+    assert backend.is_other_incarnation(1000)
+    assert not backend.over
+    assert backend.is_other_incarnation(3000)
+    assert backend.over
 
 
-def test_without_a_time_of_birth_the_id_is_the_life():
+def test_without_a_start_time_the_id_is_the_incarnation():
     found = objects.registration(stored("i", 1, born=None))
     assert found.incarnation == "i"
 
@@ -155,7 +155,7 @@
     ),
     max_leaves=8,
 )
-SPOILT = strategies.one_of(
+INVALID_SPECS = strategies.one_of(
     ANYTHING,
     strategies.tuples(strategies.sampled_from(sorted(ENTRY)), ANYTHING).map(
         lambda pair: {**ENTRY, pair[0]: pair[1]}
@@ -166,17 +166,17 @@
 )
 
 
-@given(spec=SPOILT)
-def test_a_spoilt_entry_names_no_server_and_hides_no_other(spec):
-    """One entry of another writer stopped a router's list of servers.
+@given(spec=INVALID_SPECS)
+def test_an_invalid_entry_names_no_server_and_hides_no_other(spec):
+    """Guards against one invalid entry that stops a router's server list.
 
-    What can be read of it is a whole registration or nothing; the entries
-    beside it hold; it costs one line.
+    It decodes to a complete registration or to nothing, and the other entries
+    stay in use.
     """
-    taken = Taken()
+    router = RouterState()
     odd = registrations.Stored(name="odd", revision=1, value=spec)
-    taken.takers.apply_servers([odd, stored("good", 2)], [])
-    known = taken.view.servers.by_server
+    router.updater.apply_servers([odd, stored("good", 2)], [])
+    known = router.view.servers.by_server
     assert "good" in known
     if "odd" in known:
         found = known["odd"].registration
@@ -198,37 +198,37 @@
 
 
 def test_an_unknown_state_is_no_state_to_send_requests_in():
-    taken = Taken()
-    assert taken.take(state="hibernating") is None
-    assert taken.take(name="good") is not None
+    router = RouterState()
+    assert router.put(state="hibernating") is None
+    assert router.put(name="good") is not None
 
 
-def test_a_spoilt_entry_costs_one_line(monkeypatch):
-    """A second line told that a server was gone that had never been there."""
-    taken = Taken()
+def test_an_invalid_entry_logs_one_line(monkeypatch):
+    """Guards against a second line on the removal of an unknown server."""
+    router = RouterState()
     written = []
     monkeypatch.setattr(
-        taken.lines, "write", lambda message, **fields: written.append(message)
+        router.lines, "write", lambda message, **fields: written.append(message)
     )
-    taken.take(state="hibernating")
+    router.put(state="hibernating")
     assert written == ["unreadable"]
 
 
-def test_an_entry_that_was_spoilt_later_is_used_no_more():
-    """For all that it says, the server may be leaving."""
-    taken = Taken()
-    before = taken.take()
-    assert taken.take(state=7) is None
+def test_a_server_whose_entry_became_invalid_is_not_used():
+    """Guards against use of a server whose entry may say that it leaves."""
+    router = RouterState()
+    before = router.put()
+    assert router.put(state=7) is None
     assert before.over
 
 
 @given(body=ANYTHING)
-def test_a_spoilt_report_is_no_report(body):
-    """What it doesn't say is not taken for a no."""
+def test_an_invalid_report_is_rejected(body):
+    """Guards against a missing field of a report that is read as false."""
     with pytest.raises(ValueError, match="."):
         objects.reported(body)
 
 
-def test_a_report_tells_of_which_life_it_is():
+def test_a_report_states_its_incarnation():
     body = {"models": [], "busy": False, "seq": 2, "born": 1000}
     assert objects.reported(body).born == 1000
--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -1,7 +1,7 @@
-"""What servers say of themselves in answers is heeded.
+"""Tests that routers apply the notices in servers' responses.
 
-A server says in the store and in its answers that it leaves; the store may be
-down, or behind.
+A server announces in the store and in its responses that it is leaving; the
+store may be down, or behind.
 """
 
 import attrs
@@ -63,7 +63,7 @@
 
 
 def leaving_server():
-    """Returns servers and the one of them that has said that it leaves."""
+    """Returns known servers and the one of them that announced leaving."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
     taker(servers).apply(backend, answer(leaving=True))
@@ -79,7 +79,9 @@
         pytest.param("/lookups/", None, id="streamed"),
     ],
 )
-def test_no_request_follows_an_answer_by_which_its_server_leaves(path, fault):
+def test_no_request_goes_to_a_server_whose_answer_announced_leaving(
+    path, fault
+):
     @played(plain=2, runners=2)
     async def test(world):
         kind, headers = "p", {}
@@ -104,7 +106,7 @@
 
 
 @played(plain=2, runners=1)
-async def test_a_server_that_says_it_leaves_while_it_is_reached_gets_nothing(
+async def test_a_server_that_leaves_during_the_connect_gets_no_request(
     world,
 ):
     [router] = world.routers
@@ -116,7 +118,9 @@
 
 
 @played(plain=2, runners=2)
-async def test_a_report_by_which_its_runner_leaves_ends_requests_to_it(world):
+async def test_a_report_with_a_leaving_header_ends_requests_to_its_runner(
+    world,
+):
     [router] = world.routers
     runner = world.servers["r0"]
     known = router.view.servers.by_incarnation["r0"]
@@ -127,8 +131,8 @@
 
 
 @played(plain=2, runners=2)
-async def test_a_report_that_says_its_runner_leaves_ends_requests_to_it(world):
-    """Guards against a leaving that only a report's body tells of."""
+async def test_a_report_with_a_leaving_body_ends_requests_to_its_runner(world):
+    """Guards against a missed notice that is only in a report's body."""
     [router] = world.routers
     known = router.view.servers.by_incarnation["r0"]
     world.servers["r0"].reports_leaving = True
@@ -138,7 +142,7 @@
 
 
 @played(plain=1, runners=2)
-async def test_an_order_by_whose_answer_a_runner_leaves_ends_requests_to_it(
+async def test_an_order_answer_with_a_leaving_header_ends_requests(
     world,
 ):
     [router] = world.routers
@@ -171,13 +175,13 @@
     assert not present.usable(1.0)
 
 
-def test_a_new_life_of_a_server_that_left_is_used():
+def test_a_new_incarnation_of_a_server_that_left_is_used():
     servers, _ = leaving_server()
     present = servers.put(attrs.evolve(REGISTRATION, born=200))
     assert present.usable(1.0)
 
 
-def test_an_answer_to_a_former_life_says_nothing_of_the_present_one():
+def test_an_answer_of_a_former_incarnation_leaves_the_current_one():
     servers = backends.Backends()
     former = servers.put(REGISTRATION)
     present = servers.put(attrs.evolve(REGISTRATION, born=200))
@@ -185,7 +189,7 @@
     assert present.usable(1.0)
 
 
-def test_another_server_at_the_address_leaves_alone():
+def test_a_leaving_notice_of_another_server_applies_to_that_one():
     servers = backends.Backends()
     asked = servers.put(REGISTRATION)
     other = servers.put(attrs.evolve(REGISTRATION, server="s1"))
--- a/pimentoledge/tests/test_router_store.py
+++ b/pimentoledge/tests/test_router_store.py
@@ -1,4 +1,4 @@
-"""How a router's copies of the store's objects come back after an outage."""
+"""Tests of the recovery of store copies after an outage of the store."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 
 
 class SilentStore:
-    """Gives no answer to any call that was sent while it was silent."""
+    """A store that never answers calls sent while it was silent."""
 
     def __init__(self, *, limit_seconds=2.5, answer_seconds=0.004):
         self.silent = True
@@ -32,7 +32,7 @@
         return registrations.Listing(objects=[], revision=7)
 
     def forget_connections(self):
-        """Has none."""
+        """Does nothing: this store has no connections."""
 
     async def watch(self, kind, revision, seconds):
         await asyncio.sleep(seconds)
@@ -41,7 +41,7 @@
 
 @contextlib.asynccontextmanager
 async def following(store):
-    """Yields watchers of all kinds, by kind, that follow a store."""
+    """Yields running watchers of a store, by kind."""
     answers = hedged_calls.AnswerSignal()
     lines = log_lines.Lines(counters=counters.Counters())
     found = {
@@ -76,11 +76,11 @@
 
 
 def test_routers_that_start_in_an_outage_serve_soon_after_it():
-    """After a power cut all clients got 503 for 2.7 s longer than need be.
+    """Guards against 503s for 2.7 s longer than the outage of the store.
 
-    All routers started while the store was silent. It came back 0.3 s later,
-    but each router waited 2.5 s for the answer to its first call, which was
-    never to come. A further call on a new connection is answered at once.
+    Routers that start during an outage of 0.3 s waited 2.5 s for the response
+    to their first call, which never arrives. A retry on a new connection is
+    answered at once.
     """
 
     async def play():
@@ -93,8 +93,8 @@
     asyncio.run(play())
 
 
-def test_only_one_kind_of_calls_goes_on_asking_a_silent_store():
-    """Each call is paid for, also those of an outage, by each router."""
+def test_only_one_kind_retries_calls_to_a_silent_store():
+    """Guards against the cost of retries of all kinds in an outage."""
 
     async def play():
         store = SilentStore()
@@ -107,7 +107,7 @@
 
 
 def test_a_store_that_is_only_slow_answers_the_first_call():
-    """A shorter limit would never get an answer of a store this slow."""
+    """Guards against a timeout too short for a slow store's responses."""
 
     async def play():
         store = SilentStore(answer_seconds=0.8)
