--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -15,7 +15,7 @@
 
 played = router_world.played
 answer = test_router_notices.answer
-taker = test_router_notices.taker
+taker = test_router_notices.new_notices
 MODEL = router_world.MODEL
 REGISTRATION = test_router_notices.REGISTRATION
 # Long, as a request waits for a server for a part of it.
--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -54,7 +54,7 @@
     return request_types.ServerResponse(**{**fields, **more})
 
 
-def taker(servers):
+def new_notices(servers):
     return server_notices.ServerNotices(
         servers=servers,
         limits=server_limits.ServerLimits(),
@@ -66,7 +66,7 @@
     """Returns known servers and the one of them that announced leaving."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
-    taker(servers).apply(backend, answer(leaving=True))
+    new_notices(servers).apply(backend, answer(leaving=True))
     return servers, backend
 
 
@@ -171,7 +171,7 @@
     before = servers.put(REGISTRATION)
     servers.remove("s0")
     present = servers.put(REGISTRATION)
-    taker(servers).apply(before, answer(leaving=True))
+    new_notices(servers).apply(before, answer(leaving=True))
     assert not present.usable(1.0)
 
 
@@ -185,7 +185,7 @@
     servers = backends.Backends()
     former = servers.put(REGISTRATION)
     present = servers.put(attrs.evolve(REGISTRATION, born=200))
-    taker(servers).apply(former, answer(leaving=True))
+    new_notices(servers).apply(former, answer(leaving=True))
     assert present.usable(1.0)
 
 
@@ -194,10 +194,10 @@
     asked = servers.put(REGISTRATION)
     other = servers.put(attrs.evolve(REGISTRATION, server="s1"))
     found = answer(status=421, not_run=True, leaving=True)
-    taker(servers).apply(asked, found)
+    new_notices(servers).apply(asked, found)
     assert not asked.is_leaving()
     assert not other.is_leaving()
-    taker(servers).apply(asked, attrs.evolve(found, server="s1"))
+    new_notices(servers).apply(asked, attrs.evolve(found, server="s1"))
     assert not asked.notice.leaving
     assert other.is_leaving()
 
@@ -207,6 +207,6 @@
     view.want(MODEL, 2, 0.0)
     leaves = view.servers.put(REGISTRATION)
     stays = view.servers.put(attrs.evolve(REGISTRATION, server="s1"))
-    taker(view.servers).apply(leaves, answer(leaving=True))
+    new_notices(view.servers).apply(leaves, answer(leaving=True))
     rollout = rollouts.Rollout(view=view)
     assert rollout.behind(MODEL) == [stays]
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -27,7 +27,7 @@
     """Returns what takes answers, and the server that gives them."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
-    return test_router_notices.taker(servers), backend
+    return test_router_notices.new_notices(servers), backend
 
 
 @pytest.mark.parametrize(
