--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -181,7 +181,7 @@
     assert present.usable(1.0)
 
 
-def test_an_answer_of_a_former_incarnation_leaves_the_current_one():
+def test_a_notice_of_a_former_incarnation_is_not_applied():
     servers = backends.Backends()
     former = servers.put(REGISTRATION)
     present = servers.put(attrs.evolve(REGISTRATION, born=200))
