--- a/pimentoledge/routing/exchanges.py
+++ b/pimentoledge/routing/exchanges.py
@@ -368,7 +368,9 @@
         self.history.note_outcome(incarnation, outcome)
         if outcome is retry_rules.AttemptOutcome.BROKE:
             backend.note_request_failure(clocks.now())
-            self.view.suspects.broke(self.content, incarnation, clocks.now())
+            self.view.suspects.record_break(
+                self.content, incarnation, clocks.now()
+            )
 
     def _consume_retry_budget(self, backend: backends.Backend) -> bool:
         """Counts a first send or a retry; returns whether it may be sent."""
@@ -546,7 +548,7 @@
     ) -> None:
         """Applies what a response head reports about its server."""
         backend = attempt.backend
-        self.notices.take(backend, answer, attempt.sent)
+        self.notices.apply(backend, answer, attempt.sent)
         if answer.load is not None:
             backend.update_load(answer.load, clocks.now())
         reported = answer.server
@@ -611,14 +613,14 @@
         """
         if status >= 500 and status != GATEWAY_TIMEOUT:
             backend.note_request_failure(clocks.now())
-            self.view.suspects.served(self.content)
+            self.view.suspects.clear(self.content)
         else:
             self._record_success(backend)
 
     def _record_success(self, backend: backends.Backend) -> None:
         """Counts a success for the server and for the request's content."""
         backend.note_success()
-        self.view.suspects.served(self.content)
+        self.view.suspects.clear(self.content)
 
     def _record_refusal(
         self,
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -293,7 +293,9 @@
 
     def server_died(self, incarnation: str) -> None:
         """Reports the requests of a crashed server to the other routers."""
-        for content in self.view.suspects.died(incarnation, clocks.now()):
+        for content in self.view.suspects.record_death(
+            incarnation, clocks.now()
+        ):
             self.lines.write("crashed", content=content, server=incarnation)
             self._send_all(
                 self.roster.partners,
@@ -303,7 +305,7 @@
             )
 
     def _handle_crash_report(self, crash: peer_messages.CrashReport) -> None:
-        is_new = self.view.suspects.crashed(
+        is_new = self.view.suspects.record_crash(
             crash.content, crash.incarnation, clocks.now()
         )
         if is_new and not self.roster.reaches_all():
--- a/pimentoledge/routing/replicators.py
+++ b/pimentoledge/routing/replicators.py
@@ -101,10 +101,10 @@
             if mirror is None or mirror.revision is None:
                 continue
             if name == "weights" or changed_at <= mirror.revision:
-                mirror.freshen(now - age / 1000)
+                mirror.advance_known_at(now - age / 1000)
 
     def poll_rank(self) -> int:
-        """Returns when this router polls the store, as an index of LOOK_SHARES.
+        """Returns when this router polls the store, as an index of POLL_SHARES.
 
         In a small fleet the first to poll is a router that can reach the
         store, in a large one the first of each data centre. The latter may
--- a/pimentoledge/routing/view_updaters.py
+++ b/pimentoledge/routing/view_updaters.py
@@ -1,4 +1,4 @@
-"""Turns objects of the store, as they come, into beliefs."""
+"""Applies changed objects of the store to the cluster view."""
 
 import logbook
 
@@ -13,25 +13,27 @@
 
 logger = logbook.Logger("takers")
 
-# For so long after its start a router lets requests begin on weights that may
-# have been superseded at any time before, unless another router knows since
-# when.
-START_SECONDS = 3.0
+# How long after its start a router lets requests begin on weights that may have
+# been superseded at any earlier time, unless another router reports when they
+# were superseded.
+STARTUP_SECONDS = 3.0
 
 
 class ViewUpdater:
-    """Turns objects of the store into beliefs.
+    """Applies changed objects of the store to the cluster view.
 
     Attributes:
-        view: what the process believes.
-        lines: where changes of belief are written.
-        beat_now: called when something changed that other routers should hear.
-        died: called with a server that is gone without having left.
-        restarted: called with the address of a server that has started again
-            under its id.
-        lapse_ends: returns until when a server that is gone may come back.
-        lapsed: servers that are gone from the store and still used, with the
-            time at which they are gone for good.
+        view: the process's view of the cluster.
+        lines: log of changes of the view.
+        on_change: called when a change should be sent to the other routers.
+        on_death: called with the incarnation of a server that was removed
+            without having announced that it leaves.
+        on_restart: called with the address of a server that restarted under the
+            same id.
+        lapse_ends: returns until when the entry of a removed server may be
+            written again.
+        lapsed: servers whose entries lapsed and that are still used, with the
+            time at which they are removed.
     """
 
     def __init__(
@@ -39,33 +41,33 @@
         *,
         view: cluster_views.ClusterView,
         lines: log_lines.Lines,
-        news=lambda: None,
-        died=lambda incarnation: None,
+        on_change=lambda: None,
+        on_death=lambda incarnation: None,
         lapse_ends=lambda: 0.0,
-        restarted=lambda address: None,
+        on_restart=lambda address: None,
     ):
         self.view = view
         self.lines = lines
-        self.beat_now = news
-        self.died = died
+        self.on_change = on_change
+        self.on_death = on_death
         self.lapse_ends = lapse_ends
-        self.restarted = restarted
+        self.on_restart = on_restart
         self.lapsed: dict[str, float] = {}
         self._weights_listed = False
 
-    def configuration(
+    def apply_configuration(
         self, changed: list[registrations.Stored], removed: list[str]
     ) -> None:
-        """Takes the configuration, if it is newer."""
+        """Applies the configuration, if it is newer."""
         for each in changed:
             if each.name == names.CONFIGURATION:
-                self._configure(each)
+                self._apply_newer_configuration(each)
 
-    def _decoded(self, decode, each: registrations.Stored):
-        """Returns an object decoded, or None if it can't be.
+    def _decode(self, decode, each: registrations.Stored):
+        """Returns a decoded object, or None if it can't be decoded.
 
-        One bad object must not hide the others of its kind; what was known
-        before stays in force.
+        An invalid object must not prevent the use of others of its kind, so
+        it is logged and skipped.
         """
         try:
             return decode(each)
@@ -75,100 +77,101 @@
             )
             return None
 
-    def _configure(self, each: registrations.Stored) -> None:
-        fresh = self._decoded(objects.configuration, each)
-        if fresh is None:
+    def _apply_newer_configuration(self, each: registrations.Stored) -> None:
+        received = self._decode(objects.configuration, each)
+        if received is None:
             return
-        held = self.view.configuration
-        if held is not None and held.version >= fresh.version:
+        current = self.view.configuration
+        if current is not None and current.version >= received.version:
             return
-        self.view.configuration = fresh
+        self.view.configuration = received
         self.view.configured = clocks.now()
         self.lines.write(
-            "configuration", version=fresh.version, revision=each.revision
+            "configuration", version=received.version, revision=each.revision
         )
-        self.beat_now()
+        self.on_change()
 
-    def weights(
+    def apply_weights(
         self, changed: list[registrations.Stored], removed: list[str]
     ) -> None:
-        """Takes named weights, if they are newer."""
-        since, source = self._named_since()
+        """Applies the wanted versions of weights, if they are newer."""
+        since, source = self._named_at()
         self._weights_listed = True
         for each in changed:
-            named = self._decoded(objects.named_weights, each)
+            named = self._decode(objects.named_weights, each)
             if named is None:
                 continue
             self.want(named.model, named.version, since, "store", source=source)
 
-    def _named_since(self) -> tuple[float, wanted_weights.Source]:
-        """Returns since when weights read now are named, and how that is known.
+    def _named_at(self) -> tuple[float, wanted_weights.Source]:
+        """Returns when weights read now were named, and the source of the time.
 
-        What a wait brings is new. What a look finds may have been named at any
-        time since the kind was last known to be whole, and what is listed at
-        the start at any time.
+        Weights from a watch were named just now. Those found by a poll may have
+        been named at any time since the kind was last known completely, and
+        those of the first listing at any time before.
         """
         now = clocks.now()
         if not self._weights_listed:
-            return self._unknown_since(), wanted_weights.Source.GUESSED
-        unseen_seconds = self._unseen_seconds()
-        if not unseen_seconds:
+            return self._assumed_named_at(), wanted_weights.Source.GUESSED
+        change_age = self._change_age_seconds()
+        if not change_age:
             return now, wanted_weights.Source.HEARD
-        return now - unseen_seconds, wanted_weights.Source.NOT_BEFORE
+        return now - change_age, wanted_weights.Source.NOT_BEFORE
 
-    def _unknown_since(self) -> float:
-        """Returns since when weights of unknown age count as named.
+    def _assumed_named_at(self) -> float:
+        """Returns the assumed naming time of weights of unknown age.
 
-        Taken for older, runners that have yet to load would serve nobody in
-        the first seconds; taken for younger, the bound would be passed.
+        With an earlier time, runners that have yet to load the weights would
+        get no requests in the first seconds. With a later one, requests would
+        begin on superseded weights past the bound.
         """
-        copied = self.view.copied.get("weights")
-        silent_at = copied.silent_at if copied is not None else 0.0
-        over = max(self.view.born, silent_at) + START_SECONDS
-        return over - self.view.bounds.weights_seconds
+        cache = self.view.caches_by_kind.get("weights")
+        silent_at = cache.silent_at if cache is not None else 0.0
+        allowed_until = max(self.view.born, silent_at) + STARTUP_SECONDS
+        return allowed_until - self.view.bounds.weights_seconds
 
-    def _unseen_seconds(self) -> float:
-        """Returns how long ago at most the store's newest naming came about."""
-        copied = self.view.copied.get("weights")
-        return copied.unseen_seconds if copied is not None else 0.0
+    def _change_age_seconds(self) -> float:
+        """Returns the greatest possible age of the newest named weights."""
+        cache = self.view.caches_by_kind.get("weights")
+        return cache.change_age_seconds if cache is not None else 0.0
 
     def want(
         self,
         model: str,
         version: int,
         since: float,
-        teller: str,
+        reporter: str,
         *,
         source: wanted_weights.Source,
     ) -> None:
-        """Takes a named version, from the store, a router or a runner."""
+        """Records a wanted version from the store, a router or a runner."""
         if self.view.want(model, version, since, source=source):
             self.lines.write(
                 "weights_named",
                 model=model,
                 version=version,
-                teller=teller,
+                teller=reporter,
                 age=round(clocks.now() - since, 2),
                 source=source.name,
             )
-            self.beat_now()
+            self.on_change()
 
-    def servers(
+    def apply_servers(
         self, changed: list[registrations.Stored], removed: list[str]
     ) -> None:
-        """Takes registrations of backend servers."""
+        """Applies changed and removed registrations of backend servers."""
         for each in changed:
-            registration = self._decoded(objects.registration, each)
+            registration = self._decode(objects.registration, each)
             if registration is None:
-                # It may have left, for all that this says.
+                # An unreadable entry may say that the server is leaving.
                 if each.name in self.view.servers.by_server:
-                    self._gone(each.name)
+                    self._remove_server(each.name)
                 continue
             self.lapsed.pop(each.name, None)
             former = self.view.servers.by_server.get(each.name)
             present = self.view.servers.put(registration)
             if former not in (None, present):
-                self._started_again(former)
+                self._handle_restart(former)
             self.lines.write(
                 "server",
                 server=present.registration.incarnation,
@@ -176,56 +179,58 @@
                 leaving=registration.leaving,
                 weights=registration.weights,
             )
-            self._weights_shown(registration)
+            self._infer_named_weights(registration)
         ends = self.lapse_ends()
         for name in removed:
             if clocks.now() < ends:
                 self.lapsed[name] = ends
                 self.lines.write("server_lapsed", server=name)
             else:
-                self._gone(name)
+                self._remove_server(name)
 
-    def _weights_shown(self, shown: registrations.Registration) -> None:
-        """Takes a runner's weights as proof that their version was named.
+    def _infer_named_weights(
+        self, registration: registrations.Registration
+    ) -> None:
+        """Infers wanted versions from the weights that a runner has loaded.
 
-        It may have been at any time since named weights were known to be
-        whole.
+        They may have been named at any time since all named weights were last
+        known.
         """
-        for model, version in shown.weights.items():
+        for model, version in registration.weights.items():
             wanted = self.view.wanted.get(model)
             if wanted is None or wanted.version < version:
                 since = self.view.known_at("weights")
                 source = wanted_weights.Source.NOT_BEFORE
                 if not since:
-                    since = self._unknown_since()
+                    since = self._assumed_named_at()
                     source = wanted_weights.Source.GUESSED
                 self.want(model, version, since, "runner", source=source)
 
-    def _started_again(self, former: backends.Backend) -> None:
-        """Takes that a server has begun another life under its id.
+    def _handle_restart(self, former: backends.Backend) -> None:
+        """Handles the restart of a server under the same id.
 
-        Its connections ended with the life before. A request sent on one
-        would be lost with it, and could not be sent again.
+        Connections to the former incarnation are dead. A request sent on one
+        would be lost, and could not safely be retried.
         """
-        self.restarted(former.registration.address)
+        self.on_restart(former.registration.address)
         if not former.announced_leaving():
-            self.died(former.registration.incarnation)
+            self.on_death(former.registration.incarnation)
         self.lines.write(
             "server_restarted", server=former.registration.incarnation
         )
 
-    def _gone(self, name: str) -> None:
-        gone = self.view.servers.remove(name)
-        if gone is None:
+    def _remove_server(self, name: str) -> None:
+        removed = self.view.servers.remove(name)
+        if removed is None:
             self.lines.write("server_gone", server=name)
             return
-        if not gone.announced_leaving():
-            self.died(gone.registration.incarnation)
-        self.lines.write("server_gone", server=gone.registration.incarnation)
+        if not removed.announced_leaving():
+            self.on_death(removed.registration.incarnation)
+        self.lines.write("server_gone", server=removed.registration.incarnation)
 
     def tick(self, now: float) -> None:
-        """Takes away servers that lapsed and did not come back."""
+        """Removes lapsed servers whose entries did not return in time."""
         for name, until in list(self.lapsed.items()):
             if now >= until:
                 del self.lapsed[name]
-                self._gone(name)
+                self._remove_server(name)
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -442,8 +442,8 @@
     def test_content_of_two_crashed_servers_is_quarantined_for_a_while(self):
         known = suspects.Suspects()
         for name, when in (("i", 1.0), ("j", 2.0)):
-            known.broke("c", name, when)
-            assert known.died(name, when + 0.5) == ["c"]
+            known.record_break("c", name, when)
+            assert known.record_death(name, when + 0.5) == ["c"]
         assert known.is_quarantined("c", 3.0)
         assert not known.is_quarantined("d", 3.0)
         assert not known.is_quarantined("c", 3.0 + suspects.MEMORY_SECONDS)
@@ -452,15 +452,15 @@
         """Guards against refusing harmless requests after lost responses."""
         known = suspects.Suspects()
         for number in range(9):
-            known.broke("c", f"i{number}", 1.0)
+            known.record_break("c", f"i{number}", 1.0)
         assert not known.is_quarantined("c", 2.0)
-        assert not known.died("i1", 1.0 + suspects.DEATH_SECONDS + 0.1)
+        assert not known.record_death("i1", 1.0 + suspects.DEATH_SECONDS + 0.1)
 
     def test_a_complete_response_clears_the_suspicion(self):
         known = suspects.Suspects()
-        known.crashed("c", "i", 1.0)
-        known.served("c")
-        known.crashed("c", "j", 2.0)
+        known.record_crash("c", "i", 1.0)
+        known.clear("c")
+        known.record_crash("c", "j", 2.0)
         assert not known.is_quarantined("c", 3.0)
 
 
@@ -471,7 +471,7 @@
         seen = []
         held = object_caches.ObjectCache(
             kind="k",
-            take=lambda changed, removed: seen.append(
+            on_change=lambda changed, removed: seen.append(
                 ([each.name for each in changed], removed)
             ),
         )
@@ -904,13 +904,13 @@
         on older weights.
         """
         taken = self.takers()
-        taken.weights([], [])
-        taken.weights([self.named(2)], [])
+        taken.apply_weights([], [])
+        taken.apply_weights([self.named(2)], [])
         assert self.age(taken) < 1.0
 
     def test_a_version_read_at_the_start_may_be_old(self):
         taken = self.takers()
         taken.view.born = clocks.now()
-        taken.weights([self.named(2)], [])
+        taken.apply_weights([self.named(2)], [])
         bound = taken.view.bounds.weights_seconds
-        assert self.age(taken) >= bound - view_updaters.START_SECONDS
+        assert self.age(taken) >= bound - view_updaters.STARTUP_SECONDS
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -299,7 +299,7 @@
 
     def mirror(self):
         cache = object_caches.ObjectCache(
-            kind="servers", take=lambda changed, gone: None
+            kind="servers", on_change=lambda changed, gone: None
         )
         cache.apply(
             registrations.Listing(objects=[self.stored("a", 3)], revision=5)
@@ -467,7 +467,7 @@
     ]
     assert far
     for incarnation in ("p0", "p1"):
-        first.view.suspects.broke("content", incarnation, clocks.now())
+        first.view.suspects.record_break("content", incarnation, clocks.now())
         first.peers.server_died(incarnation)
     await world.until(
         lambda: all(
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -27,7 +27,7 @@
     """Returns a handler of answers and the server that sends them."""
     servers = backends.Backends()
     backend = servers.put(REGISTRATION)
-    return test_router_notices.taker(servers), backend
+    return test_router_notices.new_notices(servers), backend
 
 
 @pytest.mark.parametrize(
@@ -51,11 +51,11 @@
     handler.lines.write = lambda message, **fields: written.append(
         (message, fields)
     )
-    handler.take(backend, limited(2.0), clocks.now())
-    handler.take(backend, limited(2.0), clocks.now())
-    handler.take(backend, limited(1.0), clocks.now())
-    handler.take(backend, answer(limit_text="many"), clocks.now())
-    handler.take(backend, answer(), clocks.now())
+    handler.apply(backend, limited(2.0), clocks.now())
+    handler.apply(backend, limited(2.0), clocks.now())
+    handler.apply(backend, limited(1.0), clocks.now())
+    handler.apply(backend, answer(limit_text="many"), clocks.now())
+    handler.apply(backend, answer(), clocks.now())
     assert [message for message, _ in written] == [
         "server_limit",
         "server_limit",
@@ -68,9 +68,9 @@
 
 def test_a_limit_ends_with_an_answer_without_one():
     handler, backend = handler_and_server()
-    handler.take(backend, limited(), clocks.now())
+    handler.apply(backend, limited(), clocks.now())
     assert handler.limits.get(SERVER) == 1.0
-    handler.take(backend, answer(), clocks.now())
+    handler.apply(backend, answer(), clocks.now())
     assert handler.limits.get(SERVER) is None
 
 
@@ -83,39 +83,39 @@
 )
 def test_a_limit_is_not_ended_by(other):
     handler, backend = handler_and_server()
-    handler.take(backend, limited(), clocks.now())
-    handler.take(backend, other, clocks.now())
+    handler.apply(backend, limited(), clocks.now())
+    handler.apply(backend, other, clocks.now())
     assert handler.limits.get(SERVER) == 1.0
 
 
 def test_a_report_without_a_limit_ends_none_and_one_with_it_counts():
     handler, _ = handler_and_server()
-    handler.take_reply(REGISTRATION, limited(2.0))
-    handler.take_reply(REGISTRATION, answer())
+    handler.apply_reply(REGISTRATION, limited(2.0))
+    handler.apply_reply(REGISTRATION, answer())
     assert handler.limits.get(SERVER) == 2.0
 
 
 def test_an_overtaken_answer_only_lowers_a_limit():
     handler, backend = handler_and_server()
     before = clocks.now()
-    handler.take(backend, limited(2.0), before)
-    handler.take(backend, answer(), before)
-    handler.take(backend, limited(3.0), before)
+    handler.apply(backend, limited(2.0), before)
+    handler.apply(backend, answer(), before)
+    handler.apply(backend, limited(3.0), before)
     assert handler.limits.get(SERVER) == 2.0
-    handler.take(backend, limited(1.0), before)
+    handler.apply(backend, limited(1.0), before)
     assert handler.limits.get(SERVER) == 1.0
 
 
 def test_a_new_incarnation_has_no_limit():
     handler, backend = handler_and_server()
-    handler.take(backend, limited(), clocks.now())
+    handler.apply(backend, limited(), clocks.now())
     later = attrs.evolve(REGISTRATION, born=200)
     assert handler.limits.get(later.incarnation) is None
 
 
 def test_a_limit_of_zero_permits_the_answer_that_ends_it():
     handler, backend = handler_and_server()
-    handler.take(backend, limited(0.0), clocks.now())
+    handler.apply(backend, limited(0.0), clocks.now())
     assert handler.limits.get(SERVER) == server_limits.MIN_PER_SECOND
 
 
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -113,7 +113,7 @@
 def name_limit(router, server, per_second):
     """Passes a router an answer in which a server advertises a limit."""
     backend = router.view.servers.by_incarnation[server]
-    router.notices.take(backend, limited(per_second), clocks.now())
+    router.notices.apply(backend, limited(per_second), clocks.now())
     return backend
 
 
@@ -237,8 +237,8 @@
     backend = name_limit(router, "r0", 1.0)
     backend.limited_until = clocks.now() + 60.0
     reached = len(world.servers["r0"].reached)
-    router.rechecks.doubt(backend)
-    await world.until(lambda: not router.rechecks.asking)
+    router.rechecks.recheck(backend)
+    await world.until(lambda: not router.rechecks.pending)
     assert len(world.servers["r0"].reached) == reached
 
 
@@ -291,7 +291,7 @@
     now = clocks.now()
     router.pauses.ticked = now - 5.0
     backend = router.view.servers.by_incarnation["p0"]
-    router.notices.take(backend, limited(2.0), now + 1.0)
+    router.notices.apply(backend, limited(2.0), now + 1.0)
     assert limits.advertised["p0"].received_at == now - 5.0
     meanwhile = server_limits.AdvertisedLimit(
         per_second=1.0, received_at=now - 3.0
