--- a/benches/admission.py
+++ b/benches/admission.py
@@ -419,7 +419,7 @@
             longest = 0.0
             for number in range(30_000):
                 start = now = number / 100
-                budget.request(now)
+                budget.record_request(now)
                 state = retries.AttemptState(deadline=start + 60)
                 while True:
                     attempts += 1
--- a/benches/baselines.py
+++ b/benches/baselines.py
@@ -28,12 +28,14 @@
         now: float,
     ) -> placement.Choice:
         """Returns where a request shall run."""
-        allowed = [each for each in servers if self.allowed(wanted, each)]
-        usable = [each for each in allowed if self.fit(each.name, now)]
+        allowed = [each for each in servers if self.is_eligible(wanted, each)]
+        usable = [
+            each for each in allowed if self.is_past_backoff(each.name, now)
+        ]
         names = [each.name for each in usable or allowed]
         if not names:
             return placement.Choice(server=None, reason="no usable server")
-        self.remember(wanted)
+        self.add_pending(wanted)
         name = self.pick(wanted, names, now)
         return placement.Choice(
             server=name, incarnation=self.life(name).incarnation
@@ -73,7 +75,7 @@
 
         def key(name: str) -> tuple[float, int, float]:
             load = self.loads.get(name)
-            wait = load.wait_seconds(now, self.residence) if load else 0.0
+            wait = load.wait_seconds(now, self.slot_seconds) if load else 0.0
             return (wait, self.outstanding(name), self.random.random())
 
         return min(names, key=key)
@@ -166,7 +168,7 @@
             cached = agent.engine.depth(wanted.blocks) * wanted.block_tokens
             left = wanted.prompt_tokens - cached + agent.left_tokens()
             over = len(agent.jobs) - pool.slots + 1
-            slot = max(0, over) * self.residence / pool.slots
+            slot = max(0, over) * self.slot_seconds / pool.slots
             return (max(left * pool.token_seconds, slot), len(name))
 
         return min(names, key=cost)
--- a/benches/placement_runs.py
+++ b/benches/placement_runs.py
@@ -267,7 +267,7 @@
     def arrive(self, arrival: workloads.Arrival):
         """A request reaches its entry."""
         entry = self.entries[arrival.entry]
-        entry.budget.request(self.now)
+        entry.budget.record_request(self.now)
         self.place(entry.placer, arrival)
 
     def place(self, placer: placement.Placer, arrival: workloads.Arrival):
--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -107,7 +107,7 @@
 
     def handle(self, event: object, now: float) -> Actions:
         """Takes an event and returns what to do."""
-        todo = self.configure(event, now)
+        todo = self.handle_configuration(event, now)
         todo += self.quarantine.handle(event, now)
         match event:
             case events.FromNode():
@@ -118,34 +118,36 @@
                 todo += self.caller_gone(event, now)
             case events.Unreachable():
                 todo += self.unreachable(event, now)
-                todo += self.limited(self.limits.handle(event, now), now)
+                todo += self.apply_limit_outputs(
+                    self.limits.handle(event, now), now
+                )
             case events.VmsListed():
                 self.membership.vms(event.vms, now)
             case events.Drain():
                 self.draining = True
         return todo
 
-    def configure(self, event: object, now: float) -> Actions:
+    def handle_configuration(self, event: object, now: float) -> Actions:
         """Lets the machines of the configuration take an event."""
         todo = self.distributor.handle(event, now)
         todo += self.administration.handle(event, now)
-        return todo + self.declared(now)
+        return todo + self.apply_new_configuration(now)
 
-    def declared(self, now: float) -> Actions:
+    def apply_new_configuration(self, now: float) -> Actions:
         """Goes by what is declared, when that has changed."""
         if self.root == self.configuration.root:
             return []
         self.root = self.configuration.root
         peers = [each.mailbox for each in self.configuration.entries()]
         self.quarantine.peers = [each for each in peers if each != self.address]
-        return self.limited(self.limits.entries(peers, now), now)
+        return self.apply_limit_outputs(self.limits.entries(peers, now), now)
 
     def tick(self, now: float) -> Actions:
         """Does what is due."""
         todo = self.distributor.wake(now)
         todo += self.administration.wake(now)
         todo += self.quarantine.wake(now)
-        todo += self.ask_closed(now)
+        todo += self.probe_closed_servers(now)
         for kind, request in self.timers.due(now):
             ticket = self.tickets.get(request)
             if ticket is None:
@@ -154,15 +156,15 @@
                 case "deadline":
                     todo += self.too_late(ticket, now)
                 case "quiet":
-                    todo += self.quiet(ticket, now)
+                    todo += self.check_silence(ticket, now)
                 case "retry":
                     todo += self.place(ticket, now)
         wake = self.limits.next_wake()
         if wake is not None and wake <= now:
-            todo += self.limited(self.limits.handle(None, now), now)
+            todo += self.apply_limit_outputs(self.limits.handle(None, now), now)
         return todo
 
-    def ask_closed(self, now: float) -> Actions:
+    def probe_closed_servers(self, now: float) -> Actions:
         """Asks servers that take no new work whether they do again."""
         closed = [
             self.configuration.server(name)
@@ -205,7 +207,9 @@
             case messages.Frames():
                 return self.frames(message.frames, event.sender, now)
             case messages.Borrow() | messages.Lend():
-                return self.limited(self.limits.handle(event, now), now)
+                return self.apply_limit_outputs(
+                    self.limits.handle(event, now), now
+                )
             case messages.Report():
                 return self.report(message, event.sender, now)
         ticket = self.current(message, event.sender)
@@ -219,7 +223,7 @@
         match message:
             case messages.Admitted():
                 ticket.phase = tickets.Phase.ADMITTED
-                self.watch(ticket, now + SILENCE_SECONDS)
+                self.set_silence_timer(ticket, now + SILENCE_SECONDS)
             case messages.Refused():
                 return self.refused(ticket, message, now)
             case messages.Finished():
@@ -265,17 +269,19 @@
                     requests.log_poison(ticket),
                     _error(event.request, error),
                 ]
-        self.budget.request(now)
+        self.budget.record_request(now)
         self.tickets[event.request] = ticket
         self.timers.set((_DEADLINE, event.request), ticket.deadline)
         match self.limits.take(ticket.contract, event.request, now):
             case limits.Granted(sends=sends):
-                return self.limited(sends, now) + self.place(ticket, now)
+                return self.apply_limit_outputs(sends, now) + self.place(
+                    ticket, now
+                )
             case limits.Refused(error=error, sends=sends):
                 done = self.end_error(ticket, error, now)
-                return self.limited(sends, now) + done
+                return self.apply_limit_outputs(sends, now) + done
             case limits.Waiting(sends=sends):
-                return self.limited(sends, now)
+                return self.apply_limit_outputs(sends, now)
 
     def ticket(
         self,
@@ -290,32 +296,34 @@
             event=event,
             contract=contract,
             deadline=deadline,
-            blocks=requests.blocks(
+            blocks=requests.prompt_blocks(
                 event, contract.organisation, self.block_bytes
             ),
             fingerprint=acceptance.fingerprint(contract.organisation, event),
             stream=streams.Stream(request=event.request),
-            tries=retries.AttemptState(deadline=deadline),
+            attempt_state=retries.AttemptState(deadline=deadline),
         )
-        ticket.tries.repeatable = ticket.repeatable()
+        ticket.attempt_state.repeatable = ticket.repeatable()
         return ticket
 
-    def limited(self, outputs: list[object], now: float) -> Actions:
+    def apply_limit_outputs(self, outputs: list[object], now: float) -> Actions:
         """Carries out what the limits say."""
         todo: Actions = []
         for output in outputs:
             match output:
                 case limits.Decided():
-                    todo += self.decided(output, now)
+                    todo += self.limit_decided(output, now)
                 case _:
                     todo.append(output)
         return todo
 
-    def decided(self, decided: limits.Decided, now: float) -> Actions:
+    def limit_decided(self, decided: limits.Decided, now: float) -> Actions:
         """Goes on with a request that waited for its limit."""
         ticket = self.tickets.get(decided.request)
         if ticket is None:
-            return self.limited(self.limits.release(decided.request, now), now)
+            return self.apply_limit_outputs(
+                self.limits.release(decided.request, now), now
+            )
         if decided.error is not None:
             return self.end_error(ticket, decided.error, now)
         return self.place(ticket, now)
@@ -332,13 +340,13 @@
                 ticket.crashes = crashes
                 request = ticket.event.request
                 if not self.quarantine.begin(ticket.fingerprint, request):
-                    return self.step(ticket, _ANOTHER_COPY, now)
+                    return self.handle_failure(ticket, _SUSPECT_BUSY, now)
         choice = self.choose(ticket, now)
         log = requests.log_route(ticket, choice)
         server = self.configuration.server(choice.server or "")
         if server is None:
             failure = retries.NoCandidate()
-            return [log, *self.step(ticket, failure, now)]
+            return [log, *self.handle_failure(ticket, failure, now)]
         attempt = ticket.stream.new_attempt()
         ticket.phase = tickets.Phase.SENT
         ticket.server = server.name
@@ -352,7 +360,7 @@
         request = ticket.event.request
         self.placer.sent(server.name, request, max(0, uncached), now)
         self.membership.dispatched(server.name, now)
-        self.watch(ticket, now + ANSWER_SECONDS)
+        self.set_silence_timer(ticket, now + ANSWER_SECONDS)
         return [log, actions.Send(address=server.agent, message=dispatch)]
 
     def choose(self, ticket: tickets.Ticket, now: float) -> placement.Choice:
@@ -370,18 +378,22 @@
             # line at once, instead of being tried at the dead one first.
             usable = self.owners(ticket, serves, usable)
         elif ticket.crashes:
-            return self.choose_apart(ticket, usable)
-        wanted = requests.wanted(ticket, serves, self.block_bytes, now)
+            return self.choose_for_suspect(ticket, usable)
+        wanted = requests.placement_request(
+            ticket, serves, self.block_bytes, now
+        )
         return self.placer.choose(wanted, usable, now)
 
-    def choose_apart(
+    def choose_for_suspect(
         self,
         ticket: tickets.Ticket,
         usable: list[declarations.BackendServer],
     ) -> placement.Choice:
         """Returns where a suspect shall run, the same at each entry."""
         names = [
-            each.name for each in usable if each.name not in ticket.tries.avoid
+            each.name
+            for each in usable
+            if each.name not in ticket.attempt_state.avoid
         ]
         order = self.quarantine.servers(ticket.fingerprint, names)
         return placement.Choice(
@@ -399,7 +411,11 @@
         shard = claim_records.shard_of(
             ticket.contract.organisation, ticket.event.idempotency_key
         )
-        left = [each for each in usable if each.name not in ticket.tries.avoid]
+        left = [
+            each
+            for each in usable
+            if each.name not in ticket.attempt_state.avoid
+        ]
         owner = claim_records.owner(serves, shard, left)
         return [owner] if owner is not None else []
 
@@ -415,7 +431,7 @@
                 continue
             delivered = ticket.stream.accept(frame)
             if isinstance(delivered, streams.Broken):
-                todo += self.broken(ticket, now)
+                todo += self.stream_broken(ticket, now)
                 continue
             if not delivered:
                 continue
@@ -429,14 +445,14 @@
                 )
         return todo
 
-    def broken(self, ticket: tickets.Ticket, now: float) -> Actions:
+    def stream_broken(self, ticket: tickets.Ticket, now: float) -> Actions:
         """Goes on with a stream that lost frames."""
         failure = retries.Broken(
             server=ticket.server,
             code=results.Code.STREAM_BROKEN,
             ran=results.Ran.RAN,
         )
-        return [self.cancel(ticket), *self.step(ticket, failure, now)]
+        return [self.cancel(ticket), *self.handle_failure(ticket, failure, now)]
 
     def refused(
         self, ticket: tickets.Ticket, message: messages.Refused, now: float
@@ -445,24 +461,24 @@
         code = results.Code(message.code)
         if code == results.Code.SERVER_DOWN:
             self.membership.refused(ticket.server, now)
-        if code in _FINAL:
+        if code in _FINAL_CODES:
             error = results.Error(
                 code=code,
-                ran=ticket.tries.ran,
+                ran=ticket.attempt_state.ran,
                 retry_after=message.retry_after,
             )
             return self.end_error(ticket, error, now)
         failure = retries.NotRun(
             server=ticket.server, code=code, retry_after=message.retry_after
         )
-        return self.step(ticket, failure, now)
+        return self.handle_failure(ticket, failure, now)
 
     def failed(
         self, ticket: tickets.Ticket, message: messages.Failed, now: float
     ) -> Actions:
         """Goes on with a request that was admitted and failed."""
         code = results.Code(message.code)
-        if code in _FINAL:
+        if code in _FINAL_CODES:
             error = results.Error(code=code, ran=results.Ran(message.ran))
             return self.end_error(ticket, error, now)
         todo: Actions = []
@@ -473,7 +489,7 @@
         failure = retries.Broken(
             server=ticket.server, code=code, ran=results.Ran(message.ran)
         )
-        return todo + self.step(ticket, failure, now)
+        return todo + self.handle_failure(ticket, failure, now)
 
     def finished(
         self, ticket: tickets.Ticket, message: messages.Finished, now: float
@@ -481,7 +497,7 @@
         """Ends a stream, if all of it has been passed on."""
         match ticket.stream.finish(message):
             case streams.Broken():
-                return self.broken(ticket, now)
+                return self.stream_broken(ticket, now)
             case streams.Complete(completion_tokens=tokens):
                 pass
             case _:
@@ -520,11 +536,11 @@
         )
         return [reply, *self.end(ticket, now)]
 
-    def step(
+    def handle_failure(
         self, ticket: tickets.Ticket, failure: retries.Failure, now: float
     ) -> Actions:
         """Tries a failed request again, or gives its final answer at once."""
-        tries = ticket.tries
+        tries = ticket.attempt_state
         tries.streamed = ticket.stream.tokens
         tries.continuable = ticket.stream.can_continue()
         next_step = retries.next_step(tries, failure, self.budget, now)
@@ -548,7 +564,7 @@
         self.quarantine.end(ticket.fingerprint, request)
         for kind in (_DEADLINE, _QUIET, _RETRY):
             self.timers.cancel((kind, request))
-        return self.limited(self.limits.release(request, now), now)
+        return self.apply_limit_outputs(self.limits.release(request, now), now)
 
     def end_error(
         self, ticket: tickets.Ticket, error: results.Error, now: float
@@ -569,43 +585,43 @@
         if ticket is None:
             return []
         todo: Actions = []
-        if _is_out(ticket):
+        if _is_with_agent(ticket):
             todo.append(self.cancel(ticket))
         return todo + self.end(ticket, now)
 
     def too_late(self, ticket: tickets.Ticket, now: float) -> Actions:
         """Ends a request whose time is up, saying truly whether it ran."""
-        ran = ticket.tries.ran
+        ran = ticket.attempt_state.ran
         if ticket.stream.tokens:
             ran = results.Ran.RAN
-        elif _is_out(ticket):
+        elif _is_with_agent(ticket):
             ran = results.Ran.UNKNOWN
         error = results.Error(code=results.Code.DEADLINE_PASSED, ran=ran)
-        todo = [self.cancel(ticket)] if _is_out(ticket) else []
+        todo = [self.cancel(ticket)] if _is_with_agent(ticket) else []
         return todo + self.end_error(ticket, error, now)
 
-    def watch(self, ticket: tickets.Ticket, at: float) -> None:
+    def set_silence_timer(self, ticket: tickets.Ticket, at: float) -> None:
         """Sets when a silent agent is to be asked."""
         self.timers.set((_QUIET, ticket.event.request), at)
 
-    def quiet(self, ticket: tickets.Ticket, now: float) -> Actions:
+    def check_silence(self, ticket: tickets.Ticket, now: float) -> Actions:
         """Asks an agent that has been silent, or gives up on it."""
         limit = SILENCE_SECONDS
         if ticket.phase is tickets.Phase.SENT:
             limit = ANSWER_SECONDS
-        if not _is_out(ticket):
+        if not _is_with_agent(ticket):
             return []
         if now - ticket.last_heard_at < limit:
-            self.watch(ticket, ticket.last_heard_at + limit)
+            self.set_silence_timer(ticket, ticket.last_heard_at + limit)
             return []
         if ticket.probed:
-            return self.lost(ticket, results.Ran.UNKNOWN, now)
+            return self.agent_lost(ticket, results.Ran.UNKNOWN, now)
         ticket.probed = True
-        self.watch(ticket, now + PROBE_SECONDS)
+        self.set_silence_timer(ticket, now + PROBE_SECONDS)
         probe = messages.Probe(requests=[ticket.event.request])
         return [actions.Send(address=ticket.agent, message=probe)]
 
-    def lost(
+    def agent_lost(
         self, ticket: tickets.Ticket, ran: results.Ran, now: float
     ) -> Actions:
         """Goes on with a request whose agent can't be reached."""
@@ -626,7 +642,7 @@
             ran=ran,
         )
         cancel = self.cancel(ticket)
-        return [cancel, *suspected, *self.step(ticket, failure, now)]
+        return [cancel, *suspected, *self.handle_failure(ticket, failure, now)]
 
     def report(
         self, message: messages.Report, sender: str, now: float
@@ -639,12 +655,12 @@
             # The messages of one sender come in order, so an answer sent
             # before the report would be here: the agent lost the request.
             if ticket is not None and ticket.agent == sender and ticket.probed:
-                todo += self.lost(ticket, results.Ran.UNKNOWN, now)
+                todo += self.agent_lost(ticket, results.Ran.UNKNOWN, now)
         for ticket in self.tickets.values():
             if ticket.agent == sender and ticket.probed:
                 ticket.last_heard_at = now
                 ticket.probed = False
-                self.watch(ticket, now + SILENCE_SECONDS)
+                self.set_silence_timer(ticket, now + SILENCE_SECONDS)
         return todo
 
     def unreachable(self, event: events.Unreachable, now: float) -> Actions:
@@ -656,7 +672,7 @@
         }
         todo: Actions = []
         for ticket in list(self.tickets.values()):
-            if ticket.agent != event.address or not _is_out(ticket):
+            if ticket.agent != event.address or not _is_with_agent(ticket):
                 continue
             key = (ticket.event.request, ticket.stream.attempt)
             self.membership.refused(ticket.server, now)
@@ -665,15 +681,15 @@
                     server=ticket.server,
                     code=results.Code.AGENT_UNREACHABLE,
                 )
-                todo += self.step(ticket, failure, now)
+                todo += self.handle_failure(ticket, failure, now)
             else:
-                todo += self.lost(ticket, results.Ran.UNKNOWN, now)
+                todo += self.agent_lost(ticket, results.Ran.UNKNOWN, now)
         return todo
 
 
-_ANOTHER_COPY = retries.NotRun(server="", code=results.Code.SUSPECT_BUSY)
+_SUSPECT_BUSY = retries.NotRun(server="", code=results.Code.SUSPECT_BUSY)
 # An agent's word that ends the request: nothing else may be tried.
-_FINAL = frozenset(
+_FINAL_CODES = frozenset(
     {
         results.Code.CLAIM_RUNNING,
         results.Code.OUTCOME_UNKNOWN,
@@ -698,7 +714,7 @@
     return actions.Send(address=sender, message=cancel)
 
 
-def _is_out(ticket: tickets.Ticket) -> bool:
+def _is_with_agent(ticket: tickets.Ticket) -> bool:
     """Returns whether an agent may hold the request."""
     return ticket.phase in (tickets.Phase.SENT, tickets.Phase.ADMITTED)
 
--- a/pimentoledge/decisions/hints.py
+++ b/pimentoledge/decisions/hints.py
@@ -21,7 +21,7 @@
     server: str
     incarnation: str = ""
     weights: str = ""
-    over: bool = False
+    ended: bool = False
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -55,15 +55,17 @@
         holding = PromptHint(life=life, at=now)
         for block in blocks:
             kept = self.table.get(block, ())
-            others = [each for each in kept if self.keeps(each, life, now)]
+            others = [each for each in kept if self.is_live(each, life, now)]
             self.table[block] = (holding, *others[: self.holders - 1])
             self.table.move_to_end(block)
         while len(self.table) > self.limit:
             self.table.popitem(last=False)
 
-    def keeps(self, holding: PromptHint, life: EngineLife, now: float) -> bool:
+    def is_live(
+        self, holding: PromptHint, life: EngineLife, now: float
+    ) -> bool:
         """Returns whether a holding still says something beside a new one."""
-        if holding.life is life or holding.life.over:
+        if holding.life is life or holding.life.ended:
             return False
         return now - holding.at <= self.seconds
 
@@ -73,7 +75,7 @@
         for depth in range(len(blocks), 0, -1):
             for holding in self.table.get(blocks[depth - 1], ()):
                 life = holding.life
-                if life.over or now - holding.at > self.seconds:
+                if life.ended or now - holding.at > self.seconds:
                     continue
                 found.setdefault(life.server, depth)
         return found
--- a/pimentoledge/decisions/homes.py
+++ b/pimentoledge/decisions/homes.py
@@ -19,7 +19,7 @@
 # Blocks between two counted depths; the first is the shallowest hashed.
 _STRIDE_BLOCKS = 8
 _WINDOW_SECONDS = 30.0
-_COUNTED = 20_000
+_MAX_COUNTED = 20_000
 # A prefix is split when its traffic is more than this many times the mean of
 # one server, and joined again below half of that. The gap matters: entries
 # count samples, and near a single limit they would disagree on the depth for
@@ -27,12 +27,12 @@
 _SPLIT_SHARE = 1.3
 _JOIN_FACTOR = 0.5
 # With fewer requests counted, a share is mostly chance.
-_SPLIT_REQUESTS = 12
+_MIN_SPLIT_REQUESTS = 12
 # Homes beside those that the traffic needs; the less loaded one is taken.
 _SPARE_HOMES = 1
-_MOST_HOMES = 32
-_MOST_SPLIT = 4096
-_MOST_RANKINGS = 64
+_MAX_HOMES = 32
+_MAX_SPLIT = 4096
+_MAX_RANKINGS = 64
 
 
 @attrs.define(kw_only=True)
@@ -74,7 +74,7 @@
 
     def __init__(self):
         self.levels = levels.Levels(
-            stride=_STRIDE_BLOCKS, seconds=_WINDOW_SECONDS, limit=_COUNTED
+            stride=_STRIDE_BLOCKS, seconds=_WINDOW_SECONDS, limit=_MAX_COUNTED
         )
         self.split: set[bytes] = set()
         self.rankings: dict[str, rankings.Ranking] = {}
@@ -94,8 +94,8 @@
             return []
         level = self.level(model, blocks, len(names), now)
         needed = 1
-        if level.count >= _SPLIT_REQUESTS:
-            needed = min(_MOST_HOMES, math.ceil(level.count / level.limit))
+        if level.count >= _MIN_SPLIT_REQUESTS:
+            needed = min(_MAX_HOMES, math.ceil(level.count / level.limit))
         ranked = self.ranking(model, names).first(
             blocks[level.depth - 1], needed + _SPARE_HOMES
         )
@@ -117,27 +117,27 @@
                 # Nothing that goes on from the split level was seen before.
                 return level
             level = Level(depth=depth, count=count, limit=limit)
-            if not self.divided(blocks[depth - 1], count, limit):
+            if not self.update_split(blocks[depth - 1], count, limit):
                 return level
         return level
 
-    def divided(self, block: bytes, count: float, limit: float) -> bool:
+    def update_split(self, block: bytes, count: float, limit: float) -> bool:
         """Returns whether a level is split, after splitting or joining it."""
         if block in self.split:
             if count > _JOIN_FACTOR * limit:
                 return True
             self.split.discard(block)
             return False
-        hot = count >= _SPLIT_REQUESTS and count > limit
-        if hot and len(self.split) < _MOST_SPLIT:
+        hot = count >= _MIN_SPLIT_REQUESTS and count > limit
+        if hot and len(self.split) < _MAX_SPLIT:
             self.split.add(block)
         return hot
 
     def add(self, model: str, blocks: list[bytes], now: float):
         """Counts a request."""
-        before = self.levels.begun
+        before = self.levels.began_at
         self.levels.add(model, blocks, now)
-        if self.levels.begun != before:
+        if self.levels.began_at != before:
             # Levels that nobody asks for any more are joined here.
             self.split = {
                 each for each in self.split if self.levels.count(each, now) > 0
@@ -148,7 +148,7 @@
         known = self.rankings.get(model)
         if known is not None and known.names == names:
             return known
-        if len(self.rankings) >= _MOST_RANKINGS:
+        if len(self.rankings) >= _MAX_RANKINGS:
             self.rankings.clear()
         self.rankings[model] = rankings.Ranking(names=names)
         return self.rankings[model]
--- a/pimentoledge/decisions/levels.py
+++ b/pimentoledge/decisions/levels.py
@@ -31,27 +31,27 @@
         stride: blocks between two counted depths.
         seconds: length of a window.
         limit: most digests counted in one window; then new ones are not.
-        begun: when the newest window began.
+        began_at: when the newest window began.
         current: the newest window.
-        before: the one before it.
+        previous: the one before it.
     """
 
     def __init__(self, *, stride: int, seconds: float, limit: int):
         self.stride = stride
         self.seconds = seconds
         self.limit = limit
-        self.begun = 0.0
+        self.began_at = 0.0
         self.current = Window()
-        self.before = Window()
+        self.previous = Window()
 
-    def turn(self, now: float):
+    def rotate(self, now: float):
         """Begins a new window when the newest one is full."""
-        age = now - self.begun
+        age = now - self.began_at
         if age < self.seconds:
             return
-        self.before = self.current if age < 2 * self.seconds else Window()
+        self.previous = self.current if age < 2 * self.seconds else Window()
         self.current = Window()
-        self.begun = now
+        self.began_at = now
 
     def depths(self, blocks: list[bytes]) -> range:
         """Returns the counted depths of a prompt, in blocks."""
@@ -62,7 +62,7 @@
 
     def add(self, model: str, blocks: list[bytes], now: float):
         """Counts a request."""
-        self.turn(now)
+        self.rotate(now)
         totals = self.current.totals
         totals[model] = totals.get(model, 0) + 1
         counts = self.current.counts
@@ -76,13 +76,17 @@
     def count(self, block: bytes, now: float) -> float:
         """Returns the requests of about one window under a digest."""
         newest = self.current.counts.get(block, 0)
-        return newest + self.rest(now) * self.before.counts.get(block, 0)
+        return newest + self.previous_weight(now) * self.previous.counts.get(
+            block, 0
+        )
 
     def total(self, model: str, now: float) -> float:
         """Returns all requests of about one window."""
         newest = self.current.totals.get(model, 0)
-        return newest + self.rest(now) * self.before.totals.get(model, 0)
+        return newest + self.previous_weight(now) * self.previous.totals.get(
+            model, 0
+        )
 
-    def rest(self, now: float) -> float:
+    def previous_weight(self, now: float) -> float:
         """Returns the weight of the older window."""
-        return max(0.0, 1 - (now - self.begun) / self.seconds)
+        return max(0.0, 1 - (now - self.began_at) / self.seconds)
--- a/pimentoledge/decisions/outboxes.py
+++ b/pimentoledge/decisions/outboxes.py
@@ -27,19 +27,19 @@
         todo: list[actions.Action] = []
         frames = self.frames.pop(address, None)
         if frames:
-            todo.append(_together(address, frames))
+            todo.append(_batch(address, frames))
         todo.append(actions.Send(address=address, message=message))
         return todo
 
     def flush(self) -> list[actions.Action]:
         """Sends what was held back."""
         held, self.frames = self.frames, {}
-        return [_together(address, held[address]) for address in held]
+        return [_batch(address, held[address]) for address in held]
 
     def drop(self, address: str) -> None:
         """Forgets what was held back for an entry that is gone."""
         self.frames.pop(address, None)
 
 
-def _together(address: str, frames: list[messages.Frame]) -> actions.Send:
+def _batch(address: str, frames: list[messages.Frame]) -> actions.Send:
     return actions.Send(address=address, message=messages.Frames(frames=frames))
--- a/pimentoledge/decisions/placement.py
+++ b/pimentoledge/decisions/placement.py
@@ -29,18 +29,18 @@
 }
 # The price rises by one for so many seconds of mean queue.
 _WAIT_PER_PRICE = 0.4
-_HIGHEST_PRICE = 16.0
+_MAX_PRICE = 16.0
 # Share of a prompt for which a home is credited without a hint: other entries
 # send the same text there.
-_FIRST_CREDIT = 0.9
+_HOME_CREDIT = 0.9
 _SPARE_CREDIT = 0.5
 # Up to so many servers, all are considered; of more, the homes, those with
 # hints and a few at random, so that the time does not grow with the fleet.
-_ALL_CONSIDERED = 32
+_MAX_FULL_SCAN = 32
 _RANDOM_CONSIDERED = 2
-_FIRST_RESIDENCE = 1.0
-_RESIDENCE_WEIGHT = 0.05
-_MOST_PENDING = 20_000
+_INITIAL_SLOT_SECONDS = 1.0
+_SLOT_SECONDS_WEIGHT = 0.05
+_MAX_PENDING = 20_000
 
 
 @attrs.define(kw_only=True)
@@ -138,7 +138,7 @@
         loads: load by server name.
         lives: engine life by server name.
         pending: requests under way, by id.
-        residence: how long a request holds a slot, in seconds.
+        slot_seconds: how long a request holds a slot, in seconds.
         homes: where prefixes live by the hash.
     """
 
@@ -161,7 +161,7 @@
         self.loads: dict[str, loads.EstimatedLoad] = {}
         self.lives: dict[str, hints.EngineLife] = {}
         self.pending: dict[str, Pending] = {}
-        self.residence = _FIRST_RESIDENCE
+        self.slot_seconds = _INITIAL_SLOT_SECONDS
         self.homes = homes.Homes()
 
     def choose(
@@ -194,7 +194,7 @@
         ]
         candidates.sort(key=lambda each: each.cost)
         best = candidates[0]
-        self.remember(wanted)
+        self.add_pending(wanted)
         self.homes.add(wanted.model, wanted.blocks, now)
         life = self.life(best.server)
         return Choice(
@@ -215,7 +215,7 @@
         names: list[str],
     ) -> Sequence[declarations.BackendServer]:
         """Returns the servers that are worth a look."""
-        if len(servers) <= _ALL_CONSIDERED:
+        if len(servers) <= _MAX_FULL_SCAN:
             return servers
         positions = self.homes.ranking(model, names).positions
         found = {each.position for each in ours.values()}
@@ -232,8 +232,12 @@
         now: float,
     ) -> tuple[list[declarations.BackendServer], str]:
         """Returns the servers that may be chosen, and the reason."""
-        allowed = [each for each in considered if self.allowed(wanted, each)]
-        usable = [each for each in allowed if self.fit(each.name, now)]
+        allowed = [
+            each for each in considered if self.is_eligible(wanted, each)
+        ]
+        usable = [
+            each for each in allowed if self.is_past_backoff(each.name, now)
+        ]
         if usable:
             return usable, "cheapest"
         if len(considered) < len(servers):
@@ -242,7 +246,7 @@
         # a moment ago is tried again, since its agent refuses truthfully.
         return allowed, "last resort" if allowed else "no usable server"
 
-    def allowed(
+    def is_eligible(
         self, wanted: PlacementRequest, server: declarations.BackendServer
     ) -> bool:
         """Returns whether a server may run a request at all."""
@@ -260,7 +264,7 @@
             return False
         return not wanted.adapter or wanted.adapter in truth.adapters
 
-    def fit(self, server: str, now: float) -> bool:
+    def is_past_backoff(self, server: str, now: float) -> bool:
         """Returns whether a server hasn't failed a moment ago."""
         load = self.loads.get(server)
         return load is None or now >= load.retry_at
@@ -277,13 +281,13 @@
         again delays.
         """
         waits = [
-            self.loads[each.name].wait_seconds(now, self.residence)
+            self.loads[each.name].wait_seconds(now, self.slot_seconds)
             for each in servers
             if each.name in self.loads
         ]
         mean = sum(waits) / len(waits) if waits else 0.0
         price = _PRICES.get(wanted.priority, 1.0)
-        return min(_HIGHEST_PRICE, price + mean / _WAIT_PER_PRICE)
+        return min(_MAX_PRICE, price + mean / _WAIT_PER_PRICE)
 
     def candidate(
         self,
@@ -299,10 +303,10 @@
         depth = depths.get(server.name, 0)
         credit = float(depth)
         if home is not None:
-            share = _FIRST_CREDIT if home.first else _SPARE_CREDIT
+            share = _HOME_CREDIT if home.first else _SPARE_CREDIT
             credit = max(credit, share * len(wanted.blocks))
         left = wanted.prompt_tokens - credit * wanted.block_tokens
-        wait = load.wait_seconds(now, self.residence)
+        wait = load.wait_seconds(now, self.slot_seconds)
         cost = wait + max(0.0, left) * load.token_seconds() * price
         if server.data_centre != self.data_centre:
             cost += self.cross_seconds
@@ -313,10 +317,10 @@
             wait_seconds=wait,
         )
 
-    def remember(self, wanted: PlacementRequest):
+    def add_pending(self, wanted: PlacementRequest):
         """Keeps a request's blocks until it is sent and finished."""
         self.pending[wanted.request] = Pending(blocks=wanted.blocks)
-        if len(self.pending) > _MOST_PENDING:
+        if len(self.pending) > _MAX_PENDING:
             del self.pending[next(iter(self.pending))]
 
     def sent(self, server: str, request: str, tokens: int, now: float):
@@ -345,7 +349,7 @@
         same = life.incarnation == truth.incarnation
         if same and life.weights == truth.weights:
             return
-        life.over = True
+        life.ended = True
         self.lives[truth.server] = hints.EngineLife(
             server=truth.server,
             incarnation=truth.incarnation,
@@ -373,9 +377,11 @@
         pending = self.pending.pop(request, None)
         if pending is not None and pending.life is not None:
             taken = now - pending.sent_at
-            self.residence += _RESIDENCE_WEIGHT * (taken - self.residence)
+            self.slot_seconds += _SLOT_SECONDS_WEIGHT * (
+                taken - self.slot_seconds
+            )
             life = pending.life
-        if not life.over:
+        if not life.ended:
             self.hints.add(blocks, life, now)
 
     def failed(self, server: str, now: float):
--- a/pimentoledge/decisions/requests.py
+++ b/pimentoledge/decisions/requests.py
@@ -15,7 +15,7 @@
 LOGGED_CANDIDATES = 4
 
 
-def blocks(
+def prompt_blocks(
     event: events.CallerRequest, organisation: str, block_bytes: int
 ) -> list[bytes]:
     """Returns the chained digests of a request's prompt."""
@@ -45,7 +45,7 @@
     return len(completion.prompt.encode()) // TOKEN_BYTES
 
 
-def wanted(
+def placement_request(
     ticket: tickets.Ticket, serves: str, block_bytes: int, now: float
 ) -> placement.PlacementRequest:
     """Returns what placement has to know of a request."""
@@ -60,7 +60,7 @@
         prompt_tokens=prompt_tokens(ticket),
         priority=ticket.priority(),
         seconds_left=ticket.deadline - now,
-        avoid=frozenset(ticket.tries.avoid),
+        avoid=frozenset(ticket.attempt_state.avoid),
     )
 
 
--- a/pimentoledge/decisions/retries.py
+++ b/pimentoledge/decisions/retries.py
@@ -15,14 +15,14 @@
 # Of these, refusals for load: a full cluster isn't asked all over.
 MAX_LOAD_REDIRECTS = 2
 # Times that one request waits for another suspect to be done.
-MAX_WAITS = 64
+MAX_SUSPECT_WAITS = 64
 # Times that a request which lost its server waits for any to come back: some
 # four seconds in all.
-MAX_EMPTY = 10
+MAX_NO_SERVER_WAITS = 10
 FIRST_DELAY = 0.02
 MAX_DELAY = 0.5
 # Least time before the deadline in which an attempt makes sense.
-MIN_LEFT = 0.01
+MIN_SECONDS_LEFT = 0.01
 DEFAULT_RETRY_AFTER = 1.0
 
 
@@ -54,20 +54,20 @@
         self.minimum = minimum
         self.capacity = capacity
         self.tokens = capacity
-        self.filled: float | None = None
+        self.refilled_at: float | None = None
         self.requests = 0
         self.retries = 0
         self.denied = 0
 
-    def request(self, now: float) -> None:
+    def record_request(self, now: float) -> None:
         """Notes a new request."""
-        self._fill(now)
+        self._refill(now)
         self.requests += 1
         self.tokens = min(self.capacity, self.tokens + self.ratio)
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Takes one retry, if there is one."""
-        self._fill(now)
+        self._refill(now)
         if self.tokens < 1.0:
             self.denied += 1
             return False
@@ -75,11 +75,11 @@
         self.retries += 1
         return True
 
-    def _fill(self, now: float) -> None:
-        if self.filled is not None:
-            gained = (now - self.filled) * self.minimum
+    def _refill(self, now: float) -> None:
+        if self.refilled_at is not None:
+            gained = (now - self.refilled_at) * self.minimum
             self.tokens = min(self.capacity, self.tokens + gained)
-        self.filled = now
+        self.refilled_at = now
 
 
 @attrs.define(kw_only=True)
@@ -94,8 +94,10 @@
         attempts: attempts that a server may have run, with the failed one.
         redirects: refusals followed for nothing.
         load_redirects: those of them for load.
-        waits: times it was sent away because another suspect was tried.
-        empty: times that it found no server after it had lost its own.
+        suspect_waits: waits because another request with the same suspect
+            content was running.
+        no_server_waits: waits for a server to become usable, after its own
+            server was lost.
         avoid: servers not to be tried again.
         ran: worst of what the attempts so far say about having run.
     """
@@ -107,8 +109,8 @@
     attempts: int = 0
     redirects: int = 0
     load_redirects: int = 0
-    waits: int = 0
-    empty: int = 0
+    suspect_waits: int = 0
+    no_server_waits: int = 0
     avoid: set[str] = attrs.field(factory=set)
     ran: results.Ran = results.Ran.NOT_RUN
 
@@ -180,14 +182,16 @@
 
 
 # The server stays a good choice once the entry's hint is corrected.
-_SAME_SERVER = frozenset(
+_SAME_SERVER_CODES = frozenset(
     {
         results.Code.STALE_INCARNATION,
         results.Code.STALE_WEIGHTS,
         results.Code.STALE_CONFIGURATION,
     }
 )
-_LOAD = frozenset({results.Code.OVERLOADED, results.Code.DEADLINE_UNMEETABLE})
+_LOAD_CODES = frozenset(
+    {results.Code.OVERLOADED, results.Code.DEADLINE_UNMEETABLE}
+)
 
 
 def next_step(
@@ -208,23 +212,25 @@
         case NotRun():
             return _after_refusal(attempt, failure, budget, now)
         case Broken():
-            return _after_break(attempt, failure, budget, now)
+            return _after_broken(attempt, failure, budget, now)
         case NoCandidate():
-            return _after_none(attempt, failure, now)
+            return _after_no_candidate(attempt, failure, now)
 
 
-def _after_none(
+def _after_no_candidate(
     attempt: AttemptState, failure: NoCandidate, now: float
 ) -> Retry | GiveUp:
     # In a small pool a request can have been on each server that died in
     # the last second. They come back soon; giving up would break streams
     # that were half told. One that has not run is better sent again.
     lost = attempt.repeatable and attempt.ran != results.Ran.NOT_RUN
-    if not lost or attempt.empty >= MAX_EMPTY:
+    if not lost or attempt.no_server_waits >= MAX_NO_SERVER_WAITS:
         return _give_up(attempt, failure.code, failure.retry_after)
-    attempt.empty += 1
+    attempt.no_server_waits += 1
     attempt.avoid.clear()
-    return _again(attempt, failure.code, _delay(attempt.empty), now)
+    return _retry_in_time(
+        attempt, failure.code, _delay(attempt.no_server_waits), now
+    )
 
 
 def _after_refusal(
@@ -234,28 +240,32 @@
         attempt.ran = results.Ran.RAN
         return _give_up(attempt, failure.code, failure.retry_after)
     if failure.code == results.Code.SUSPECT_BUSY:
-        attempt.waits += 1
-        if attempt.waits > MAX_WAITS:
+        attempt.suspect_waits += 1
+        if attempt.suspect_waits > MAX_SUSPECT_WAITS:
             return _give_up(attempt, failure.code, failure.retry_after)
-        return _again(attempt, failure.code, _delay(attempt.waits), now)
-    if failure.code not in _SAME_SERVER:
+        return _retry_in_time(
+            attempt, failure.code, _delay(attempt.suspect_waits), now
+        )
+    if failure.code not in _SAME_SERVER_CODES:
         attempt.avoid.add(failure.server)
     delay = 0.0
     if failure.code == results.Code.STALE_CONFIGURATION:
         # Asked again at once it would be refused again: the entry has yet
         # to hear of the change.
         delay = _delay(attempt.redirects)
-    if not _redirect(attempt, failure.code) and not budget.take(now):
+    if not _count_redirect(attempt, failure.code) and not budget.try_acquire(
+        now
+    ):
         return _give_up(attempt, failure.code, failure.retry_after)
     if attempt.redirects > MAX_REDIRECTS + MAX_ATTEMPTS:
         return _give_up(attempt, failure.code, failure.retry_after)
-    return _again(attempt, failure.code, delay, now)
+    return _retry_in_time(attempt, failure.code, delay, now)
 
 
-def _redirect(attempt: AttemptState, code: results.Code) -> bool:
+def _count_redirect(attempt: AttemptState, code: results.Code) -> bool:
     """Counts a refusal; returns whether following it costs no budget."""
     attempt.redirects += 1
-    if code not in _LOAD:
+    if code not in _LOAD_CODES:
         return attempt.redirects <= MAX_REDIRECTS
     attempt.load_redirects += 1
     return (
@@ -264,7 +274,7 @@
     )
 
 
-def _after_break(
+def _after_broken(
     attempt: AttemptState, failure: Broken, budget: RetryBudget, now: float
 ) -> Retry | GiveUp:
     attempt.avoid.add(failure.server)
@@ -282,15 +292,18 @@
     if attempt.attempts >= MAX_ATTEMPTS:
         return _give_up(attempt, code, 0.0)
     delay = 0.0 if attempt.attempts == 1 else _delay(attempt.attempts)
-    if now + delay + MIN_LEFT >= attempt.deadline or not budget.take(now):
+    if (
+        now + delay + MIN_SECONDS_LEFT >= attempt.deadline
+        or not budget.try_acquire(now)
+    ):
         return _give_up(attempt, code, 0.0)
     return Retry(avoid=set(attempt.avoid), delay=delay)
 
 
-def _again(
+def _retry_in_time(
     attempt: AttemptState, code: results.Code, delay: float, now: float
 ) -> Retry | GiveUp:
-    if now + delay + MIN_LEFT >= attempt.deadline:
+    if now + delay + MIN_SECONDS_LEFT >= attempt.deadline:
         return _give_up(attempt, code, delay)
     return Retry(avoid=set(attempt.avoid), delay=delay)
 
--- a/pimentoledge/decisions/streams.py
+++ b/pimentoledge/decisions/streams.py
@@ -9,10 +9,10 @@
 
 # Frames kept behind a gap. Frames of one attempt come over one connection, so
 # a gap that isn't closed by the next few frames is a loss, not a crossing.
-HELD_FRAMES = 8
+MAX_BUFFERED_FRAMES = 8
 # Characters kept for a continuation on another runner; a stream that has grown
 # beyond this can't be continued any more.
-KEPT_CHARACTERS = 256 * 1024
+MAX_KEPT_CHARACTERS = 256 * 1024
 
 
 @attrs.frozen(kw_only=True)
@@ -63,8 +63,8 @@
         sequence: number of the frame that is delivered next.
         tokens: tokens delivered.
         open: whether the current attempt may still deliver.
-        held: frames behind a gap, by sequence.
-        kept: text delivered; None once it has grown too long to be kept.
+        buffered: frames behind a gap, by sequence.
+        kept_text: text delivered; None once it has grown too long to be kept.
         kept_characters: characters in `kept`.
     """
 
@@ -73,8 +73,8 @@
     sequence: int
     tokens: int
     open: bool
-    held: dict[int, messages.Frame]
-    kept: io.StringIO | None
+    buffered: dict[int, messages.Frame]
+    kept_text: io.StringIO | None
     kept_characters: int
 
     def __init__(self, *, request: str):
@@ -83,15 +83,15 @@
         self.sequence = 0
         self.tokens = 0
         self.open = False
-        self.held = {}
-        self.kept = io.StringIO()
+        self.buffered = {}
+        self.kept_text = io.StringIO()
         self.kept_characters = 0
 
     def new_attempt(self) -> Attempt:
         """Ends the current attempt and begins the next."""
         self.attempt += 1
         self.open = True
-        self.held.clear()
+        self.buffered.clear()
         return Attempt(number=self.attempt, sequence=self.sequence)
 
     def is_current(self, request: str, attempt: int) -> bool:
@@ -110,11 +110,11 @@
         if frame.sequence < self.sequence:
             return []
         if frame.sequence > self.sequence:
-            return self._hold(frame)
+            return self._buffer(frame)
         self._deliver(frame)
-        if not self.held:
+        if not self.buffered:
             return [frame]
-        return self._release(frame)
+        return self._take_buffered(frame)
 
     def finish(self, finished: messages.Finished) -> Complete | Broken | None:
         """Takes the end of an attempt.
@@ -132,25 +132,28 @@
 
     def can_continue(self) -> bool:
         """Returns whether another attempt can go on behind what was sent."""
-        return self.kept is not None
+        return self.kept_text is not None
 
     def continued(self) -> str:
         """Returns the text delivered; empty if it is no longer kept."""
-        return self.kept.getvalue() if self.kept is not None else ""
+        return self.kept_text.getvalue() if self.kept_text is not None else ""
 
     def continued_tokens(self) -> int:
         """Returns the number of tokens delivered."""
         return self.tokens
 
-    def _hold(self, frame: messages.Frame) -> list[messages.Frame] | Broken:
-        if len(self.held) >= HELD_FRAMES and frame.sequence not in self.held:
+    def _buffer(self, frame: messages.Frame) -> list[messages.Frame] | Broken:
+        if (
+            len(self.buffered) >= MAX_BUFFERED_FRAMES
+            and frame.sequence not in self.buffered
+        ):
             return self._break(f"frame {frame.sequence} came")
-        self.held.setdefault(frame.sequence, frame)
+        self.buffered.setdefault(frame.sequence, frame)
         return []
 
-    def _release(self, first: messages.Frame) -> list[messages.Frame]:
+    def _take_buffered(self, first: messages.Frame) -> list[messages.Frame]:
         ready = [first]
-        while (frame := self.held.pop(self.sequence, None)) is not None:
+        while (frame := self.buffered.pop(self.sequence, None)) is not None:
             self._deliver(frame)
             ready.append(frame)
         return ready
@@ -158,17 +161,17 @@
     def _deliver(self, frame: messages.Frame) -> None:
         self.sequence += 1
         self.tokens += frame.tokens
-        if self.kept is None:
+        if self.kept_text is None:
             return
         self.kept_characters += len(frame.text)
-        if self.kept_characters > KEPT_CHARACTERS:
-            self.kept = None
+        if self.kept_characters > MAX_KEPT_CHARACTERS:
+            self.kept_text = None
             return
-        self.kept.write(frame.text)
+        self.kept_text.write(frame.text)
 
     def _break(self, seen: str) -> Broken:
         self.open = False
-        self.held.clear()
+        self.buffered.clear()
         text = f"frame {self.sequence} of the stream was lost: {seen}"
         error = results.Error(code=results.Code.STREAM_BROKEN, text=text)
         return Broken(error=error)
--- a/pimentoledge/decisions/tickets.py
+++ b/pimentoledge/decisions/tickets.py
@@ -36,7 +36,7 @@
         stream: orders the frames of its attempts.
         crashes: engines that its content is known to have crashed, as of the
             current attempt.
-        tries: what the retry policy knows of it.
+        attempt_state: what the retry policy knows of it.
         phase: where it stands.
         server: backend server of the current attempt.
         agent: mailbox of that server's agent.
@@ -50,7 +50,7 @@
     blocks: list[bytes]
     fingerprint: bytes
     stream: streams.Stream
-    tries: retries.AttemptState
+    attempt_state: retries.AttemptState
     phase: Phase = Phase.LIMITED
     crashes: int = 0
     server: str = ""
--- a/pimentoledge/tests/test_retries.py
+++ b/pimentoledge/tests/test_retries.py
@@ -124,7 +124,7 @@
     budget = retries.RetryBudget(ratio=0.1, minimum=0.5, capacity=20.0)
     for number in range(10_000):
         now = number / 100
-        budget.request(now)
+        budget.record_request(now)
         attempt = state(deadline=now + 60)
         while isinstance(step(attempt, broken(), budget, now), retries.Retry):
             pass
--- a/pimentoledge/tests/test_streams.py
+++ b/pimentoledge/tests/test_streams.py
@@ -78,15 +78,15 @@
     """An entry's memory grows with a stream whose first frame was lost."""
     stream = started()
     last = None
-    for sequence in range(1, streams.HELD_FRAMES + 2):
+    for sequence in range(1, streams.MAX_BUFFERED_FRAMES + 2):
         last = stream.accept(frame(sequence))
     assert isinstance(last, streams.Broken)
-    assert not stream.held
+    assert not stream.buffered
 
 
 def test_text_for_a_continuation_is_bounded():
     stream = started()
-    long = "x" * streams.KEPT_CHARACTERS
+    long = "x" * streams.MAX_KEPT_CHARACTERS
     stream.accept(frame(0, text=long))
     assert stream.can_continue()
     stream.accept(frame(1))
@@ -154,7 +154,7 @@
     @stateful.invariant()
     def in_order(self):
         assert self.seen == list(range(len(self.seen)))
-        assert len(self.stream.held) <= streams.HELD_FRAMES
+        assert len(self.stream.buffered) <= streams.MAX_BUFFERED_FRAMES
 
 
 Deliveries.TestCase.settings = hypothesis.settings(
