--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -1,8 +1,9 @@
-"""The entry's state machine: from a caller's request to its whole answer.
+"""The state machine of an entry: from a caller's request to its full answer.
 
 It checks the contract, chooses a backend server, sends the request to that
-server's agent and passes the answer on. What it believes of the servers are
-hints: each dispatch carries them, and the agent refuses what is not true.
+server's agent and forwards the answer. The entry's view of the servers may be
+out of date, so each dispatch carries the assumed server state, and the agent
+refuses the dispatch if that state is wrong.
 """
 
 from returns import result
@@ -29,11 +30,14 @@
 
 Actions = list[actions.Action]
 
-# An agent that has not taken or refused a request by then is asked.
+# An agent that has neither admitted nor refused a request after this time is
+# probed.
 ANSWER_SECONDS = 0.5
-# A stream that is silent for so long makes its agent be asked about it.
+# An agent that sends nothing for an admitted request during this time is
+# probed.
 SILENCE_SECONDS = 5.0
-# An agent that was asked and says nothing by then counts as unreachable.
+# An agent that does not answer a probe within this time is considered
+# unreachable.
 PROBE_SECONDS = 0.5
 
 _DEADLINE = "deadline"
@@ -42,24 +46,24 @@
 
 
 class Entry:
-    """Decides for the requests of one entry.
+    """The state machine for the requests of one entry.
 
     Attributes:
-        name: the entry's name.
+        name: name of the entry.
         address: its mailbox.
         block_bytes: prompt bytes in one block of the prefix chain.
-        configuration: what operators declared, as far as known here.
+        configuration: the entry's copy of the declared configuration.
         placer: chooses among usable servers.
-        membership: tells which servers are usable.
-        limits: the contracts' limits over all entries.
-        distributor: keeps the configuration complete, here and elsewhere.
-        administration: answers operators.
-        root: digest of the configuration when `declared` was last told.
-        budget: bounds retries.
-        quarantine: content that was in engines that died.
-        tickets: requests that have not ended, by id.
-        timers: what is due when.
-        draining: whether the process shall end.
+        membership: tracks which servers are usable.
+        limits: limits of the contracts over all entries.
+        distributor: replicates the configuration between the nodes.
+        administration: handles operators' requests.
+        root: digest of the configuration that was last applied.
+        budget: limits retries.
+        quarantine: tracks content that was in engines that crashed.
+        tickets: requests in progress, by id.
+        timers: timers by (kind, request id).
+        draining: whether new requests are refused because of a shutdown.
     """
 
     def __init__(
@@ -106,7 +110,7 @@
         self.draining = False
 
     def handle(self, event: object, now: float) -> Actions:
-        """Takes an event and returns what to do."""
+        """Handles an event and returns the actions to carry out."""
         todo = self.handle_configuration(event, now)
         todo += self.quarantine.handle(event, now)
         match event:
@@ -128,13 +132,13 @@
         return todo
 
     def handle_configuration(self, event: object, now: float) -> Actions:
-        """Lets the machines of the configuration take an event."""
+        """Passes an event to the configuration's state machines."""
         todo = self.distributor.handle(event, now)
         todo += self.administration.handle(event, now)
         return todo + self.apply_new_configuration(now)
 
     def apply_new_configuration(self, now: float) -> Actions:
-        """Goes by what is declared, when that has changed."""
+        """Applies the declared configuration if it has changed."""
         if self.root == self.configuration.root:
             return []
         self.root = self.configuration.root
@@ -143,7 +147,7 @@
         return self.apply_limit_outputs(self.limits.entries(peers, now), now)
 
     def tick(self, now: float) -> Actions:
-        """Does what is due."""
+        """Handles expired timers."""
         todo = self.distributor.wake(now)
         todo += self.administration.wake(now)
         todo += self.quarantine.wake(now)
@@ -165,7 +169,7 @@
         return todo
 
     def probe_closed_servers(self, now: float) -> Actions:
-        """Asks servers that take no new work whether they do again."""
+        """Probes servers that take no new work, to detect a recovery."""
         closed = [
             self.configuration.server(name)
             for name in self.membership.probes(now)
@@ -177,7 +181,7 @@
         ]
 
     def next_wake(self) -> float | None:
-        """Returns when `tick` is due next."""
+        """Returns the time at which `tick` is due next."""
         times = (
             self.timers.next(),
             self.membership.next_wake(),
@@ -189,11 +193,11 @@
         return min((each for each in times if each is not None), default=None)
 
     def flush(self) -> Actions:
-        """Returns what was held back to be sent together: nothing."""
+        """Returns the buffered messages; an entry buffers none."""
         return []
 
     def partners(self) -> set[str]:
-        """Returns the mailboxes of the agents that hold requests."""
+        """Returns the mailboxes of the agents that have requests."""
         return {each.agent for each in self.tickets.values()}
 
     def idle(self) -> bool:
@@ -201,7 +205,7 @@
         return not self.tickets
 
     def from_node(self, event: events.FromNode, now: float) -> Actions:
-        """Takes a message of another process."""
+        """Handles a message from another process."""
         message = event.message
         match message:
             case messages.Frames():
@@ -235,10 +239,11 @@
         return []
 
     def current(self, message: object, sender: str) -> tickets.Ticket | None:
-        """Returns the ticket of a message of its current attempt.
+        """Returns the ticket of a message from its current attempt.
 
-        A message of an attempt that was given up on may come at any time
-        later; its answer could be another's or garble the caller's stream.
+        Messages of an abandoned attempt may arrive at any later time. They
+        must be ignored, since they could corrupt the caller's stream or be
+        taken for the answer of another attempt.
         """
         ticket = self.tickets.get(getattr(message, "request", ""))
         if ticket is None or ticket.agent != sender:
@@ -248,13 +253,13 @@
         return ticket
 
     def learn(self, truth: messages.Truth, now: float) -> None:
-        """Takes an agent's word about its server, unless it is outdated."""
-        heard = self.membership.answered(truth, now)
-        if heard is not membership.ReportOrder.PAST:
+        """Applies an agent's report about its server unless it is outdated."""
+        order = self.membership.answered(truth, now)
+        if order is not membership.ReportOrder.PAST:
             self.placer.learned(truth, now)
 
     def accept(self, event: events.CallerRequest, now: float) -> Actions:
-        """Takes a caller's request, or refuses it."""
+        """Accepts or refuses a caller's request."""
         if self.draining:
             error = results.Error(code=results.Code.SHUTTING_DOWN)
             return [_error(event.request, error)]
@@ -289,7 +294,7 @@
         accepted: acceptance.Accepted,
         now: float,
     ) -> tickets.Ticket:
-        """Returns the ticket of an accepted request."""
+        """Creates the ticket of an accepted request."""
         contract = accepted.contract
         deadline = now + accepted.seconds
         ticket = tickets.Ticket(
@@ -307,7 +312,7 @@
         return ticket
 
     def apply_limit_outputs(self, outputs: list[object], now: float) -> Actions:
-        """Carries out what the limits say."""
+        """Applies the limits' decisions and returns their messages."""
         todo: Actions = []
         for output in outputs:
             match output:
@@ -318,7 +323,7 @@
         return todo
 
     def limit_decided(self, decided: limits.Decided, now: float) -> Actions:
-        """Goes on with a request that waited for its limit."""
+        """Places or ends a request that waited for its limit."""
         ticket = self.tickets.get(decided.request)
         if ticket is None:
             return self.apply_limit_outputs(
@@ -364,7 +369,7 @@
         return [log, actions.Send(address=server.agent, message=dispatch)]
 
     def choose(self, ticket: tickets.Ticket, now: float) -> placement.Choice:
-        """Returns where a request shall run next."""
+        """Chooses the server for a request's next attempt."""
         completion = ticket.event.completion
         call = ticket.event.call
         if completion is not None:
@@ -374,8 +379,9 @@
         declared = self.configuration.servers(kind, serves)
         usable = self.membership.usable(declared, now)
         if ticket.event.idempotency_key:
-            # Of the usable ones: the keys of a dead agent go to the next in
-            # line at once, instead of being tried at the dead one first.
+            # Only usable servers are considered, so the keys of a dead agent
+            # move to the next owner at once and aren't tried at the dead one
+            # first.
             usable = self.owners(ticket, serves, usable)
         elif ticket.crashes:
             return self.choose_for_suspect(ticket, usable)
@@ -389,7 +395,7 @@
         ticket: tickets.Ticket,
         usable: list[declarations.BackendServer],
     ) -> placement.Choice:
-        """Returns where a suspect shall run, the same at each entry."""
+        """Chooses the server for suspect content, the same at each entry."""
         names = [
             each.name
             for each in usable
@@ -407,7 +413,7 @@
         serves: str,
         usable: list[declarations.BackendServer],
     ) -> list[declarations.BackendServer]:
-        """Returns the server that owns a request's idempotency key."""
+        """Returns the server that owns a request's idempotency key, if any."""
         shard = claim_records.shard_of(
             ticket.contract.organisation, ticket.event.idempotency_key
         )
@@ -422,7 +428,7 @@
     def frames(
         self, frames: list[messages.Frame], sender: str, now: float
     ) -> Actions:
-        """Passes frames on to their callers, in order."""
+        """Forwards frames to their callers, in order."""
         todo: Actions = []
         for frame in frames:
             ticket = self.tickets.get(frame.request)
@@ -446,7 +452,7 @@
         return todo
 
     def stream_broken(self, ticket: tickets.Ticket, now: float) -> Actions:
-        """Goes on with a stream that lost frames."""
+        """Cancels an attempt that lost frames, then retries or ends."""
         failure = retries.Broken(
             server=ticket.server,
             code=results.Code.STREAM_BROKEN,
@@ -457,7 +463,7 @@
     def refused(
         self, ticket: tickets.Ticket, message: messages.Refused, now: float
     ) -> Actions:
-        """Goes on with a request that its agent did not run."""
+        """Retries or ends a request that its agent refused."""
         code = results.Code(message.code)
         if code == results.Code.SERVER_DOWN:
             self.membership.refused(ticket.server, now)
@@ -476,7 +482,7 @@
     def failed(
         self, ticket: tickets.Ticket, message: messages.Failed, now: float
     ) -> Actions:
-        """Goes on with a request that was admitted and failed."""
+        """Retries or ends a request that was admitted and failed."""
         code = results.Code(message.code)
         if code in _FINAL_CODES:
             error = results.Error(code=code, ran=results.Ran(message.ran))
@@ -494,7 +500,7 @@
     def finished(
         self, ticket: tickets.Ticket, message: messages.Finished, now: float
     ) -> Actions:
-        """Ends a stream, if all of it has been passed on."""
+        """Ends a stream if all its frames were forwarded."""
         match ticket.stream.finish(message):
             case streams.Broken():
                 return self.stream_broken(ticket, now)
@@ -525,7 +531,7 @@
         message: messages.ServiceAnswer,
         now: float,
     ) -> Actions:
-        """Gives a service's answer to the caller."""
+        """Forwards a service's answer to the caller."""
         self.placer.finished(ticket.server, message.request, [], 0, now)
         reply = actions.ReplyAnswer(
             request=message.request,
@@ -539,7 +545,7 @@
     def handle_failure(
         self, ticket: tickets.Ticket, failure: retries.Failure, now: float
     ) -> Actions:
-        """Tries a failed request again, or gives its final answer at once."""
+        """Retries a failed request or ends it with an error."""
         tries = ticket.attempt_state
         tries.streamed = ticket.stream.tokens
         tries.continuable = ticket.stream.can_continue()
@@ -558,7 +564,7 @@
                 return [log, *self.place(ticket, now)]
 
     def end(self, ticket: tickets.Ticket, now: float) -> Actions:
-        """Forgets a request that has ended."""
+        """Removes the state of a request that has ended."""
         request = ticket.event.request
         del self.tickets[request]
         self.quarantine.end(ticket.fingerprint, request)
@@ -573,14 +579,14 @@
         return [_error(ticket.event.request, error), *self.end(ticket, now)]
 
     def cancel(self, ticket: tickets.Ticket) -> actions.Send:
-        """Returns the message that stops the current attempt."""
+        """Returns the message that cancels the current attempt."""
         cancel = messages.Cancel(
             request=ticket.event.request, attempt=ticket.stream.attempt
         )
         return actions.Send(address=ticket.agent, message=cancel)
 
     def caller_gone(self, event: events.CallerGone, now: float) -> Actions:
-        """Stops what nobody waits for."""
+        """Cancels the request of a caller that disconnected."""
         ticket = self.tickets.get(event.request)
         if ticket is None:
             return []
@@ -590,7 +596,7 @@
         return todo + self.end(ticket, now)
 
     def too_late(self, ticket: tickets.Ticket, now: float) -> Actions:
-        """Ends a request whose time is up, saying truly whether it ran."""
+        """Ends a request at its deadline; the error states whether it ran."""
         ran = ticket.attempt_state.ran
         if ticket.stream.tokens:
             ran = results.Ran.RAN
@@ -601,11 +607,11 @@
         return todo + self.end_error(ticket, error, now)
 
     def set_silence_timer(self, ticket: tickets.Ticket, at: float) -> None:
-        """Sets when a silent agent is to be asked."""
+        """Sets the time at which the agent's silence is checked."""
         self.timers.set((_QUIET, ticket.event.request), at)
 
     def check_silence(self, ticket: tickets.Ticket, now: float) -> Actions:
-        """Asks an agent that has been silent, or gives up on it."""
+        """Probes a silent agent, or treats it as lost after a probe."""
         limit = SILENCE_SECONDS
         if ticket.phase is tickets.Phase.SENT:
             limit = ANSWER_SECONDS
@@ -624,7 +630,7 @@
     def agent_lost(
         self, ticket: tickets.Ticket, ran: results.Ran, now: float
     ) -> Actions:
-        """Goes on with a request whose agent can't be reached."""
+        """Retries or ends a request whose agent can't be reached."""
         suspected = self.quarantine.crashed(
             [ticket.fingerprint],
             ticket.server,
@@ -647,13 +653,13 @@
     def report(
         self, message: messages.Report, sender: str, now: float
     ) -> Actions:
-        """Takes an agent's answer to a probe."""
+        """Handles an agent's answer to a probe."""
         self.learn(message.truth, now)
         todo: Actions = []
         for request in message.unknown:
             ticket = self.tickets.get(request)
-            # The messages of one sender come in order, so an answer sent
-            # before the report would be here: the agent lost the request.
+            # Messages of one sender arrive in order, so an answer sent before
+            # the report would have arrived: the agent has lost the request.
             if ticket is not None and ticket.agent == sender and ticket.probed:
                 todo += self.agent_lost(ticket, results.Ran.UNKNOWN, now)
         for ticket in self.tickets.values():
@@ -664,7 +670,7 @@
         return todo
 
     def unreachable(self, event: events.Unreachable, now: float) -> Actions:
-        """Goes on with the requests of an agent that can't be reached."""
+        """Retries or ends all requests of an agent that can't be reached."""
         unsent = {
             (each.request, each.attempt)
             for each in event.unsent
@@ -688,14 +694,15 @@
 
 
 _SUSPECT_BUSY = retries.NotRun(server="", code=results.Code.SUSPECT_BUSY)
-# An agent's word that ends the request: nothing else may be tried.
+# Codes from an agent that end the request without another attempt.
 _FINAL_CODES = frozenset(
     {
         results.Code.CLAIM_RUNNING,
         results.Code.OUTCOME_UNKNOWN,
         results.Code.KEY_REUSED,
         results.Code.ANSWER_NOT_KEPT,
-        # Other agents write to the same shard of the same store.
+        # Other agents use the same shard of the same store, so a retry there
+        # would fail too.
         results.Code.CLAIM_STORE_DOWN,
         results.Code.CLAIMS_FULL,
         results.Code.POISON,
@@ -704,18 +711,19 @@
 
 
 def _stop_orphan(frame: messages.Frame, sender: str) -> actions.Send:
-    """Returns the message that stops an attempt nobody here waits for.
+    """Returns the message that cancels an attempt unknown to this entry.
 
-    Its entry was killed and this one has its address, or the dispatch came
-    behind its own cancel on an older connection. Without this the engine
-    would generate the whole answer for nobody.
+    This happens if the attempt's entry was killed and this entry took over
+    its address, or if the dispatch arrived after its own cancel, which was
+    sent on an older connection. Without the cancel, the engine would generate
+    the whole answer although nobody reads it.
     """
     cancel = messages.Cancel(request=frame.request, attempt=frame.attempt)
     return actions.Send(address=sender, message=cancel)
 
 
 def _is_with_agent(ticket: tickets.Ticket) -> bool:
-    """Returns whether an agent may hold the request."""
+    """Returns whether an agent may have the request."""
     return ticket.phase in (tickets.Phase.SENT, tickets.Phase.ADMITTED)
 
 
