--- a/pimentoledge/decisions/hints.py
+++ b/pimentoledge/decisions/hints.py
@@ -1,8 +1,8 @@
-"""Which backend server probably holds which prompt prefix.
+"""Hints: which backend servers probably have a prompt prefix cached.
 
-Hints come only from this entry's own requests. They are never more than
-hints: the engine evicts blocks within seconds, so a hint expires in seconds,
-and the agent checks what a request assumed before it runs.
+Hints are derived only from this entry's own requests and may be wrong. The
+engine can evict blocks within seconds, so hints expire after seconds, and the
+agent checks a request's assumptions before it runs.
 """
 
 import collections
@@ -14,8 +14,8 @@
 class EngineLife:
     """One engine incarnation with one weights version.
 
-    Hints point to it. When the engine restarts or its weights change, the
-    entry marks it as over, and all its hints are void at once.
+    Hints reference it. When the engine restarts or its weights change, the
+    entry marks it as ended, which invalidates all its hints at once.
     """
 
     server: str
@@ -26,20 +26,22 @@
 
 @attrs.define(kw_only=True, eq=False)
 class PromptHint:
-    """One request's prompt on one server; shared by all its blocks."""
+    """A prompt that ran on a server; shared by all blocks of the prompt."""
 
     life: EngineLife
     at: float
 
 
 class Hints:
-    """A bounded table from block digest to the servers that hold it.
+    """A bounded table from block digest to the servers that have it cached.
 
     Attributes:
-        limit: most digests kept; the one unused for the longest goes first.
-        seconds: age at which a hint is no longer used.
-        holders: most servers kept for one digest, newest first.
-        table: holdings by digest, in the order of their last use.
+        limit: maximum number of digests; the least recently added one is
+            evicted first.
+        seconds: maximum age of a hint.
+        holders: maximum number of servers per digest.
+        table: hints by digest, newest first, with the least recently added
+            digest first.
     """
 
     def __init__(self, *, limit: int, seconds: float, holders: int):
@@ -51,39 +53,37 @@
         )
 
     def add(self, blocks: list[bytes], life: EngineLife, now: float):
-        """Notes that a server holds a prompt's blocks."""
-        holding = PromptHint(life=life, at=now)
+        """Adds a hint that a server has a prompt's blocks cached."""
+        hint = PromptHint(life=life, at=now)
         for block in blocks:
             kept = self.table.get(block, ())
             others = [each for each in kept if self.is_live(each, life, now)]
-            self.table[block] = (holding, *others[: self.holders - 1])
+            self.table[block] = (hint, *others[: self.holders - 1])
             self.table.move_to_end(block)
         while len(self.table) > self.limit:
             self.table.popitem(last=False)
 
-    def is_live(
-        self, holding: PromptHint, life: EngineLife, now: float
-    ) -> bool:
-        """Returns whether a holding still says something beside a new one."""
-        if holding.life is life or holding.life.ended:
+    def is_live(self, hint: PromptHint, life: EngineLife, now: float) -> bool:
+        """Returns whether a hint is still useful beside a new one."""
+        if hint.life is life or hint.life.ended:
             return False
-        return now - holding.at <= self.seconds
+        return now - hint.at <= self.seconds
 
     def depths(self, blocks: list[bytes], now: float) -> dict[str, int]:
-        """Returns the number of leading blocks held, by server name."""
-        found: dict[str, int] = {}
+        """Returns the number of leading blocks cached, by server name."""
+        cached: dict[str, int] = {}
         for depth in range(len(blocks), 0, -1):
-            for holding in self.table.get(blocks[depth - 1], ()):
-                life = holding.life
-                if life.ended or now - holding.at > self.seconds:
+            for hint in self.table.get(blocks[depth - 1], ()):
+                life = hint.life
+                if life.ended or now - hint.at > self.seconds:
                     continue
-                found.setdefault(life.server, depth)
-        return found
+                cached.setdefault(life.server, depth)
+        return cached
 
     def expire(self, now: float):
-        """Drops digests whose newest hint is too old."""
+        """Drops digests whose newest hint has expired."""
         while self.table:
-            block, holdings = next(iter(self.table.items()))
-            if now - holdings[0].at <= self.seconds:
+            block, hints = next(iter(self.table.items()))
+            if now - hints[0].at <= self.seconds:
                 return
             del self.table[block]
--- a/pimentoledge/decisions/homes.py
+++ b/pimentoledge/decisions/homes.py
@@ -1,11 +1,13 @@
-"""Which servers a prefix belongs to, so that entries agree without messages.
-
-A prefix is hashed at a depth. Too shallow, and one server gets all of a large
-organisation, more than its cache or its time holds; too deep, and text that
-many prompts share is computed on many servers. So every prompt is hashed at
-the first counted depth, unless a hot one is split there: then its
-continuations are hashed apart. When it cools it is joined again. Text that
-is too hot for one server and has no continuations gets several homes.
+"""Assigns home servers to prompt prefixes by rendezvous hashing.
+
+Entries agree on the homes without exchanging messages. A prompt is hashed at
+one depth. If that depth is too small, one server gets all requests of a large
+organisation, more than its cache or capacity allows. If it is too large, text
+shared by many prompts is computed on many servers. A prompt is therefore
+hashed at the first counted depth, unless the traffic under that prefix is too
+high for one server. The prefix is then split: its continuations are hashed
+separately until its traffic falls again. A prefix that is too hot for one
+server and has no continuations gets several homes.
 """
 
 from collections.abc import Sequence
@@ -16,19 +18,21 @@
 from pimentoledge.decisions import levels
 from pimentoledge.decisions import rankings
 
-# Blocks between two counted depths; the first is the shallowest hashed.
+# Blocks between two counted depths, and the smallest depth that is hashed.
 _STRIDE_BLOCKS = 8
 _WINDOW_SECONDS = 30.0
 _MAX_COUNTED = 20_000
-# A prefix is split when its traffic is more than this many times the mean of
-# one server, and joined again below half of that. The gap matters: entries
-# count samples, and near a single limit they would disagree on the depth for
-# ever, each computing the text on another server.
+# A prefix is split when its traffic exceeds this multiple of the mean traffic
+# per server, and joined again below half of that. Each entry counts only a
+# sample of the traffic: with a single threshold, entries would permanently
+# disagree on the depth of a prefix near it, and each would compute the text
+# on a different server.
 _SPLIT_SHARE = 1.3
 _JOIN_FACTOR = 0.5
-# With fewer requests counted, a share is mostly chance.
+# With fewer counted requests, the measured share is mostly noise.
 _MIN_SPLIT_REQUESTS = 12
-# Homes beside those that the traffic needs; the less loaded one is taken.
+# Additional homes beside those needed for the traffic, so that placement can
+# choose a less loaded one.
 _SPARE_HOMES = 1
 _MAX_HOMES = 32
 _MAX_SPLIT = 4096
@@ -37,11 +41,12 @@
 
 @attrs.define(kw_only=True)
 class Home:
-    """A home of a prefix.
+    """A home server of a prefix.
 
     Attributes:
-        position: position of the server in the list that was given.
-        first: whether the traffic needs it; else it is a spare.
+        position: position of the server in the given list.
+        first: whether the home is needed for the traffic; otherwise it is a
+            spare.
     """
 
     position: int
@@ -50,12 +55,12 @@
 
 @attrs.define(kw_only=True)
 class Level:
-    """Where on a prompt its home is decided.
+    """The depth at which a prompt is hashed, with its traffic.
 
     Attributes:
-        depth: in blocks.
-        count: requests under it, of about one window.
-        limit: requests that one server should have of these.
+        depth: depth in blocks.
+        count: requests with this prefix, over about one window.
+        limit: maximum number of these requests for one server.
     """
 
     depth: int
@@ -64,12 +69,12 @@
 
 
 class Homes:
-    """Finds the homes of prompts.
+    """Computes the homes of prompts.
 
     Attributes:
-        levels: how much traffic lies under which prefix.
-        split: digests whose continuations are hashed apart.
-        rankings: the servers' order, by model.
+        levels: request counts by prefix.
+        split: digests of the prefixes that are split.
+        rankings: ranking of the servers by model.
     """
 
     def __init__(self):
@@ -82,13 +87,13 @@
     def find(
         self, model: str, blocks: list[bytes], names: list[str], now: float
     ) -> list[Home]:
-        """Returns the homes of a prompt, the first ones first.
+        """Returns the homes of a prompt, needed homes before spare ones.
 
         Args:
-            model: the model.
+            model: model name.
             blocks: digests of the prompt's blocks.
-            names: the servers declared for the model.
-            now: the time.
+            names: names of the servers declared for the model.
+            now: current time.
         """
         if not blocks or not names:
             return []
@@ -107,14 +112,15 @@
     def level(
         self, model: str, blocks: list[bytes], servers: int, now: float
     ) -> Level:
-        """Returns the shallowest level that isn't split."""
+        """Returns the level with the smallest depth that isn't split."""
         total = self.levels.total(model, now) + 1
         limit = _SPLIT_SHARE * total / servers
         level = Level(depth=len(blocks), count=0.0, limit=limit)
         for depth in self.levels.depths(blocks):
             count = self.levels.count(blocks[depth - 1], now)
             if count < 1 and level.count:
-                # Nothing that goes on from the split level was seen before.
+                # No request with this continuation of the split prefix has
+                # been counted yet.
                 return level
             level = Level(depth=depth, count=count, limit=limit)
             if not self.update_split(blocks[depth - 1], count, limit):
@@ -122,7 +128,7 @@
         return level
 
     def update_split(self, block: bytes, count: float, limit: float) -> bool:
-        """Returns whether a level is split, after splitting or joining it."""
+        """Splits or joins a level; returns whether it is split now."""
         if block in self.split:
             if count > _JOIN_FACTOR * limit:
                 return True
@@ -135,19 +141,19 @@
 
     def add(self, model: str, blocks: list[bytes], now: float):
         """Counts a request."""
-        before = self.levels.began_at
+        previous = self.levels.began_at
         self.levels.add(model, blocks, now)
-        if self.levels.began_at != before:
-            # Levels that nobody asks for any more are joined here.
+        if self.levels.began_at != previous:
+            # Joins the prefixes that no longer receive requests.
             self.split = {
                 each for each in self.split if self.levels.count(each, now) > 0
             }
 
     def ranking(self, model: str, names: Sequence[str]) -> rankings.Ranking:
-        """Returns the order of a model's servers, made anew on a change."""
-        known = self.rankings.get(model)
-        if known is not None and known.names == names:
-            return known
+        """Returns the ranking of a model's servers, rebuilt on a change."""
+        cached = self.rankings.get(model)
+        if cached is not None and cached.names == names:
+            return cached
         if len(self.rankings) >= _MAX_RANKINGS:
             self.rankings.clear()
         self.rankings[model] = rankings.Ranking(names=names)
--- a/pimentoledge/decisions/levels.py
+++ b/pimentoledge/decisions/levels.py
@@ -1,11 +1,12 @@
-"""How much of a model's traffic lies under each prompt prefix.
+"""Counts a model's requests by prompt prefix.
 
-Prompts nest: all of an organisation's share their first text, fewer share
-the next level. Where levels end is not known; counting at every few blocks
-finds them, since the count falls where prompts part.
+Prompts form a tree: all prompts of an organisation share their first text,
+and fewer share each further level. The depths at which prompts diverge are
+unknown, so requests are counted every few blocks; the count falls where
+prompts diverge.
 
-Each entry counts what it sees itself. The balancer gives every entry a fair
-sample, so shares agree between entries though the counts are their own.
+Each entry counts only its own requests. The load balancer gives every entry a
+fair sample, so the relative shares agree between entries.
 """
 
 import attrs
@@ -13,7 +14,7 @@
 
 @attrs.define(kw_only=True)
 class Window:
-    """Counts of one stretch of time.
+    """Request counts of one time window.
 
     Attributes:
         counts: requests by digest.
@@ -25,15 +26,16 @@
 
 
 class Levels:
-    """Counts over a sliding window, bounded in memory.
+    """Request counts over a sliding window, with bounded memory.
 
     Attributes:
         stride: blocks between two counted depths.
-        seconds: length of a window.
-        limit: most digests counted in one window; then new ones are not.
-        began_at: when the newest window began.
-        current: the newest window.
-        previous: the one before it.
+        seconds: length of a window in seconds.
+        limit: maximum number of digests counted in one window; further new
+            digests are not counted.
+        began_at: start time of the current window.
+        current: the current window.
+        previous: the window before it.
     """
 
     def __init__(self, *, stride: int, seconds: float, limit: int):
@@ -45,7 +47,7 @@
         self.previous = Window()
 
     def rotate(self, now: float):
-        """Begins a new window when the newest one is full."""
+        """Starts a new window when the current one has ended."""
         age = now - self.began_at
         if age < self.seconds:
             return
@@ -68,25 +70,25 @@
         counts = self.current.counts
         for depth in self.depths(blocks):
             block = blocks[depth - 1]
-            known = counts.get(block)
-            if known is None and len(counts) >= self.limit:
+            count = counts.get(block)
+            if count is None and len(counts) >= self.limit:
                 return
-            counts[block] = (known or 0) + 1
+            counts[block] = (count or 0) + 1
 
     def count(self, block: bytes, now: float) -> float:
-        """Returns the requests of about one window under a digest."""
+        """Returns the requests with a prefix digest, over about one window."""
         newest = self.current.counts.get(block, 0)
         return newest + self.previous_weight(now) * self.previous.counts.get(
             block, 0
         )
 
     def total(self, model: str, now: float) -> float:
-        """Returns all requests of about one window."""
+        """Returns all requests of a model, over about one window."""
         newest = self.current.totals.get(model, 0)
         return newest + self.previous_weight(now) * self.previous.totals.get(
             model, 0
         )
 
     def previous_weight(self, now: float) -> float:
-        """Returns the weight of the older window."""
+        """Returns the weight of the previous window in the counts."""
         return max(0.0, 1 - (now - self.began_at) / self.seconds)
--- a/pimentoledge/decisions/placement.py
+++ b/pimentoledge/decisions/placement.py
@@ -1,13 +1,14 @@
-"""Where a request runs: the cheapest backend server as this entry sees it.
+"""Placement: chooses the backend server with the lowest cost for a request.
 
-Every entry decides alone. Entries agree on where a prefix lives because they
-rank the servers by the same hash, and each corrects that by what its own
-requests found.
+Each entry decides on its own. Entries agree on the home servers of a prefix
+because they rank the servers by the same hash. Each entry refines this with
+the cache hits of its own requests.
 
-The cost is the expected wait and the expected computing, but computing is
-charged at more than its time: a token computed again delays everybody behind
-it, and evicts another's blocks. With the bare time as cost, spilled requests
-make queues longer, which makes more requests spill.
+The cost is the expected queueing time plus the expected prefill time. Prefill
+is weighted by more than its duration, because recomputing a token delays all
+requests queued behind it and evicts other blocks from the cache. With an
+unweighted prefill time, requests that spill to other servers lengthen the
+queues, which makes more requests spill.
 """
 
 from collections.abc import Sequence
@@ -21,21 +22,23 @@
 from pimentoledge.decisions import loads
 from pimentoledge.nodes import messages
 
-# What a token to compute costs, in times of its prefill. Nobody waits on
-# batch work, so it goes where least is computed nearly whatever the queue.
+# Cost of computing a token, as a multiple of its prefill time. Batch requests
+# have no user waiting, so they minimize prefill with little regard to queues.
 _PRICES = {
     declarations.Priority.INTERACTIVE: 2.0,
     declarations.Priority.BATCH: 8.0,
 }
-# The price rises by one for so many seconds of mean queue.
+# Mean queueing time, in seconds, that raises the price by one.
 _WAIT_PER_PRICE = 0.4
 _MAX_PRICE = 16.0
-# Share of a prompt for which a home is credited without a hint: other entries
-# send the same text there.
+# Share of a prompt that is assumed to be cached at a home server without a
+# hint, because other entries send requests with the same prefix there. The
+# second value applies to spare homes.
 _HOME_CREDIT = 0.9
 _SPARE_CREDIT = 0.5
-# Up to so many servers, all are considered; of more, the homes, those with
-# hints and a few at random, so that the time does not grow with the fleet.
+# Up to this many servers, all are considered. In a larger fleet only the
+# homes, the servers with hints and a few random ones are, so that the time of
+# a decision does not grow with the fleet.
 _MAX_FULL_SCAN = 32
 _RANDOM_CONSIDERED = 2
 _INITIAL_SLOT_SECONDS = 1.0
@@ -45,11 +48,11 @@
 
 @attrs.define(kw_only=True)
 class PlacementRequest:
-    """What a request needs.
+    """The inputs to the placement of one request.
 
     Attributes:
         request: request id.
-        organisation: whose request it is.
+        organisation: organisation that sent the request.
         model: model or service name.
         adapter: adapter name; empty for none.
         weights: weights version; empty for a plain service.
@@ -57,8 +60,8 @@
         block_tokens: estimated tokens in one block.
         prompt_tokens: estimated tokens in the prompt.
         priority: declarations.Priority.
-        seconds_left: time to the deadline.
-        avoid: servers that must not run it.
+        seconds_left: seconds until the deadline.
+        avoid: names of servers that must not be chosen.
     """
 
     request: str
@@ -76,13 +79,14 @@
 
 @attrs.define(kw_only=True)
 class Candidate:
-    """A server that was considered.
+    """A server that was considered, with its cost.
 
     Attributes:
-        server: its name.
-        cost: expected seconds to the first token.
-        depth_tokens: prompt tokens expected in its cache.
-        wait_seconds: expected queue ahead.
+        server: server name.
+        cost: expected seconds to the first token, with prefill weighted by
+            the price.
+        depth_tokens: prompt tokens expected in its prefix cache.
+        wait_seconds: expected queueing time.
     """
 
     server: str
@@ -93,15 +97,15 @@
 
 @attrs.define(kw_only=True)
 class Choice:
-    """Where a request shall run.
+    """The result of a placement.
 
     Attributes:
-        server: the server's name; None when there is none.
-        incarnation: engine incarnation assumed; empty when not known.
-        weights: weights version assumed; empty when not known.
-        expected_depth: prompt tokens expected in its cache.
-        candidates: what was considered, cheapest first.
-        reason: why, in a few words.
+        server: name of the chosen server; None if no server is usable.
+        incarnation: assumed engine incarnation; empty if unknown.
+        weights: assumed weights version; empty if unknown.
+        expected_depth: prompt tokens expected in the server's prefix cache.
+        candidates: servers that were considered, cheapest first.
+        reason: short explanation for the log.
     """
 
     server: str | None
@@ -114,12 +118,12 @@
 
 @attrs.define(kw_only=True)
 class Pending:
-    """A request between its choice and its end.
+    """A request between its placement and its end.
 
     Attributes:
         blocks: digests of its prompt's blocks.
-        life: engine life that it was sent to; None before.
-        sent_at: when.
+        life: engine life that it was sent to; None before the dispatch.
+        sent_at: time of the dispatch.
     """
 
     blocks: list[bytes]
@@ -128,18 +132,20 @@
 
 
 class Placer:
-    """Chooses servers and learns from what became of the requests.
+    """Chooses servers and updates its estimates from request outcomes.
 
     Attributes:
         data_centre: this entry's data centre.
-        cross_seconds: added to the cost of a server in another one.
-        random: the only source of chance, seeded.
-        hints: what is probably cached where.
-        loads: load by server name.
-        lives: engine life by server name.
-        pending: requests under way, by id.
-        slot_seconds: how long a request holds a slot, in seconds.
-        homes: where prefixes live by the hash.
+        cross_seconds: cost in seconds that is added for a server in another
+            data centre.
+        random: seeded random generator.
+        hints: prompt blocks that servers probably have cached.
+        loads: estimated load by server name.
+        lives: current engine life by server name.
+        pending: requests placed but not finished, by id.
+        slot_seconds: moving average of the seconds that a request occupies a
+            slot.
+        homes: home servers of prefixes.
     """
 
     def __init__(
@@ -170,25 +176,27 @@
         servers: Sequence[declarations.BackendServer],
         now: float,
     ) -> Choice:
-        """Returns where a request shall run.
+        """Chooses the server for a request.
 
         Args:
-            wanted: what it needs.
+            wanted: the request's requirements.
             servers: servers declared for its model or service.
-            now: the time.
+            now: current time.
         """
         names = [each.name for each in servers]
-        found = self.homes.find(wanted.model, wanted.blocks, names, now)
-        ours = {names[each.position]: each for each in found}
+        prompt_homes = self.homes.find(wanted.model, wanted.blocks, names, now)
+        homes_by_name = {names[each.position]: each for each in prompt_homes}
         depths = self.hints.depths(wanted.blocks, now)
-        considered = self.considered(servers, ours, depths, wanted.model, names)
+        considered = self.considered(
+            servers, homes_by_name, depths, wanted.model, names
+        )
         usable, reason = self.usable(wanted, considered, servers, now)
         if not usable:
             return Choice(server=None, reason=reason)
         price = self.price(wanted, usable, now)
         candidates = [
             self.candidate(
-                wanted, each, depths, ours.get(each.name), price, now
+                wanted, each, depths, homes_by_name.get(each.name), price, now
             )
             for each in usable
         ]
@@ -209,20 +217,20 @@
     def considered(
         self,
         servers: Sequence[declarations.BackendServer],
-        ours: dict[str, homes.Home],
+        homes_by_name: dict[str, homes.Home],
         depths: dict[str, int],
         model: str,
         names: list[str],
     ) -> Sequence[declarations.BackendServer]:
-        """Returns the servers that are worth a look."""
+        """Returns the servers for which a cost is computed."""
         if len(servers) <= _MAX_FULL_SCAN:
             return servers
         positions = self.homes.ranking(model, names).positions
-        found = {each.position for each in ours.values()}
-        found.update(positions[name] for name in depths if name in positions)
+        selected = {each.position for each in homes_by_name.values()}
+        selected.update(positions[name] for name in depths if name in positions)
         for _ in range(_RANDOM_CONSIDERED):
-            found.add(self.random.randrange(len(servers)))
-        return [servers[position] for position in sorted(found)]
+            selected.add(self.random.randrange(len(servers)))
+        return [servers[position] for position in sorted(selected)]
 
     def usable(
         self,
@@ -231,7 +239,7 @@
         servers: Sequence[declarations.BackendServer],
         now: float,
     ) -> tuple[list[declarations.BackendServer], str]:
-        """Returns the servers that may be chosen, and the reason."""
+        """Returns the servers to choose from, and the reason for the log."""
         allowed = [
             each for each in considered if self.is_eligible(wanted, each)
         ]
@@ -242,14 +250,15 @@
             return usable, "cheapest"
         if len(considered) < len(servers):
             return self.usable(wanted, servers, servers, now)
-        # Failures only delay: with no other server left, one that failed
-        # a moment ago is tried again, since its agent refuses truthfully.
+        # Backoff only lowers a server's preference. If no other server is
+        # left, a recently failed one is tried again; its agent refuses the
+        # request if the server still can't run it.
         return allowed, "last resort" if allowed else "no usable server"
 
     def is_eligible(
         self, wanted: PlacementRequest, server: declarations.BackendServer
     ) -> bool:
-        """Returns whether a server may run a request at all."""
+        """Returns whether a server may run a request, regardless of load."""
         if server.state != declarations.ServerState.IN:
             return False
         if server.name in wanted.avoid:
@@ -265,7 +274,7 @@
         return not wanted.adapter or wanted.adapter in truth.adapters
 
     def is_past_backoff(self, server: str, now: float) -> bool:
-        """Returns whether a server hasn't failed a moment ago."""
+        """Returns whether a server's backoff after failures has ended."""
         load = self.loads.get(server)
         return load is None or now >= load.retry_at
 
@@ -275,10 +284,10 @@
         servers: Sequence[declarations.BackendServer],
         now: float,
     ) -> float:
-        """Returns what computing costs, in times of its seconds.
+        """Returns the cost of prefill as a multiple of its duration.
 
-        The longer the queues everywhere, the more requests a token computed
-        again delays.
+        It grows with the mean queueing time of the servers, because a
+        recomputed token delays more requests when all queues are long.
         """
         waits = [
             self.loads[each.name].wait_seconds(now, self.slot_seconds)
@@ -298,7 +307,7 @@
         price: float,
         now: float,
     ) -> Candidate:
-        """Returns a server with its cost."""
+        """Computes the cost of running a request on a server."""
         load = self.loads.get(server.name) or loads.EstimatedLoad()
         depth = depths.get(server.name, 0)
         credit = float(depth)
@@ -318,19 +327,22 @@
         )
 
     def add_pending(self, wanted: PlacementRequest):
-        """Keeps a request's blocks until it is sent and finished."""
+        """Stores a request's blocks until it is finished.
+
+        The oldest request is dropped if there are too many.
+        """
         self.pending[wanted.request] = Pending(blocks=wanted.blocks)
         if len(self.pending) > _MAX_PENDING:
             del self.pending[next(iter(self.pending))]
 
     def sent(self, server: str, request: str, tokens: int, now: float):
-        """Counts a dispatch.
+        """Records a dispatch and adds hints for its prompt.
 
         Args:
-            server: where it went.
+            server: server it was sent to.
             request: request id.
-            tokens: uncached prompt tokens expected.
-            now: the time.
+            tokens: expected number of uncached prompt tokens.
+            now: current time.
         """
         load = self.loads.setdefault(server, loads.EstimatedLoad())
         load.sent(tokens, now)
@@ -342,7 +354,10 @@
         self.hints.add(pending.blocks, pending.life, now)
 
     def learned(self, truth: messages.Truth, now: float):
-        """Takes what an agent says of its server in place of hints."""
+        """Updates a server's load and engine life from its agent's report.
+
+        A new incarnation or weights version invalidates the server's hints.
+        """
         load = self.loads.setdefault(truth.server, loads.EstimatedLoad())
         load.reported(truth, now)
         life = self.life(truth.server)
@@ -364,30 +379,32 @@
         cached_tokens: int,
         now: float,
     ):
-        """Learns from a request that ran to its end.
+        """Records a request that ran to its end.
+
+        Updates the average slot time and the hints.
 
         Args:
-            server: where it ran.
+            server: server it ran on.
             request: request id.
             blocks: digests of its prompt's blocks.
             cached_tokens: prompt tokens that the engine took from its cache.
-            now: the time.
+            now: current time.
         """
         life = self.life(server)
         pending = self.pending.pop(request, None)
         if pending is not None and pending.life is not None:
-            taken = now - pending.sent_at
+            elapsed = now - pending.sent_at
             self.slot_seconds += _SLOT_SECONDS_WEIGHT * (
-                taken - self.slot_seconds
+                elapsed - self.slot_seconds
             )
             life = pending.life
         if not life.ended:
             self.hints.add(blocks, life, now)
 
     def failed(self, server: str, now: float):
-        """Counts a failure to reach a server or to be served by it."""
+        """Records a failed attempt, which starts or extends the backoff."""
         self.loads.setdefault(server, loads.EstimatedLoad()).failed(now)
 
     def life(self, server: str) -> hints.EngineLife:
-        """Returns the engine life that is believed to be current."""
+        """Returns the newest known engine life of a server."""
         return self.lives.setdefault(server, hints.EngineLife(server=server))
