--- a/pimentoledge/decisions/requests.py
+++ b/pimentoledge/decisions/requests.py
@@ -1,4 +1,4 @@
-"""What an entry tells others of a request: placement, agents and the log."""
+"""Builds the placement input, the dispatch and the log lines of a request."""
 
 from pimentoledge.decisions import actions
 from pimentoledge.decisions import events
@@ -9,36 +9,36 @@
 from pimentoledge.decisions import tickets
 from pimentoledge.nodes import messages
 
-# Prompt bytes that count as one token until the engine has told.
+# Assumed prompt bytes per token, until the engine reports the token count.
 TOKEN_BYTES = 4
-# Candidates in a log line.
+# Maximum number of candidates in a log line.
 LOGGED_CANDIDATES = 4
 
 
 def prompt_blocks(
     event: events.CallerRequest, organisation: str, block_bytes: int
 ) -> list[bytes]:
-    """Returns the chained digests of a request's prompt."""
-    asked = event.completion
-    if asked is None:
+    """Returns the chained block digests of a request's prompt."""
+    completion = event.completion
+    if completion is None:
         return []
     salt = prefixes.salt(
         organisation=organisation,
-        model=asked.model,
-        adapter=asked.adapter,
-        # Two versions serve at one time during an upgrade, and a request may
-        # run on either. A hint belongs to one engine life with one version,
-        # which keeps them apart; the agent salts what the engine caches with
-        # the version that is loaded.
+        model=completion.model,
+        adapter=completion.adapter,
+        # During an upgrade two weights versions serve at the same time, and a
+        # request may run on either. A hint belongs to one engine life with
+        # one version, which keeps the versions apart. The agent salts the
+        # engine's cache keys with the loaded version.
         weights="",
     )
     return prefixes.chain(
-        salt=salt, text=asked.prompt.encode(), block_bytes=block_bytes
+        salt=salt, text=completion.prompt.encode(), block_bytes=block_bytes
     )
 
 
 def prompt_tokens(ticket: tickets.Ticket) -> int:
-    """Returns the estimated length of a request's prompt."""
+    """Returns the estimated length of a request's prompt in tokens."""
     completion = ticket.event.completion
     if completion is None:
         return 0
@@ -48,7 +48,7 @@
 def placement_request(
     ticket: tickets.Ticket, serves: str, block_bytes: int, now: float
 ) -> placement.PlacementRequest:
-    """Returns what placement has to know of a request."""
+    """Returns the placement input for a request."""
     completion = ticket.event.completion
     return placement.PlacementRequest(
         request=ticket.event.request,
@@ -71,14 +71,14 @@
     version: int,
     now: float,
 ) -> messages.Dispatch:
-    """Returns the message that asks an agent to run a request.
+    """Returns the message that requests an agent to run an attempt.
 
     Args:
-        ticket: the request.
-        attempt: the attempt that begins.
-        choice: where it shall run, and what is assumed of that server.
+        ticket: state of the request.
+        attempt: the new attempt.
+        choice: the chosen server and the state assumed for it.
         version: the entry's configuration version.
-        now: the time.
+        now: current time.
     """
     event = ticket.event
     completion = event.completion
@@ -111,7 +111,7 @@
 def log_route(
     ticket: tickets.Ticket, choice: placement.Choice
 ) -> actions.LogDecision:
-    """Returns the log line of a placement."""
+    """Returns the log line for a placement."""
     considered = choice.candidates[:LOGGED_CANDIDATES]
     fields: dict[str, object] = {
         "request": ticket.event.request,
@@ -127,7 +127,7 @@
 
 
 def log_poison(ticket: tickets.Ticket) -> actions.LogDecision:
-    """Returns the log line of a request refused as poison."""
+    """Returns the log line for a request refused as poison."""
     fields: dict[str, object] = {
         "request": ticket.event.request,
         "organisation": ticket.contract.organisation,
@@ -142,7 +142,7 @@
     failure: retries.Failure,
     step: retries.Retry | retries.GiveUp,
 ) -> actions.LogDecision:
-    """Returns the log line of what follows a failed attempt."""
+    """Returns the log line for the retry or end after a failed attempt."""
     fields: dict[str, object] = {
         "request": ticket.event.request,
         "attempt": ticket.stream.attempt,
--- a/pimentoledge/decisions/retries.py
+++ b/pimentoledge/decisions/retries.py
@@ -1,46 +1,50 @@
-"""When an entry tries a request again, and when it gives up.
+"""The retry policy of an entry.
 
-A pure policy: what is known of a request and the newest failure go in, one
-step comes out. What can't succeed is given its final answer at once.
+The policy has no side effects beyond its arguments: from a request's state
+and its newest failure it computes either a retry or a final error. A request
+that can't succeed gets its final error at once.
 """
 
 import attrs
 
 from pimentoledge import results
 
-# Attempts that an engine may have run, over the life of one request.
+# Maximum number of attempts per request that an engine may have run.
 MAX_ATTEMPTS = 4
-# Refusals with a corrected truth that one request follows for nothing.
+# Refused attempts per request that are retried without using the budget. Each
+# refusal carries the server's current state.
 MAX_REDIRECTS = 6
-# Of these, refusals for load: a full cluster isn't asked all over.
+# Maximum of these for refusals because of load, so that in a full cluster a
+# request isn't sent to every server.
 MAX_LOAD_REDIRECTS = 2
-# Times that one request waits for another suspect to be done.
+# Times that a request waits for another copy of the same suspect content.
 MAX_SUSPECT_WAITS = 64
-# Times that a request which lost its server waits for any to come back: some
-# four seconds in all.
+# Times that a request which lost its server waits for a usable one, about
+# four seconds in total.
 MAX_NO_SERVER_WAITS = 10
 FIRST_DELAY = 0.02
 MAX_DELAY = 0.5
-# Least time before the deadline in which an attempt makes sense.
+# An attempt with less time than this before the deadline is not started.
 MIN_SECONDS_LEFT = 0.01
 DEFAULT_RETRY_AFTER = 1.0
 
 
 class RetryBudget:
-    """Keeps retries a small share of an entry's traffic.
+    """Token bucket that limits retries to a small share of the traffic.
 
-    Each new request puts `ratio` tokens in and each retry takes one out, so
-    that over any long time retries are at most that share of requests, plus
-    a constant `minimum` a second that lets a quiet entry retry at all.
+    Each new request adds `ratio` tokens and each retry removes one. In the
+    long run retries are therefore at most that share of the requests, plus
+    `minimum` per second, which allows retries at an entry with little traffic.
 
     Attributes:
-        ratio: retries allowed for each request.
-        minimum: retries a second allowed besides.
-        capacity: most tokens kept, which bounds a burst of retries.
-        tokens: retries allowed now.
-        requests: requests seen.
-        retries: retries allowed so far.
-        denied: retries not allowed so far.
+        ratio: tokens added per request.
+        minimum: tokens added per second.
+        capacity: maximum number of tokens, which bounds a burst of retries.
+        tokens: retries currently allowed.
+        refilled_at: time of the last refill; None before the first.
+        requests: number of requests recorded.
+        retries: number of retries granted.
+        denied: number of retries denied.
     """
 
     def __init__(
@@ -60,13 +64,13 @@
         self.denied = 0
 
     def record_request(self, now: float) -> None:
-        """Notes a new request."""
+        """Records a new request, which adds `ratio` tokens."""
         self._refill(now)
         self.requests += 1
         self.tokens = min(self.capacity, self.tokens + self.ratio)
 
     def try_acquire(self, now: float) -> bool:
-        """Takes one retry, if there is one."""
+        """Removes a token for a retry; returns whether there was one."""
         self._refill(now)
         if self.tokens < 1.0:
             self.denied += 1
@@ -77,29 +81,31 @@
 
     def _refill(self, now: float) -> None:
         if self.refilled_at is not None:
-            gained = (now - self.refilled_at) * self.minimum
-            self.tokens = min(self.capacity, self.tokens + gained)
+            added = (now - self.refilled_at) * self.minimum
+            self.tokens = min(self.capacity, self.tokens + added)
         self.refilled_at = now
 
 
 @attrs.define(kw_only=True)
 class AttemptState:
-    """What an entry knows of one request when an attempt fails.
+    """The retry state of one request over its attempts.
 
     Attributes:
-        repeatable: whether it may run more than once.
-        deadline: when its answer is due.
-        streamed: tokens already given to the caller.
-        continuable: whether another runner may go on behind them.
-        attempts: attempts that a server may have run, with the failed one.
-        redirects: refusals followed for nothing.
-        load_redirects: those of them for load.
+        repeatable: whether the request may run more than once.
+        deadline: time by which the answer is due.
+        streamed: tokens already sent to the caller.
+        continuable: whether another runner can continue after these tokens.
+        attempts: attempts that a server may have run, including the failed
+            one.
+        redirects: refused attempts so far.
+        load_redirects: those of them refused because of load.
         suspect_waits: waits because another request with the same suspect
             content was running.
         no_server_waits: waits for a server to become usable, after its own
             server was lost.
-        avoid: servers not to be tried again.
-        ran: worst of what the attempts so far say about having run.
+        avoid: names of servers that must not be tried again.
+        ran: worst outcome of the attempts so far: RAN before UNKNOWN before
+            NOT_RUN.
     """
 
     repeatable: bool = True
@@ -117,12 +123,12 @@
 
 @attrs.define(kw_only=True)
 class NotRun:
-    """The server said that it did not and will not run the attempt.
+    """The attempt was not run and will not be run by this server.
 
     Attributes:
-        server: which server.
-        code: its reason.
-        retry_after: its advice in seconds; 0 for none.
+        server: server name.
+        code: reason of the refusal.
+        retry_after: the server's suggested delay in seconds; 0 for none.
     """
 
     server: str
@@ -132,12 +138,12 @@
 
 @attrs.define(kw_only=True)
 class Broken:
-    """The attempt was admitted, or may have been, and won't be answered.
+    """The attempt was or may have been admitted and won't be answered.
 
     Attributes:
-        server: which server.
+        server: server name.
         code: ENGINE_DIED, SERVICE_FAILED, AGENT_UNREACHABLE, ...
-        ran: what is known of it having run.
+        ran: whether the attempt ran, as far as known.
     """
 
     server: str
@@ -147,11 +153,11 @@
 
 @attrs.define(kw_only=True)
 class NoCandidate:
-    """No server is left that the attempt could be sent to.
+    """No usable server is left for the attempt.
 
     Attributes:
-        code: why.
-        retry_after: advice in seconds; 0 for none.
+        code: reason.
+        retry_after: suggested delay in seconds; 0 for none.
     """
 
     code: results.Code = results.Code.NO_SERVER
@@ -163,11 +169,11 @@
 
 @attrs.define(kw_only=True)
 class Retry:
-    """Try again.
+    """Start another attempt.
 
     Attributes:
-        avoid: servers not to choose.
-        delay: seconds to wait before.
+        avoid: names of servers that must not be chosen.
+        delay: seconds to wait before the attempt.
     """
 
     avoid: set[str]
@@ -176,12 +182,13 @@
 
 @attrs.define(kw_only=True)
 class GiveUp:
-    """Give the caller this answer at once."""
+    """End the request with this error."""
 
     error: results.Error
 
 
-# The server stays a good choice once the entry's hint is corrected.
+# After these refusals the same server may be chosen again, since only the
+# entry's cached state was out of date.
 _SAME_SERVER_CODES = frozenset(
     {
         results.Code.STALE_INCARNATION,
@@ -197,16 +204,16 @@
 def next_step(
     attempt: AttemptState, failure: Failure, budget: RetryBudget, now: float
 ) -> Retry | GiveUp:
-    """Decides what follows a failed attempt, and notes it in the state.
+    """Decides whether a request is retried after a failed attempt.
 
     Args:
-        attempt: the request's state; changed.
-        failure: what happened to the newest attempt.
-        budget: the entry's retry budget; a retry takes from it.
-        now: the time.
+        attempt: the request's retry state; it is updated.
+        failure: the failure of the newest attempt.
+        budget: the entry's retry budget; a retry may use a token.
+        now: current time.
 
     Returns:
-        Retry or GiveUp; the error's `ran` is true over all attempts.
+        Retry or GiveUp; the error's `ran` covers all attempts.
     """
     match failure:
         case NotRun():
@@ -220,11 +227,12 @@
 def _after_no_candidate(
     attempt: AttemptState, failure: NoCandidate, now: float
 ) -> Retry | GiveUp:
-    # In a small pool a request can have been on each server that died in
-    # the last second. They come back soon; giving up would break streams
-    # that were half told. One that has not run is better sent again.
-    lost = attempt.repeatable and attempt.ran != results.Ran.NOT_RUN
-    if not lost or attempt.no_server_waits >= MAX_NO_SERVER_WAITS:
+    # In a small pool a request may have run on each of several servers that
+    # crashed within a second. They usually restart soon, and giving up would
+    # break streams that are partly delivered. A request that has not run gets
+    # an error at once, because its caller can safely send it again.
+    can_wait = attempt.repeatable and attempt.ran != results.Ran.NOT_RUN
+    if not can_wait or attempt.no_server_waits >= MAX_NO_SERVER_WAITS:
         return _give_up(attempt, failure.code, failure.retry_after)
     attempt.no_server_waits += 1
     attempt.avoid.clear()
@@ -250,8 +258,8 @@
         attempt.avoid.add(failure.server)
     delay = 0.0
     if failure.code == results.Code.STALE_CONFIGURATION:
-        # Asked again at once it would be refused again: the entry has yet
-        # to hear of the change.
+        # An immediate retry would be refused again, because the entry has
+        # not received the new configuration yet.
         delay = _delay(attempt.redirects)
     if not _count_redirect(attempt, failure.code) and not budget.try_acquire(
         now
@@ -263,7 +271,7 @@
 
 
 def _count_redirect(attempt: AttemptState, code: results.Code) -> bool:
-    """Counts a refusal; returns whether following it costs no budget."""
+    """Counts a refusal; returns whether its retry needs no budget."""
     attempt.redirects += 1
     if code not in _LOAD_CODES:
         return attempt.redirects <= MAX_REDIRECTS
@@ -281,8 +289,8 @@
     attempt.attempts += 1
     attempt.ran = _worse(attempt.ran, failure.ran)
     if not attempt.repeatable and failure.ran != results.Ran.NOT_RUN:
-        # A second run would be a second order. Nothing that comes later
-        # can show that the first had no effect.
+        # A second run would repeat the call's side effects, and no later
+        # message can prove that the first run had none.
         return _give_up(attempt, results.Code.OUTCOME_UNKNOWN, 0.0)
     if attempt.streamed and not attempt.continuable:
         return _give_up(attempt, results.Code.STREAM_BROKEN, 0.0)
@@ -318,8 +326,8 @@
     if attempt.streamed:
         code = results.Code.STREAM_BROKEN
         attempt.ran = results.Ran.RAN
-    # A refusal's code says "not run"; that would be false of a request that
-    # an earlier attempt had brought into an engine.
+    # The code of a refusal implies "not run", which would be wrong for a
+    # request that ran in an earlier attempt.
     ran = attempt.ran if code != results.Code.POISON else results.Ran.RAN
     error = results.Error(
         code=code, ran=ran, retry_after=retry_after or DEFAULT_RETRY_AFTER
--- a/pimentoledge/decisions/tickets.py
+++ b/pimentoledge/decisions/tickets.py
@@ -1,4 +1,4 @@
-"""What an entry keeps of one request until it has ended."""
+"""The state that an entry keeps for each request in progress."""
 
 import enum
 
@@ -11,37 +11,37 @@
 
 
 class Phase(enum.StrEnum):
-    """Where a request stands."""
+    """Phase of a request at the entry."""
 
-    # Waits for a share of its contract's limit.
+    # Waits for admission under its contract's limits.
     LIMITED = "limited"
-    # Waits to be placed again.
+    # Waits for placement or for its next attempt.
     PLACING = "placing"
-    # Sent to an agent that has not said yet whether it takes it.
+    # Sent to an agent that has not admitted or refused it yet.
     SENT = "sent"
-    # The agent took it.
+    # Admitted by the agent.
     ADMITTED = "admitted"
 
 
 @attrs.define(kw_only=True)
 class Ticket:
-    """One request.
+    """A request in progress.
 
     Attributes:
-        event: what the caller asked for.
-        contract: its organisation's contract when it was accepted.
-        deadline: when its time is up.
-        blocks: chained digests of its prompt.
+        event: the caller's request.
+        contract: its organisation's contract at the time of acceptance.
+        deadline: time at which it ends with DEADLINE_PASSED.
+        blocks: chained block digests of its prompt.
         fingerprint: digest of organisation and content.
         stream: orders the frames of its attempts.
-        crashes: engines that its content is known to have crashed, as of the
-            current attempt.
-        attempt_state: what the retry policy knows of it.
-        phase: where it stands.
+        crashes: number of engine crashes attributed to its content, as of
+            the current attempt.
+        attempt_state: state of the retry policy.
+        phase: its phase.
         server: backend server of the current attempt.
         agent: mailbox of that server's agent.
-        last_heard_at: when its agent was last heard of.
-        probed: whether its agent was asked about it since.
+        last_heard_at: time of the last message from the agent about it.
+        probed: whether a probe was sent to the agent since that time.
     """
 
     event: events.CallerRequest
@@ -59,13 +59,13 @@
     probed: bool = False
 
     def repeatable(self) -> bool:
-        """Returns whether it may run more than once."""
+        """Returns whether the request may run more than once."""
         if self.event.idempotency_key:
             return False
         return self.event.call is None or self.event.call.repeatable
 
     def priority(self) -> declarations.Priority:
-        """Returns the lower of what was asked for and what is permitted."""
+        """Returns the lower of the requested and the contract's priority."""
         if self.event.batch:
             return declarations.Priority.BATCH
         return self.contract.priority
--- a/pimentoledge/decisions/timers.py
+++ b/pimentoledge/decisions/timers.py
@@ -7,8 +7,8 @@
     """Timers by key; setting a key again replaces its timer.
 
     Attributes:
-        heap: (time, key), with replaced entries still in it.
-        times: the valid time of each key.
+        heap: (time, key) pairs, including replaced and cancelled timers.
+        times: time of the current timer by key.
     """
 
     def __init__(self):
@@ -23,11 +23,11 @@
         heapq.heappush(self.heap, (at, key))
 
     def cancel(self, key: tuple) -> None:
-        """Takes a timer away; nothing if there is none."""
+        """Cancels a timer; does nothing if there is none."""
         self.times.pop(key, None)
 
     def due(self, now: float) -> list[tuple]:
-        """Returns the keys that are due, each once, and forgets them."""
+        """Removes the timers that are due and returns their keys."""
         keys = []
         while self.heap and self.heap[0][0] <= now:
             at, key = heapq.heappop(self.heap)
@@ -37,7 +37,7 @@
         return keys
 
     def next(self) -> float | None:
-        """Returns the time of the earliest timer."""
+        """Returns the time of the earliest timer; None if there is none."""
         while self.heap and self.times.get(self.heap[0][1]) != self.heap[0][0]:
             heapq.heappop(self.heap)
         return self.heap[0][0] if self.heap else None
