--- a/pimentoledge/decisions/outboxes.py
+++ b/pimentoledge/decisions/outboxes.py
@@ -1,7 +1,7 @@
-"""What an agent has to tell entries, with frames held back until a turn ends.
+"""The outgoing messages of an agent to entries, with batched frames.
 
-The frames of all streams of one entry that came in one turn go in one
-message: at 64 streams a step of the engine is one message, not 64.
+All frames for one entry that arrive in one turn of the event loop are sent in
+one message: with 64 streams, one engine step makes one message instead of 64.
 """
 
 from pimentoledge.decisions import actions
@@ -9,21 +9,21 @@
 
 
 class Outbox:
-    """Messages to entries; keeps the order of each entry's.
+    """Messages to entries, in order for each entry.
 
     Attributes:
-        frames: frames held back, by entry.
+        frames: buffered frames by address of the entry.
     """
 
     def __init__(self):
         self.frames: dict[str, list[messages.Frame]] = {}
 
     def hold(self, address: str, frame: messages.Frame) -> None:
-        """Keeps a frame for the end of the turn."""
+        """Buffers a frame until the end of the turn."""
         self.frames.setdefault(address, []).append(frame)
 
     def send(self, address: str, message: object) -> list[actions.Action]:
-        """Sends a message behind the frames that wait for its receiver."""
+        """Sends a message after the buffered frames for its receiver."""
         todo: list[actions.Action] = []
         frames = self.frames.pop(address, None)
         if frames:
@@ -32,12 +32,12 @@
         return todo
 
     def flush(self) -> list[actions.Action]:
-        """Sends what was held back."""
-        held, self.frames = self.frames, {}
-        return [_batch(address, held[address]) for address in held]
+        """Sends all buffered frames."""
+        buffered, self.frames = self.frames, {}
+        return [_batch(address, buffered[address]) for address in buffered]
 
     def drop(self, address: str) -> None:
-        """Forgets what was held back for an entry that is gone."""
+        """Drops the buffered frames for an entry that is gone."""
         self.frames.pop(address, None)
 
 
--- a/pimentoledge/decisions/prefixes.py
+++ b/pimentoledge/decisions/prefixes.py
@@ -1,9 +1,9 @@
-"""Names for prompt prefixes: chained keyed digests over fixed-size blocks.
+"""Prefix digests: chained keyed digests over fixed-size prompt blocks.
 
 Two prompts have the same digest at a depth only if organisation, model,
-adapter, weights version and all text up to that depth are the same. So a hint
-about one organisation's text, or about text computed by older weights, can
-never be found by a request of another organisation or of newer weights.
+adapter, weights version and all text up to that depth are equal. A request
+therefore never matches cached blocks of another organisation, or blocks
+computed with another weights version.
 """
 
 import hashlib
@@ -14,13 +14,13 @@
 
 
 def salt(*, organisation: str, model: str, adapter: str, weights: str) -> bytes:
-    """Returns the key under which a prompt's blocks are digested.
+    """Returns the digest key for a prompt's blocks.
 
-    Each field is preceded by its length, so that no two different lists of
-    fields make the same input.
+    Each field is preceded by its length, so that different lists of fields
+    never produce the same input.
 
     Args:
-        organisation: whose prompt it is.
+        organisation: organisation that sent the prompt.
         model: model name.
         adapter: adapter name; empty for none.
         weights: weights version.
@@ -34,15 +34,15 @@
 
 
 def chain(*, salt: bytes, text: bytes, block_bytes: int) -> list[bytes]:
-    """Returns one digest for each full block, of all text up to its end.
+    """Returns one digest per full block, covering all text up to its end.
 
-    Callers choose the text, so the digest is a keyed cryptographic one: a
-    caller can't make two prompts that are taken for each other.
+    Callers control the text, so the digest is a keyed cryptographic hash: a
+    caller can't construct two prompts with the same digest.
 
     Args:
-        salt: what `salt` returned.
+        salt: key returned by `salt`.
         text: the rendered prompt, UTF-8.
-        block_bytes: bytes in one block; a last block that isn't full has no
+        block_bytes: bytes in one block; an incomplete last block has no
             digest.
     """
     running = hashlib.blake2b(key=salt, digest_size=DIGEST_BYTES)
--- a/pimentoledge/decisions/rankings.py
+++ b/pimentoledge/decisions/rankings.py
@@ -1,9 +1,10 @@
-"""Rendezvous hashing: an order of servers for each key, without messages.
+"""Rendezvous hashing: a ranking of the servers for each key.
 
-Every entry that sees the same servers ranks them alike for a key. Taking one
-server away moves only the keys that ranked it first, one over all others.
-To rank thousands of servers without hashing each, servers stand in groups by
-the hash of their name; groups are ranked first, weighted by their size.
+Entries that have the same list of servers compute the same ranking without
+exchanging messages. Removing a server moves only the keys that ranked it
+first, and spreads them over the other servers. To avoid hashing each of
+thousands of servers per key, servers are grouped by the hash of their name;
+groups are ranked first, weighted by their size.
 """
 
 from collections.abc import Sequence
@@ -18,11 +19,11 @@
 
 @attrs.define(kw_only=True)
 class Group:
-    """Servers whose names hash alike.
+    """Servers whose name hashes have the same remainder.
 
     Attributes:
-        seed: what the group is ranked by.
-        members: seed and position of each server.
+        seed: hash seed of the group.
+        members: (hash seed, position) of each server.
     """
 
     seed: int
@@ -34,13 +35,13 @@
 
     Attributes:
         names: the servers' names.
-        positions: position by name.
-        groups: the groups that have servers.
+        positions: position in `names` by name.
+        groups: the non-empty groups.
     """
 
     def __init__(self, *, names: Sequence[str]):
         self.names = names
-        self.positions = {name: place for place, name in enumerate(names)}
+        self.positions = {name: index for index, name in enumerate(names)}
         groups: dict[int, Group] = {}
         for position, name in enumerate(names):
             seed = xxhash.xxh3_64_intdigest(name.encode())
@@ -50,29 +51,29 @@
         self.groups = [groups[number] for number in sorted(groups)]
 
     def first(self, key: bytes, count: int) -> list[int]:
-        """Returns the positions of the first servers for a key.
+        """Returns the positions of the highest-ranked servers for a key.
 
         Args:
             key: a digest.
-            count: how many are wanted.
+            count: maximum number of servers to return.
         """
-        found: list[int] = []
+        ranked: list[int] = []
         for group in sorted(self.groups, key=lambda each: _score(key, each)):
             members = sorted(
                 group.members,
                 key=lambda each: xxhash.xxh3_64_intdigest(key, each[0]),
             )
-            found.extend(position for _, position in members)
-            if len(found) >= count:
+            ranked.extend(position for _, position in members)
+            if len(ranked) >= count:
                 break
-        return found[:count]
+        return ranked[:count]
 
 
 def _score(key: bytes, group: Group) -> float:
-    """Returns the group's score; the lowest wins.
+    """Returns the group's score; the lowest score ranks first.
 
-    An exponential draw with the group's size as its rate, so that a group
-    wins in proportion to the servers in it.
+    The score is an exponential variate with the group's size as its rate, so
+    that a group ranks first with a probability proportional to its size.
     """
-    drawn = xxhash.xxh3_64_intdigest(key, group.seed) + 1
-    return -math.log(drawn / _RANGE) / len(group.members)
+    uniform = xxhash.xxh3_64_intdigest(key, group.seed) + 1
+    return -math.log(uniform / _RANGE) / len(group.members)
--- a/pimentoledge/decisions/rings.py
+++ b/pimentoledge/decisions/rings.py
@@ -1,4 +1,4 @@
-"""A ring of hashed names, on which all nodes agree without a message."""
+"""A consistent hash ring, the same on all nodes without any messages."""
 
 import bisect
 from collections import abc
@@ -7,18 +7,18 @@
 
 
 def point(name: str) -> int:
-    """Returns the place of a name on the ring."""
+    """Returns the position of a name on the ring."""
     return xxhash.xxh3_64_intdigest(name.encode())
 
 
 class Ring:
-    """Names in the order of their hashes.
+    """Names sorted by their hashes.
 
-    A name that comes or goes changes the successors of its neighbours only.
+    Adding or removing a name changes only the successors of nearby positions.
 
     Attributes:
         points: sorted hashes.
-        names: the names in the same order.
+        names: names in the order of `points`.
     """
 
     def __init__(self, *, names: abc.Iterable[str] = ()):
@@ -26,10 +26,10 @@
         self.points = [each for each, _ in pairs]
         self.names = [name for _, name in pairs]
 
-    def successors(self, place: int, count: int) -> list[str]:
-        """Returns the names that follow a place, the nearest first."""
+    def successors(self, position: int, count: int) -> list[str]:
+        """Returns up to `count` names after a position, nearest first."""
         size = len(self.names)
-        first = bisect.bisect_left(self.points, place)
+        first = bisect.bisect_left(self.points, position)
         return [
             self.names[(first + step) % size]
             for step in range(min(count, size))
--- a/pimentoledge/decisions/streams.py
+++ b/pimentoledge/decisions/streams.py
@@ -1,4 +1,4 @@
-"""Puts the frames of one stream in order, over all its attempts."""
+"""Reorders the frames of one response stream across its attempts."""
 
 import io
 
@@ -7,11 +7,12 @@
 from pimentoledge import results
 from pimentoledge.nodes import messages
 
-# Frames kept behind a gap. Frames of one attempt come over one connection, so
-# a gap that isn't closed by the next few frames is a loss, not a crossing.
+# Maximum number of frames buffered after a gap. Frames of one attempt arrive
+# over one connection, so a gap that isn't closed by the next few frames is a
+# loss and not a reordering.
 MAX_BUFFERED_FRAMES = 8
-# Characters kept for a continuation on another runner; a stream that has grown
-# beyond this can't be continued any more.
+# Maximum number of delivered characters kept for a continuation on another
+# runner. A longer stream can't be continued.
 MAX_KEPT_CHARACTERS = 256 * 1024
 
 
@@ -20,8 +21,8 @@
     """A new attempt.
 
     Attributes:
-        number: number of the attempt, from 1.
-        sequence: number that its first frame shall have.
+        number: attempt number, starting at 1.
+        sequence: sequence number of its first frame.
     """
 
     number: int
@@ -30,10 +31,10 @@
 
 @attrs.frozen(kw_only=True)
 class Broken:
-    """The current attempt can't end well: frames were lost.
+    """The current attempt can't be completed because frames were lost.
 
     Attributes:
-        error: what to tell the caller if no other attempt follows.
+        error: error for the caller if no other attempt follows.
     """
 
     error: results.Error
@@ -44,7 +45,7 @@
     """Every frame was delivered.
 
     Attributes:
-        completion_tokens: tokens generated over all attempts.
+        completion_tokens: tokens delivered over all attempts.
     """
 
     completion_tokens: int
@@ -52,19 +53,19 @@
 
 @attrs.define(slots=True, init=False)
 class Stream:
-    """The frames of one request, as its caller shall see them.
+    """The response stream of one request, in the order of delivery.
 
-    A message of another request, of an older attempt or of an attempt that
-    has ended changes nothing and delivers nothing.
+    Messages of another request, of an older attempt or of an ended attempt
+    are ignored.
 
     Attributes:
         request: request id.
         attempt: number of the current attempt; 0 before the first.
-        sequence: number of the frame that is delivered next.
+        sequence: sequence number of the next frame to deliver.
         tokens: tokens delivered.
-        open: whether the current attempt may still deliver.
-        buffered: frames behind a gap, by sequence.
-        kept_text: text delivered; None once it has grown too long to be kept.
+        open: whether the current attempt may still deliver frames.
+        buffered: frames received after a gap, by sequence number.
+        kept_text: delivered text; None once it is too long to be kept.
         kept_characters: characters in `kept`.
     """
 
@@ -88,22 +89,22 @@
         self.kept_characters = 0
 
     def new_attempt(self) -> Attempt:
-        """Ends the current attempt and begins the next."""
+        """Ends the current attempt and starts the next one."""
         self.attempt += 1
         self.open = True
         self.buffered.clear()
         return Attempt(number=self.attempt, sequence=self.sequence)
 
     def is_current(self, request: str, attempt: int) -> bool:
-        """Returns whether a message is of the attempt that is open."""
+        """Returns whether a message belongs to the open attempt."""
         return self.open and attempt == self.attempt and request == self.request
 
     def accept(self, frame: messages.Frame) -> list[messages.Frame] | Broken:
-        """Takes a frame.
+        """Handles a received frame.
 
         Returns:
-            The frames to deliver now, in order; none for a frame that is
-            dropped or held. Broken if the attempt can't go on.
+            The frames to deliver now, in order; empty if the frame is dropped
+            or buffered. Broken if frames of the attempt were lost.
         """
         if not self.is_current(frame.request, frame.attempt):
             return []
@@ -117,11 +118,11 @@
         return self._take_buffered(frame)
 
     def finish(self, finished: messages.Finished) -> Complete | Broken | None:
-        """Takes the end of an attempt.
+        """Handles the end of an attempt.
 
         Returns:
             Complete if every frame was delivered, Broken if some are missing,
-            None if it is of another attempt.
+            None if the message belongs to another attempt.
         """
         if not self.is_current(finished.request, finished.attempt):
             return None
@@ -131,11 +132,11 @@
         return Complete(completion_tokens=self.tokens)
 
     def can_continue(self) -> bool:
-        """Returns whether another attempt can go on behind what was sent."""
+        """Returns whether another attempt can continue the delivered text."""
         return self.kept_text is not None
 
     def continued(self) -> str:
-        """Returns the text delivered; empty if it is no longer kept."""
+        """Returns the delivered text; empty if it is no longer kept."""
         return self.kept_text.getvalue() if self.kept_text is not None else ""
 
     def continued_tokens(self) -> int:
@@ -147,7 +148,7 @@
             len(self.buffered) >= MAX_BUFFERED_FRAMES
             and frame.sequence not in self.buffered
         ):
-            return self._break(f"frame {frame.sequence} came")
+            return self._break(f"frame {frame.sequence} was received")
         self.buffered.setdefault(frame.sequence, frame)
         return []
 
@@ -169,9 +170,9 @@
             return
         self.kept_text.write(frame.text)
 
-    def _break(self, seen: str) -> Broken:
+    def _break(self, reason: str) -> Broken:
         self.open = False
         self.buffered.clear()
-        text = f"frame {self.sequence} of the stream was lost: {seen}"
+        text = f"frame {self.sequence} of the stream was lost: {reason}"
         error = results.Error(code=results.Code.STREAM_BROKEN, text=text)
         return Broken(error=error)
