--- a/pimentoledge/tests/test_entries.py
+++ b/pimentoledge/tests/test_entries.py
@@ -1,4 +1,4 @@
-"""The entry's state machine by itself: late, crossed and missing messages."""
+"""Tests of decisions.entries: late, misdirected and missing messages."""
 
 from pimentoledge import emulators
 from pimentoledge import results
@@ -14,7 +14,7 @@
 
 
 class World:
-    """An entry with two runners, whose agents are played by the test."""
+    """An entry with two runners, whose agents are simulated by the test."""
 
     def __init__(self):
         declared = [
@@ -47,8 +47,8 @@
             seeds=[],
         )
 
-    def ask(self, request):
-        """Sends a request in; returns its dispatch and its agent."""
+    def send_request(self, request):
+        """Sends a caller's request; returns its dispatch and its agent."""
         event = events.CallerRequest(
             request=request,
             key_digest=KEY,
@@ -58,7 +58,7 @@
         )
         return dispatched(self.core.handle(event, self.now))
 
-    def tell(self, sender, message):
+    def deliver(self, sender, message):
         event = events.FromNode(sender=sender, message=message)
         return self.core.handle(event, self.now)
 
@@ -70,7 +70,7 @@
 
 
 def dispatched(todo):
-    """Returns the dispatch among actions, and where it goes."""
+    """Returns the dispatch among actions and its receiver's address."""
     for each in todo:
         if isinstance(each, actions.Send) and isinstance(
             each.message, messages.Dispatch
@@ -101,71 +101,73 @@
 
 
 def test_an_orphaned_stream_is_stopped_at_its_agent():
-    """An entry is killed and its successor takes its address.
+    """An engine keeps generating an answer that nobody reads.
 
-    The agent goes on sending the frames of a request that the successor
-    knows nothing of. Unless it says so, the engine generates for nobody.
+    An entry is killed and a new one takes over its address. The agent sends
+    it frames of a request that it doesn't know, and the new entry must cancel
+    that attempt.
     """
     world = World()
     agent = "tcp://10.0.1.1:7000"
-    todo = world.tell(agent, frames("before", 1, 5, "late"))
+    todo = world.deliver(agent, frames("before", 1, 5, "late"))
     assert replies(todo) == []
     assert cancels(todo) == [(agent, "before", 1)]
 
 
-def test_a_frame_of_another_agent_never_reaches_the_caller():
-    """Answers come crossed: an agent sends a frame under another's request.
+def test_a_frame_of_another_agent_is_not_forwarded():
+    """A caller receives text of another request's answer.
 
-    The caller would read a word of somebody else's answer.
+    An agent sends a frame with the id of a request that runs at another
+    agent.
     """
     world = World()
-    dispatch, agent = world.ask("q")
+    dispatch, agent = world.send_request("q")
     other = next(
         each.agent
         for each in (runner("r1"), runner("r2"))
         if each.agent != agent
     )
-    assert replies(world.tell(other, frames("q", 1, 0, "wrong"))) == []
-    told = replies(world.tell(agent, frames("q", 1, 0, "right")))
-    assert [each.text for each in told] == ["right"]
+    assert replies(world.deliver(other, frames("q", 1, 0, "wrong"))) == []
+    replied = replies(world.deliver(agent, frames("q", 1, 0, "right")))
+    assert [each.text for each in replied] == ["right"]
 
 
-def test_a_late_frame_of_an_agent_given_up_on_is_dropped():
-    """An agent is paused in mid-stream, and the entry goes on elsewhere.
+def test_a_late_frame_of_an_abandoned_attempt_is_dropped():
+    """A caller receives the same text twice.
 
-    When it wakes it sends what it had. The caller must read each word once,
-    so the new attempt goes on behind what was passed on, and the old one is
-    told to stop.
+    An agent pauses in the middle of a stream and the entry retries on another
+    server. When the agent resumes, it sends its remaining frames. The new
+    attempt continues after the delivered text, and the old one is cancelled.
     """
     world = World()
-    _, first = world.ask("q")
-    world.tell(first, frames("q", 1, 0, "one "))
+    _, first = world.send_request("q")
+    world.deliver(first, frames("q", 1, 0, "one "))
     gone = events.Unreachable(address=first)
     dispatch, second = dispatched(world.core.handle(gone, world.now))
     assert second != first
     assert (dispatch.attempt, dispatch.sequence) == (2, 1)
     assert dispatch.completion.continued == "one "
-    late = world.tell(first, frames("q", 1, 1, "two "))
+    late = world.deliver(first, frames("q", 1, 1, "two "))
     assert replies(late) == []
     assert cancels(late) == [(first, "q", 1)]
-    told = replies(world.tell(second, frames("q", 2, 1, "two ")))
-    assert [each.text for each in told] == ["two "]
+    replied = replies(world.deliver(second, frames("q", 2, 1, "two ")))
+    assert [each.text for each in replied] == ["two "]
 
 
-def test_an_unsent_dispatch_is_redirected_and_its_refusal_is_true():
-    """Both runners' VMs are gone; no dispatch ever leaves the entry.
+def test_an_unsent_dispatch_is_retried_and_ends_as_not_run():
+    """A caller waits until its deadline although no server can be reached.
 
-    The caller is told at once that nothing ran, and when to come back; not
-    at its deadline.
+    The VMs of both runners are gone, so no dispatch leaves the entry. The
+    caller gets an error at once, with "not run" and a retry delay.
     """
     world = World()
-    dispatch, agent = world.ask("q")
+    dispatch, agent = world.send_request("q")
     for _ in range(2):
         gone = events.Unreachable(address=agent, unsent=[dispatch])
         todo = world.core.handle(gone, world.now)
         dispatch, agent = dispatched(todo)
-    (told,) = replies(todo)
-    assert told.error.code == results.Code.NO_SERVER
-    assert told.error.outcome() == results.Ran.NOT_RUN
-    assert told.error.retry_after > 0
+    (reply,) = replies(todo)
+    assert reply.error.code == results.Code.NO_SERVER
+    assert reply.error.outcome() == results.Ran.NOT_RUN
+    assert reply.error.retry_after > 0
     assert world.core.idle()
--- a/pimentoledge/tests/test_entry_streams.py
+++ b/pimentoledge/tests/test_entry_streams.py
@@ -1,4 +1,4 @@
-"""Streams through an entry's state machine under faults, with an oracle."""
+"""Stateful test of streams through an entry under faults."""
 
 import collections
 
@@ -33,7 +33,7 @@
 
 @attrs.define(kw_only=True)
 class Run:
-    """An attempt at an agent: what it sends next."""
+    """An attempt that runs at an agent, with its next frame and token."""
 
     request: str
     attempt: int
@@ -43,7 +43,7 @@
 
 @attrs.define(kw_only=True)
 class Agent:
-    """A backend server with its agent, and the messages under way."""
+    """A backend server with its agent and the messages in transit."""
 
     name: str
     address: str
@@ -91,7 +91,7 @@
 
 @attrs.define(kw_only=True)
 class Caller:
-    """What a caller has got."""
+    """The answer that a caller has received so far."""
 
     text: str = ""
     over: bool = False
@@ -132,11 +132,12 @@
 
 
 class Streams(stateful.RuleBasedStateMachine):
-    """Engines die, connections break, messages get lost, callers leave.
+    """Engines crash, connections break, messages are lost, callers disconnect.
 
-    The oracle knows each answer: what a caller gets is always a beginning of
-    it, an end comes only behind all of it, one last word comes and nothing
-    behind it, and "not run" is said only of what no engine ran.
+    The expected answer of each request is known. The text that a caller
+    receives is always a prefix of it, and the end follows only the whole
+    answer. Each request gets exactly one end or error and nothing after it.
+    "Not run" is reported only for requests that no engine ran.
     """
 
     def __init__(self):
@@ -160,10 +161,10 @@
         self.ran = set()
         self.now = 100.0
 
-    def give(self, event):
-        self.carry_out(self.entry.handle(event, self.now))
+    def handle(self, event):
+        self.apply_actions(self.entry.handle(event, self.now))
 
-    def carry_out(self, todo):
+    def apply_actions(self, todo):
         by_address = {each.address: each for each in self.agents}
         for action in todo:
             match action:
@@ -198,7 +199,7 @@
         completion = messages.Completion(
             model="m", prompt=f"a manual {request}", max_tokens=TOKENS
         )
-        self.give(
+        self.handle(
             events.CallerRequest(
                 request=request, key_digest=KEY, completion=completion
             )
@@ -221,13 +222,13 @@
         self.work(self.agents[number], True, count, delivered)
 
     def work(self, agent, admit, count, delivered):
-        """Lets an agent take, generate and send."""
+        """Lets an agent process its inbox, generate frames and send."""
         while agent.inbox:
-            self.taken(agent, agent.inbox.popleft(), admit)
+            self.process_message(agent, agent.inbox.popleft(), admit)
         for run in list(agent.runs):
             self.generate(agent, run, count)
         for _ in range(min(delivered, len(agent.outbox))):
-            self.give(
+            self.handle(
                 events.FromNode(
                     sender=agent.address,
                     message=agent.outbox.popleft(),
@@ -235,7 +236,7 @@
                 )
             )
 
-    def taken(self, agent, message, admit):
+    def process_message(self, agent, message, admit):
         match message:
             case messages.Dispatch() if admit:
                 done = message.completion.continued_tokens
@@ -272,8 +273,8 @@
                     != (message.request, message.attempt)
                 ]
             case messages.Probe():
-                held = {run.request for run in agent.runs}
-                unknown = [r for r in message.requests if r not in held]
+                running = {run.request for run in agent.runs}
+                unknown = [r for r in message.requests if r not in running]
                 agent.outbox.append(
                     messages.Report(truth=agent.truth(), unknown=unknown)
                 )
@@ -314,20 +315,20 @@
                     agent.fail(run)
             case "lose":
                 self.work(agent, True, TOKENS - 1, 0)
-                found = [each for each in agent.outbox if _is_frames(each)]
-                if found:
-                    agent.outbox.remove(found[-1])
+                sent = [each for each in agent.outbox if _is_frames(each)]
+                if sent:
+                    agent.outbox.remove(sent[-1])
             case _:
-                self.cut(agent, knows=fault == "cut")
+                self.cut(agent, agent_notified=fault == "cut")
 
-    def cut(self, agent, knows):
-        """Breaks a connection; the agent may not learn of it."""
+    def cut(self, agent, agent_notified):
+        """Breaks a connection; the agent stops its runs only if notified."""
         unsent = list(agent.inbox)
         agent.inbox.clear()
         agent.outbox.clear()
-        if knows:
+        if agent_notified:
             agent.runs.clear()
-        self.give(events.Unreachable(address=agent.address, unsent=unsent))
+        self.handle(events.Unreachable(address=agent.address, unsent=unsent))
 
     @stateful.rule(which=strategies.integers(0, 5))
     def leave(self, which):
@@ -339,7 +340,7 @@
         if waiting:
             request = waiting[which % len(waiting)]
             self.callers[request].gone = True
-            self.give(events.CallerGone(request=request))
+            self.handle(events.CallerGone(request=request))
 
     @stateful.rule(
         seconds=strategies.sampled_from([0.01] * 6 + [0.3, 1.0, 6.0])
@@ -351,7 +352,7 @@
             if wake is None or wake > end:
                 break
             self.now = max(self.now, wake)
-            self.carry_out(self.entry.tick(self.now))
+            self.apply_actions(self.entry.tick(self.now))
         self.now = end
 
     def teardown(self):
--- a/pimentoledge/tests/test_placement.py
+++ b/pimentoledge/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement: whose cache is relied on, and how load corrects it."""
+"""Tests of decisions.placement: the effect of cache hints and of load."""
 
 import attrs
 
@@ -63,11 +63,11 @@
 
 
 def _depth(choice, server):
-    found = {each.server: each.depth_tokens for each in choice.candidates}
-    return found[server]
+    depths = {each.server: each.depth_tokens for each in choice.candidates}
+    return depths[server]
 
 
-def test_chain_names_every_full_block_of_the_same_text():
+def test_chain_has_a_digest_for_each_full_block():
     salt = prefixes.salt(organisation="o", model="m", adapter="", weights="w")
     long = prefixes.chain(salt=salt, text=_TEXT, block_bytes=16)
     short = prefixes.chain(salt=salt, text=_TEXT[:70], block_bytes=16)
@@ -86,14 +86,14 @@
     assert len(salts) == 6
 
 
-def test_unknown_server_is_used_without_relying_on_its_cache():
+def test_unknown_server_is_used_with_no_expected_cache():
     choice = _placer().choose(_wanted(), [_server("a")], 0.0)
     assert choice.server == "a"
     assert choice.incarnation == ""
     assert choice.expected_depth == 0
 
 
-def test_request_goes_where_its_prefix_is():
+def test_request_goes_to_the_server_with_its_prefix():
     for name in "abc":
         placer = _placer(*TRUTHS)
         _run(placer, _wanted(), name, 0.0)
@@ -104,11 +104,11 @@
 
 
 def test_restarted_engine_voids_its_hints():
-    """A caller would wait for a full prefill that nobody planned for.
+    """Requests are sent to a runner with an empty cache as if it were warm.
 
-    The engine crashes and comes back empty; the entry learns of the new
-    incarnation. Relying on the old one's blocks would send all requests of a
-    prefix to a cold runner as if it were warm.
+    The engine crashes and restarts with an empty cache, and the entry receives
+    the new incarnation. If hints of the old one stayed valid, all requests
+    with the prefix would wait for an unexpected full prefill.
     """
     placer = _placer(*TRUTHS)
     _run(placer, _wanted(), "a", 0.0)
@@ -117,11 +117,11 @@
     assert _depth(choice, "a") == 0
 
 
-def test_answer_of_an_older_engine_life_makes_no_hint():
-    """A late answer would make a cold engine look warm.
+def test_answer_of_an_older_engine_life_adds_no_hint():
+    """A late answer makes an engine with an empty cache look warm.
 
-    A request ends, the engine restarts, the entry hears of the restart
-    first and of the end afterwards.
+    A request ends and the engine restarts. The entry receives the report of
+    the restart before the end of the request.
     """
     placer = _placer(*TRUTHS)
     wanted = _wanted()
@@ -132,7 +132,7 @@
     assert _depth(placer.choose(_wanted("r2"), SERVERS, 0.3), "a") == 0
 
 
-def test_new_weights_void_hints_and_old_weights_are_not_used():
+def test_new_weights_invalidate_hints_and_old_weights_are_not_used():
     placer = _placer(*TRUTHS)
     _run(placer, _wanted(), "a", 0.0)
     placer.learned(_truth("a", weights="w2"), 0.1)
@@ -143,14 +143,14 @@
     assert _depth(choice, "a") == 0
 
 
-def test_other_organisation_finds_nothing():
+def test_other_organisation_matches_no_hint():
     placer = _placer(*TRUTHS)
     _run(placer, _wanted(), "a", 0.0)
     choice = placer.choose(_wanted("r2", organisation="p"), SERVERS, 0.1)
     assert choice.expected_depth == 0
 
 
-def test_servers_that_may_not_run_it_are_left_out():
+def test_ineligible_servers_are_not_candidates():
     truths = [
         _truth("a", leaving=True),
         _truth("b", incarnation=""),
@@ -179,8 +179,8 @@
 
 
 def _home(placer, names="abc"):
-    found = placer.homes.find("m", _wanted().blocks, list(names), 0.0)
-    return names[found[0].position]
+    prompt_homes = placer.homes.find("m", _wanted().blocks, list(names), 0.0)
+    return names[prompt_homes[0].position]
 
 
 def test_spills_only_when_the_queue_costs_more_than_recomputing():
@@ -203,10 +203,10 @@
 
 
 def test_price_of_computing_rises_with_the_queues():
-    """Without this, spills feed on themselves when all servers are busy.
+    """Spilled requests cause more spills when all servers are busy.
 
-    Every queue is long, a spill saves its own wait, and what it computes
-    again makes the queues longer for all.
+    All queues are long. A request that spills shortens its own wait, but the
+    tokens it recomputes lengthen the queues for all others.
     """
     placer = _placer(*TRUTHS)
     idle = placer.price(_wanted(), SERVERS, 0.0)
@@ -215,14 +215,14 @@
     assert placer.price(_wanted(), SERVERS, 0.0) == idle + 2.0
 
 
-def test_a_home_without_a_hint_is_preferred_but_not_relied_on():
+def test_home_without_a_hint_is_preferred_with_no_expected_cache():
     placer = _placer(*TRUTHS)
     choice = placer.choose(_wanted(), SERVERS, 0.0)
     assert choice.server == _home(placer)
     assert choice.expected_depth == 0
 
 
-def test_entries_agree_on_homes_and_keep_them_when_a_server_goes():
+def test_entries_agree_on_homes_and_keep_them_when_a_server_is_removed():
     names = [f"s{number}" for number in range(200)]
     whole = rankings.Ranking(names=names)
     less = rankings.Ranking(names=names[:-1])
@@ -259,7 +259,7 @@
     assert hot[-1] not in homes_of_entry.split
 
 
-def test_large_fleet_is_not_looked_at_one_by_one():
+def test_large_fleet_is_not_scanned_completely():
     servers = [_server(f"s{number}") for number in range(2400)]
     placer = _placer()
     names = [each.name for each in servers]
@@ -287,10 +287,10 @@
 
 
 def test_restarted_agent_counts_from_zero():
-    """Without the guard the entry would think a server full for ever.
+    """An entry considers a server full forever after its agent restarts.
 
-    An agent restarts and counts the entry's dispatches from 0 again; no
-    later report would cover the numbers of its life before.
+    The restarted agent counts the entry's dispatches from 0 again, so its
+    reports never cover the higher numbers of earlier dispatches.
     """
     placer = _placer(*TRUTHS)
     for number in range(5):
@@ -317,21 +317,21 @@
     assert attrs.asdict(wanted)["blocks"][-1] in placer.hints.table
 
 
-def test_what_has_no_whole_block_is_placed_too():
-    """A service's call or a very short prompt failed with code 9001.
+def test_request_without_a_full_block_is_placed():
+    """A service call or a very short prompt fails with code 9001.
 
-    Neither has a block; counting its levels looked for its first one.
+    Neither has a block, and counting the levels accesses the first block.
     """
     placer = _placer(*TRUTHS)
     wanted = attrs.evolve(_wanted(), blocks=[])
     assert placer.choose(wanted, SERVERS, 0.0).server is not None
 
 
-def test_a_restarted_entry_counts_on_from_what_the_agent_has_counted():
-    """All entries restart, and all their work goes to one runner.
+def test_restarted_entry_continues_the_count_of_the_agent():
+    """After all entries restart, all requests go to one runner.
 
-    The agents go on counting the dispatches from an entry's address, so each
-    new one seemed covered by a report that was older than it.
+    The agents continue their count of dispatches from an entry's address, so
+    a report older than a new dispatch seems to cover it.
     """
     load = loads.EstimatedLoad()
     load.sent(100, 1.0)
--- a/pimentoledge/tests/test_retries.py
+++ b/pimentoledge/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Retries: what is tried again, and what is answered at once."""
+"""Tests of decisions.retries: which failures are retried and which end."""
 
 import pytest
 
@@ -26,30 +26,31 @@
     return retries.next_step(attempt, failure, budget, now)
 
 
-def test_engine_death_goes_to_another_server():
-    again = step(state(), broken())
-    assert again == retries.Retry(avoid={"r1"}, delay=0.0)
+def test_engine_crash_is_retried_on_another_server():
+    decision = step(state(), broken())
+    assert decision == retries.Retry(avoid={"r1"}, delay=0.0)
 
 
 @pytest.mark.parametrize("ran", [Ran.RAN, Ran.UNKNOWN])
-def test_order_is_never_sent_twice(ran):
-    """Two mechanics would strip the same wheel.
+def test_non_repeatable_call_is_not_retried_unless_not_run(ran):
+    """A call with side effects runs twice.
 
-    The call went out, the agent vanished; nobody knows whether it ran. The
-    caller hears just that; only an explicit "not run" lets it go again.
+    The agent becomes unreachable after the call was sent, so it is unknown
+    whether it ran. The caller gets that error; the call is retried only after
+    an explicit "not run".
     """
     end = step(state(repeatable=False), broken(Code.AGENT_UNREACHABLE, ran))
     assert end.error.code == Code.OUTCOME_UNKNOWN
     assert end.error.outcome() != Ran.NOT_RUN
-    again = step(state(repeatable=False), refused(Code.SERVER_LEAVING))
-    assert again.avoid == {"r1"}
+    retry = step(state(repeatable=False), refused(Code.SERVER_LEAVING))
+    assert retry.avoid == {"r1"}
 
 
-def test_refusal_after_a_run_does_not_say_not_run():
-    """The caller would send it again, and it would run twice.
+def test_refusal_after_a_run_does_not_report_not_run():
+    """The caller sends a request again that has already run.
 
-    The first attempt died with its engine; the second was refused for load,
-    whose code alone means "not run".
+    The first attempt ran in an engine that crashed; later attempts are
+    refused because of load, a code that implies "not run" by itself.
     """
     attempt = state()
     budget = retries.RetryBudget(capacity=1.0, minimum=0.0)
@@ -62,7 +63,7 @@
     assert end.error.retry_after == 0.5
 
 
-def test_redirects_are_free_but_bounded():
+def test_redirects_use_no_budget_up_to_a_limit():
     attempt = state()
     budget = retries.RetryBudget(capacity=1.0, minimum=0.0)
     steps = 0
@@ -74,7 +75,7 @@
     assert budget.retries == 1
 
 
-def test_suspect_waits_for_its_server():
+def test_suspect_waits_with_growing_delay_for_its_server():
     attempt = state()
     first = step(attempt, refused(Code.SUSPECT_BUSY))
     second = step(attempt, refused(Code.SUSPECT_BUSY))
@@ -90,11 +91,11 @@
     assert step(state(), broken(), empty).error.retry_after > 0
 
 
-def test_request_that_lost_its_server_waits_for_one_to_come_back():
-    """Both runners of a small pool died within a second.
+def test_request_that_lost_its_server_waits_a_limited_time():
+    """Both runners of a small pool crash within a second.
 
-    A new request is answered at once; one whose stream was half told waits
-    some seconds, and no longer.
+    A new request gets an error at once. A request with a partly delivered
+    stream waits a few seconds for a server and then fails.
     """
     new = step(state(), retries.NoCandidate())
     assert new.error.outcome() == Ran.NOT_RUN
@@ -102,22 +103,22 @@
     step(attempt, broken())
     waited = 0.0
     while isinstance(
-        again := step(attempt, retries.NoCandidate()), retries.Retry
+        decision := step(attempt, retries.NoCandidate()), retries.Retry
     ):
-        assert again.avoid == set()
-        waited += again.delay
+        assert decision.avoid == set()
+        waited += decision.delay
     assert 2.0 < waited < 6.0
-    assert again.error.code == Code.STREAM_BROKEN
+    assert decision.error.code == Code.STREAM_BROKEN
 
 
-def test_broken_stream_is_continued_or_says_so():
+def test_broken_stream_is_continued_or_ends_with_stream_broken():
     assert isinstance(step(state(streamed=3), broken()), retries.Retry)
     end = step(state(streamed=3, continuable=False), broken())
     assert end.error.code == Code.STREAM_BROKEN
 
 
-def test_budget_bounds_a_retry_storm():
-    """A sick cluster must not be buried under retries.
+def test_budget_limits_a_retry_storm():
+    """Retries overload a cluster that already fails.
 
     Every attempt of 10,000 requests fails within 100 s.
     """
--- a/pimentoledge/tests/test_streams.py
+++ b/pimentoledge/tests/test_streams.py
@@ -41,11 +41,11 @@
     return stream
 
 
-def test_frames_of_an_older_attempt_or_another_request_never_come_out():
-    """A caller sees words of a dead runner between those of the living one.
+def test_frames_of_an_older_attempt_or_another_request_are_dropped():
+    """A caller's stream mixes the frames of two attempts.
 
-    A runner stalls, the entry goes on with another; then the first one's
-    frames arrive after all, with the sequence that is due next.
+    A runner stalls and the entry starts another attempt. Then frames of the
+    first attempt arrive late, with the sequence number expected next.
     """
     stream = started()
     assert stream.accept(frame(0)) == [frame(0)]
@@ -59,10 +59,11 @@
     assert stream.continued_tokens() == 2
 
 
-def test_a_lost_frame_is_never_a_silent_short_answer():
-    """A caller gets an answer with a word missing and no error.
+def test_a_lost_frame_breaks_the_stream():
+    """A caller gets an incomplete answer without an error.
 
-    The transport drops one frame to a slow pipe; the end arrives whole.
+    The transport drops one frame on a slow connection, and the end of the
+    stream still arrives.
     """
     stream = started()
     stream.accept(frame(0))
@@ -74,8 +75,8 @@
     assert stream.continued() == "0 "
 
 
-def test_held_frames_are_bounded():
-    """An entry's memory grows with a stream whose first frame was lost."""
+def test_buffered_frames_are_bounded():
+    """Memory grows with each frame of a stream whose first frame was lost."""
     stream = started()
     last = None
     for sequence in range(1, streams.MAX_BUFFERED_FRAMES + 2):
@@ -96,11 +97,11 @@
 
 
 class Deliveries(stateful.RuleBasedStateMachine):
-    """Frames come late, twice, crossed or never, over several attempts.
+    """Frames are delayed, duplicated, reordered or lost over several attempts.
 
-    The oracle: each attempt generates the answer from where the stream
-    stood; what comes out is always a beginning of that answer, and Complete
-    means the whole of it.
+    Each attempt generates the answer from the current position of the stream.
+    The delivered frames are always a prefix of that answer, and Complete
+    means that all of it was delivered.
     """
 
     length = 12
@@ -108,8 +109,8 @@
     def __init__(self):
         super().__init__()
         self.stream = streams.Stream(request=REQUEST)
-        self.seen = []
-        self.flight = []
+        self.delivered = []
+        self.in_flight = []
         self.ended = False
 
     @stateful.initialize()
@@ -122,38 +123,38 @@
             return
         new = self.stream.new_attempt()
         for sequence in range(new.sequence, self.length):
-            self.flight.append(frame(sequence, attempt=new.number))
-        self.flight.append(finished(self.length, attempt=new.number))
+            self.in_flight.append(frame(sequence, attempt=new.number))
+        self.in_flight.append(finished(self.length, attempt=new.number))
 
     @stateful.rule(back=strategies.integers(0, 3), twice=strategies.booleans())
     def deliver(self, back, twice):
-        if not self.flight:
+        if not self.in_flight:
             return
-        index = min(back, len(self.flight) - 1)
-        message = self.flight[index]
+        index = min(back, len(self.in_flight) - 1)
+        message = self.in_flight[index]
         if not twice:
-            del self.flight[index]
+            del self.in_flight[index]
         match message:
             case messages.Frame():
-                taken = self.stream.accept(message)
-                if not isinstance(taken, streams.Broken):
-                    self.seen += [each.sequence for each in taken]
+                result = self.stream.accept(message)
+                if not isinstance(result, streams.Broken):
+                    self.delivered += [each.sequence for each in result]
             case messages.Finished():
                 end = self.stream.finish(message)
                 if isinstance(end, streams.Complete):
-                    assert self.seen == list(range(self.length))
+                    assert self.delivered == list(range(self.length))
                     assert end.completion_tokens == self.length
                     assert not self.ended
                     self.ended = True
 
     @stateful.rule(index=strategies.integers(0, 3))
     def lose(self, index):
-        if index < len(self.flight):
-            del self.flight[index]
+        if index < len(self.in_flight):
+            del self.in_flight[index]
 
     @stateful.invariant()
     def in_order(self):
-        assert self.seen == list(range(len(self.seen)))
+        assert self.delivered == list(range(len(self.delivered)))
         assert len(self.stream.buffered) <= streams.MAX_BUFFERED_FRAMES
 
 
