--- a/pimentoledge/decisions/placement.py
+++ b/pimentoledge/decisions/placement.py
@@ -2,7 +2,7 @@
 
 Each entry decides on its own. Entries agree on the home servers of a prefix
 because they rank the servers by the same hash. Each entry refines this with
-the cache hits of its own requests.
+the results of its own requests.
 
 The cost is the expected queueing time plus the expected prefill time. Prefill
 is weighted by more than its duration, because recomputing a token delays all
--- a/pimentoledge/decisions/retries.py
+++ b/pimentoledge/decisions/retries.py
@@ -17,7 +17,7 @@
 # Maximum of these for refusals because of load, so that in a full cluster a
 # request isn't sent to every server.
 MAX_LOAD_REDIRECTS = 2
-# Times that a request waits for another copy of the same suspect content.
+# Times that a suspect request waits until another suspect request has ended.
 MAX_SUSPECT_WAITS = 64
 # Times that a request which lost its server waits for a usable one, about
 # four seconds in total.
@@ -99,8 +99,7 @@
             one.
         redirects: refused attempts so far.
         load_redirects: those of them refused because of load.
-        suspect_waits: waits because another request with the same suspect
-            content was running.
+        suspect_waits: waits because another suspect request was running.
         no_server_waits: waits for a server to become usable, after its own
             server was lost.
         avoid: names of servers that must not be tried again.
