--- a/pimentoledge/decisions/levels.py
+++ b/pimentoledge/decisions/levels.py
@@ -1,11 +1,12 @@
-"""How much of a model's traffic lies under each prompt prefix.
+"""Counts a model's requests by prompt prefix.
 
-Prompts nest: all of an organisation's share their first text, fewer share
-the next level. Where levels end is not known; counting at every few blocks
-finds them, since the count falls where prompts part.
+Prompts form a tree: all prompts of an organisation share their first text,
+and fewer share each further level. The depths at which prompts diverge are
+unknown, so requests are counted every few blocks; the count falls where
+prompts diverge.
 
-Each entry counts what it sees itself. The balancer gives every entry a fair
-sample, so shares agree between entries though the counts are their own.
+Each entry counts only its own requests. The load balancer gives every entry a
+fair sample, so the relative shares agree between entries.
 """
 
 import attrs
@@ -13,7 +14,7 @@
 
 @attrs.define(kw_only=True)
 class Window:
-    """Counts of one stretch of time.
+    """Request counts of one time window.
 
     Attributes:
         counts: requests by digest.
@@ -25,33 +26,34 @@
 
 
 class Levels:
-    """Counts over a sliding window, bounded in memory.
+    """Request counts over a sliding window, with bounded memory.
 
     Attributes:
         stride: blocks between two counted depths.
-        seconds: length of a window.
-        limit: most digests counted in one window; then new ones are not.
-        begun: when the newest window began.
-        current: the newest window.
-        before: the one before it.
+        seconds: length of a window in seconds.
+        limit: maximum number of digests counted in one window; further new
+            digests are not counted.
+        began_at: start time of the current window.
+        current: the current window.
+        previous: the window before it.
     """
 
     def __init__(self, *, stride: int, seconds: float, limit: int):
         self.stride = stride
         self.seconds = seconds
         self.limit = limit
-        self.begun = 0.0
+        self.began_at = 0.0
         self.current = Window()
-        self.before = Window()
+        self.previous = Window()
 
-    def turn(self, now: float):
-        """Begins a new window when the newest one is full."""
-        age = now - self.begun
+    def rotate(self, now: float):
+        """Starts a new window when the current one has ended."""
+        age = now - self.began_at
         if age < self.seconds:
             return
-        self.before = self.current if age < 2 * self.seconds else Window()
+        self.previous = self.current if age < 2 * self.seconds else Window()
         self.current = Window()
-        self.begun = now
+        self.began_at = now
 
     def depths(self, blocks: list[bytes]) -> range:
         """Returns the counted depths of a prompt, in blocks."""
@@ -62,27 +64,31 @@
 
     def add(self, model: str, blocks: list[bytes], now: float):
         """Counts a request."""
-        self.turn(now)
+        self.rotate(now)
         totals = self.current.totals
         totals[model] = totals.get(model, 0) + 1
         counts = self.current.counts
         for depth in self.depths(blocks):
             block = blocks[depth - 1]
-            known = counts.get(block)
-            if known is None and len(counts) >= self.limit:
+            count = counts.get(block)
+            if count is None and len(counts) >= self.limit:
                 return
-            counts[block] = (known or 0) + 1
+            counts[block] = (count or 0) + 1
 
     def count(self, block: bytes, now: float) -> float:
-        """Returns the requests of about one window under a digest."""
+        """Returns the requests with a prefix digest, over about one window."""
         newest = self.current.counts.get(block, 0)
-        return newest + self.rest(now) * self.before.counts.get(block, 0)
+        return newest + self.previous_weight(now) * self.previous.counts.get(
+            block, 0
+        )
 
     def total(self, model: str, now: float) -> float:
-        """Returns all requests of about one window."""
+        """Returns all requests of a model, over about one window."""
         newest = self.current.totals.get(model, 0)
-        return newest + self.rest(now) * self.before.totals.get(model, 0)
+        return newest + self.previous_weight(now) * self.previous.totals.get(
+            model, 0
+        )
 
-    def rest(self, now: float) -> float:
-        """Returns the weight of the older window."""
-        return max(0.0, 1 - (now - self.begun) / self.seconds)
+    def previous_weight(self, now: float) -> float:
+        """Returns the weight of the previous window in the counts."""
+        return max(0.0, 1 - (now - self.began_at) / self.seconds)
