--- a/benches/admission.py
+++ b/benches/admission.py
@@ -469,7 +469,7 @@
         # The worst order: each reporter speaks before it hears another.
         news = []
         for machine in reporters:
-            news += machine.crashed(prints, "r1", "i1", 0.0)
+            news += machine.record_crash(prints, "r1", "i1", 0.0)
         for action in news:
             match action:
                 case actions.Send(address=address, message=message):
@@ -498,7 +498,7 @@
         prints = [
             random.Random(number * 16 + n).randbytes(16) for n in range(16)
         ]
-        machine.crashed(prints, f"r{number}", "i", 0.0)
+        machine.record_crash(prints, f"r{number}", "i", 0.0)
     held, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     print(f"{len(machine.records)} records hold {held / 1e6:.2f} MB")
--- a/benches/orders.py
+++ b/benches/orders.py
@@ -103,12 +103,12 @@
     ]
     members = membership.Membership(seed=1)
     for server in servers[:troubled]:
-        members.refused(server.name, 0.0)
+        members.record_refusal(server.name, 0.0)
     states = [
         events.ListedVm(address=membership.host_of(each.agent), leaving=True)
         for each in servers[size - leaving_vms :]
     ]
-    members.vms(states, 0.0)
+    members.update_vms(states, 0.0)
     times = []
     for _ in range(REPEATS):
         began = time.perf_counter()
--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -120,7 +120,7 @@
                 todo += self.unreachable(event, now)
                 todo += self.limited(self.limits.handle(event, now), now)
             case events.VmsListed():
-                self.membership.vms(event.vms, now)
+                self.membership.update_vms(event.vms, now)
             case events.Drain():
                 self.draining = True
         return todo
@@ -166,7 +166,7 @@
         """Asks servers that take no new work whether they do again."""
         closed = [
             self.configuration.server(name)
-            for name in self.membership.probes(now)
+            for name in self.membership.due_probes(now)
         ]
         return [
             actions.Send(address=each.agent, message=messages.Probe())
@@ -245,7 +245,7 @@
 
     def learn(self, truth: messages.Truth, now: float) -> None:
         """Takes an agent's word about its server, unless it is outdated."""
-        heard = self.membership.answered(truth, now)
+        heard = self.membership.record_report(truth, now)
         if heard is not membership.ReportOrder.PAST:
             self.placer.learned(truth, now)
 
@@ -331,7 +331,7 @@
             case quarantine.Suspect(crashes=crashes):
                 ticket.crashes = crashes
                 request = ticket.event.request
-                if not self.quarantine.begin(ticket.fingerprint, request):
+                if not self.quarantine.claim(ticket.fingerprint, request):
                     return self.step(ticket, _ANOTHER_COPY, now)
         choice = self.choose(ticket, now)
         log = requests.log_route(ticket, choice)
@@ -351,7 +351,7 @@
         uncached = dispatch.prompt_tokens - choice.expected_depth
         request = ticket.event.request
         self.placer.sent(server.name, request, max(0, uncached), now)
-        self.membership.dispatched(server.name, now)
+        self.membership.record_dispatch(server.name, now)
         self.watch(ticket, now + ANSWER_SECONDS)
         return [log, actions.Send(address=server.agent, message=dispatch)]
 
@@ -383,7 +383,7 @@
         names = [
             each.name for each in usable if each.name not in ticket.tries.avoid
         ]
-        order = self.quarantine.servers(ticket.fingerprint, names)
+        order = self.quarantine.rank_servers(ticket.fingerprint, names)
         return placement.Choice(
             server=order[0] if order else None,
             reason=f"suspect of {ticket.crashes} crashes, run apart",
@@ -444,7 +444,7 @@
         """Goes on with a request that its agent did not run."""
         code = results.Code(message.code)
         if code == results.Code.SERVER_DOWN:
-            self.membership.refused(ticket.server, now)
+            self.membership.record_refusal(ticket.server, now)
         if code in _FINAL:
             error = results.Error(
                 code=code,
@@ -467,7 +467,7 @@
             return self.end_error(ticket, error, now)
         todo: Actions = []
         if code == results.Code.ENGINE_DIED:
-            todo = self.quarantine.crashed(
+            todo = self.quarantine.record_crash(
                 message.suspects, ticket.server, message.incarnation, now
             )
         failure = retries.Broken(
@@ -500,7 +500,7 @@
             cached_tokens=message.cached_tokens,
             completion_tokens=tokens,
         )
-        released = self.quarantine.survived(ticket.fingerprint, now)
+        released = self.quarantine.record_completion(ticket.fingerprint, now)
         return [reply, *released, *self.end(ticket, now)]
 
     def answered(
@@ -545,7 +545,7 @@
         """Forgets a request that has ended."""
         request = ticket.event.request
         del self.tickets[request]
-        self.quarantine.end(ticket.fingerprint, request)
+        self.quarantine.release_claim(ticket.fingerprint, request)
         for kind in (_DEADLINE, _QUIET, _RETRY):
             self.timers.cancel((kind, request))
         return self.limited(self.limits.release(request, now), now)
@@ -609,14 +609,14 @@
         self, ticket: tickets.Ticket, ran: results.Ran, now: float
     ) -> Actions:
         """Goes on with a request whose agent can't be reached."""
-        suspected = self.quarantine.crashed(
+        suspected = self.quarantine.record_crash(
             [ticket.fingerprint],
             ticket.server,
             self.membership.incarnation(ticket.server),
             now,
             certain=False,
         )
-        self.membership.timed_out(ticket.server, now)
+        self.membership.record_timeout(ticket.server, now)
         self.placer.failed(ticket.server, now)
         if ticket.stream.tokens:
             ran = results.Ran.RAN
@@ -659,7 +659,7 @@
             if ticket.agent != event.address or not _is_out(ticket):
                 continue
             key = (ticket.event.request, ticket.stream.attempt)
-            self.membership.refused(ticket.server, now)
+            self.membership.record_refusal(ticket.server, now)
             if key in unsent:
                 failure = retries.NotRun(
                     server=ticket.server,
--- a/pimentoledge/decisions/lending.py
+++ b/pimentoledge/decisions/lending.py
@@ -14,16 +14,16 @@
 TOKEN_SECONDS = 2.0
 SLOT_SECONDS = 30.0
 # An owner that knows no limit yet waits at most this long for a token.
-LONGEST_WAIT_SECONDS = 60.0
+MAX_WAIT_SECONDS = 60.0
 # Entries that were told to wait ask again no sooner, so that a contract far
 # above its limit costs few messages.
-SHORTEST_WAIT_SECONDS = 0.05
+MIN_WAIT_SECONDS = 0.05
 # An entry that needs a slot waits this long for those that are recalled.
 RECALL_SECONDS = 0.05
 # After a slot was lacking, borrowers go on saying at once what they end.
 SCARCE_SECONDS = 1.0
 # The number of a Lend that answers no Borrow.
-RECALL = 0
+RECALL_NUMBER = 0
 
 
 @attrs.define(kw_only=True)
@@ -103,8 +103,8 @@
         self, borrower: str, ask: messages.Borrow, now: float
     ) -> list[Reply]:
         """Settles what the borrower reports, and lends what there is."""
-        self.learn(ask)
-        self.fill(now)
+        self.update_limits(ask)
+        self.refill(now)
         self.level += ask.returned - ask.debt
         self.level = min(self.level, self.burst)
         answer = messages.Lend(
@@ -116,7 +116,7 @@
         self._lend_tokens(ask, answer)
         # A level that was overtaken by a newer one would lend slots to
         # others that the borrower believes it still has.
-        if self._overtaken(borrower, ask):
+        if self._is_outdated(borrower, ask):
             return []
         self.pending.pop(borrower, None)
         recalls = self._lend_slots(borrower, ask, answer, now)
@@ -145,7 +145,7 @@
             done.append(Reply(address=borrower, message=pending.answer))
         return done
 
-    def learn(self, ask: messages.Borrow) -> None:
+    def update_limits(self, ask: messages.Borrow) -> None:
         """Takes over the limits of a newer contract, never of an older one."""
         if ask.version <= self.version:
             return
@@ -154,7 +154,7 @@
         self.burst = burst_of(ask)
         self.concurrency = ask.concurrency
 
-    def fill(self, now: float) -> None:
+    def refill(self, now: float) -> None:
         """Adds the tokens of the time that has passed."""
         passed = max(0.0, now - self.filled_at)
         self.level = min(self.burst, self.level + passed * self.rate)
@@ -171,8 +171,8 @@
 
     def idle(self, now: float) -> bool:
         """Whether forgetting this ledger would change nothing."""
-        self.fill(now)
-        self._lapse(now)
+        self.refill(now)
+        self._expire_leases(now)
         return not self.leases and self.level >= self.burst
 
     def _lend_tokens(self, ask: messages.Borrow, answer: messages.Lend) -> None:
@@ -182,11 +182,11 @@
         answer.tokens = max(0, min(ask.tokens, math.floor(self.level)))
         self.level -= answer.tokens
         if ask.tokens and not answer.tokens:
-            floor = min(SHORTEST_WAIT_SECONDS, self.burst / (2 * self.rate))
+            floor = min(MIN_WAIT_SECONDS, self.burst / (2 * self.rate))
             wait = max(floor, (1.0 - self.level) / self.rate)
-            answer.wait = min(wait, LONGEST_WAIT_SECONDS)
+            answer.wait = min(wait, MAX_WAIT_SECONDS)
 
-    def _overtaken(self, borrower: str, ask: messages.Borrow) -> bool:
+    def _is_outdated(self, borrower: str, ask: messages.Borrow) -> bool:
         lease = self.leases.get(borrower)
         if lease is None or lease.life != ask.life:
             return False
@@ -203,7 +203,7 @@
         if not self.concurrency:
             answer.slots = ask.slots
             return []
-        self._lapse(now)
+        self._expire_leases(now)
         self.leases.pop(borrower, None)
         lent = sum(lease.slots for lease in self.leases.values())
         free = self.concurrency - lent
@@ -237,12 +237,12 @@
                 continue
             lease.recalled = True
             recall = messages.Lend(
-                organisation=organisation, number=RECALL, scarce=True
+                organisation=organisation, number=RECALL_NUMBER, scarce=True
             )
             done.append(Reply(address=address, message=recall))
         return done
 
-    def _lapse(self, now: float) -> None:
+    def _expire_leases(self, now: float) -> None:
         """Takes back the slots of borrowers that have not renewed them."""
         for borrower, lease in list(self.leases.items()):
             if lease.until <= now:
--- a/pimentoledge/decisions/limits.py
+++ b/pimentoledge/decisions/limits.py
@@ -21,8 +21,8 @@
 from pimentoledge.decisions import limit_accounts
 from pimentoledge.nodes import messages
 
-SHORTEST_RETRY_SECONDS = 0.02
-LONGEST_RETRY_SECONDS = 30.0
+MIN_RETRY_SECONDS = 0.02
+MAX_RETRY_SECONDS = 30.0
 # Weight of the newest sample in the moving averages.
 SMOOTHING = 0.2
 
@@ -39,7 +39,7 @@
         probe_seconds: a silent owner is asked again this often.
         tick_seconds: how often leases and waiting requests are looked at.
         idle_seconds: an account without requests is forgotten after this.
-        most_waiting: requests that may wait for one owner's answer.
+        max_waiting: requests that may wait for one owner's answer.
         slots_ahead: whether a slot is taken from the own share before the
             owner has answered.
     """
@@ -50,7 +50,7 @@
     probe_seconds: float = 1.0
     tick_seconds: float = 0.1
     idle_seconds: float = 60.0
-    most_waiting: int = 1000
+    max_waiting: int = 1000
     slots_ahead: bool = False
 
 
@@ -161,18 +161,18 @@
             return Granted()
         account = self._account(contract, now)
         sent: list[actions.Action | Decided] = []
-        lacking = self._lacking(account, now)
-        if lacking is _ASK:
-            sent = self._ask(account, now, waiting=1)
-            lacking = self._lacking(account, now)
+        lacking = self._check_quota(account, now)
+        if lacking is _ASK_OWNER:
+            sent = self._send_borrow(account, now, waiting=1)
+            lacking = self._check_quota(account, now)
         if lacking is None:
-            self._let_in(account, request, now)
-            return Granted(sends=sent + self._ask_ahead(account, now))
-        if lacking is not _ASK:
+            self._start_request(account, request, now)
+            return Granted(sends=sent + self._borrow_ahead(account, now))
+        if lacking is not _ASK_OWNER:
             return Refused(
                 error=self._refusal(account, lacking, now), sends=sent
             )
-        if len(account.waiting) >= self.policy.most_waiting:
+        if len(account.waiting) >= self.policy.max_waiting:
             code = results.Code.OVERLOADED
             return Refused(error=self._refusal(account, code, now), sends=sent)
         account.waiting[request] = now
@@ -196,7 +196,7 @@
         # A freed slot that nobody hears of would be a refusal below the
         # limit at another entry.
         if account.scarce and account.asked_at is None:
-            return self._ask(account, now)
+            return self._send_borrow(account, now)
         return []
 
     def entries(
@@ -225,8 +225,8 @@
             # The new owner knows nothing of what runs here, and would lend
             # it out again.
             if account.running or account.waiting:
-                done += self._ask(account, now)
-            done += self._settle(account, now)
+                done += self._send_borrow(account, now)
+            done += self._decide_waiting(account, now)
         return done
 
     def handle(
@@ -241,11 +241,11 @@
         """
         match event:
             case events.FromNode(message=messages.Borrow() as ask):
-                return self._lend(event.sender, ask, now)
+                return self._handle_borrow(event.sender, ask, now)
             case events.FromNode(message=messages.Lend() as lent):
-                return self._lent(event.sender, lent, now)
+                return self._handle_lend(event.sender, lent, now)
             case events.Unreachable():
-                self._doubt(event.address, now)
+                self._invalidate_leases(event.address, now)
                 return []
             case _:
                 return self._tick(now)
@@ -290,7 +290,7 @@
         part = self.policy.own_share * account.contract.concurrency
         return max(1, math.floor(part / len(self.peers)))
 
-    def _fill_own(self, account: limit_accounts.Account, now: float) -> None:
+    def _refill_own(self, account: limit_accounts.Account, now: float) -> None:
         rate = account.contract.requests_per_second
         rate *= self.policy.own_share / len(self.peers)
         passed = max(0.0, now - account.own_at)
@@ -298,14 +298,16 @@
         account.own_level = min(level, self._own_burst(account))
         account.own_at = max(now, account.own_at)
 
-    def _lacking(self, account: limit_accounts.Account, now: float) -> object:
-        """Returns None, a results.Code, or _ASK where the owner must say."""
-        lacking = self._lacking_slot(account, now)
+    def _check_quota(
+        self, account: limit_accounts.Account, now: float
+    ) -> object:
+        """Returns None, a results.Code, or _ASK_OWNER."""
+        lacking = self._check_slot(account, now)
         if isinstance(lacking, results.Code):
             return lacking
-        return self._lacking_token(account, now) or lacking
+        return self._check_token(account, now) or lacking
 
-    def _lacking_slot(
+    def _check_slot(
         self, account: limit_accounts.Account, now: float
     ) -> object:
         if not account.contract.concurrency:
@@ -319,9 +321,9 @@
         own = running < self._own_slots(account)
         if own and (silent or self.policy.slots_ahead):
             return None
-        return results.Code.CONCURRENCY_LIMITED if silent else _ASK
+        return results.Code.CONCURRENCY_LIMITED if silent else _ASK_OWNER
 
-    def _lacking_token(
+    def _check_token(
         self, account: limit_accounts.Account, now: float
     ) -> object:
         if not account.contract.requests_per_second:
@@ -330,13 +332,13 @@
             return None
         if now < account.rate_denied_until:
             return results.Code.RATE_LIMITED
-        self._fill_own(account, now)
+        self._refill_own(account, now)
         if account.own_level >= 1.0:
             return None
         silent = account.owner in self.silent
-        return results.Code.RATE_LIMITED if silent else _ASK
+        return results.Code.RATE_LIMITED if silent else _ASK_OWNER
 
-    def _let_in(
+    def _start_request(
         self, account: limit_accounts.Account, request: str, now: float
     ) -> None:
         account.running[request] = now
@@ -369,12 +371,12 @@
                 apart = account.hold_seconds / max(1, contract.concurrency)
                 first = now + apart
         start = max(first, account.promised_until, now)
-        start = min(start, now + LONGEST_RETRY_SECONDS)
+        start = min(start, now + MAX_RETRY_SECONDS)
         account.promised_until = start + apart
-        retry = max(SHORTEST_RETRY_SECONDS, start - now)
+        retry = max(MIN_RETRY_SECONDS, start - now)
         return results.Error(code=code, retry_after=retry)
 
-    def _ask_ahead(
+    def _borrow_ahead(
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
         """Asks for more before the last token and slot are used."""
@@ -393,20 +395,20 @@
             return []
         if now < account.rate_denied_until and not few_slots:
             return []
-        return self._ask(account, now)
+        return self._send_borrow(account, now)
 
-    def _ask(
+    def _send_borrow(
         self, account: limit_accounts.Account, now: float, waiting: int = 0
     ) -> list[actions.Action | Decided]:
         """Sends a Borrow, unless one is under way."""
         if account.asked_at is not None:
             return []
-        ask = self._borrow(account, now, waiting)
+        ask = self._make_borrow(account, now, waiting)
         if account.owner == self.address:
-            return self._lend(self.address, ask, now)
+            return self._handle_borrow(self.address, ask, now)
         return [actions.Send(address=account.owner, message=ask)]
 
-    def _borrow(
+    def _make_borrow(
         self, account: limit_accounts.Account, now: float, waiting: int
     ) -> messages.Borrow:
         contract = account.contract
@@ -445,7 +447,7 @@
         account.slots = min(account.slots, ask.slots)
         return ask
 
-    def _lend(
+    def _handle_borrow(
         self, borrower: str, ask: messages.Borrow, now: float
     ) -> list[actions.Action | Decided]:
         ledger = self.ledgers.get(ask.organisation)
@@ -460,14 +462,14 @@
         done: list[actions.Action | Decided] = []
         for reply in replies:
             if reply.address == self.address:
-                done += self._lent(self.address, reply.message, now)
+                done += self._handle_lend(self.address, reply.message, now)
                 continue
             done.append(
                 actions.Send(address=reply.address, message=reply.message)
             )
         return done
 
-    def _lent(
+    def _handle_lend(
         self, sender: str, lent: messages.Lend, now: float
     ) -> list[actions.Action | Decided]:
         self.silent.pop(sender, None)
@@ -476,15 +478,15 @@
         # state that has passed; its tokens lapse unspent.
         if account is None or account.owner != sender:
             return []
-        if lent.number == lending.RECALL:
+        if lent.number == lending.RECALL_NUMBER:
             account.scarce = True
-            return self._ask(account, now)
+            return self._send_borrow(account, now)
         if account.asked_at is None or account.number != lent.number:
             return []
         self._apply(account, lent, now)
-        return self._settle(account, now)
+        return self._decide_waiting(account, now)
 
-    def _doubt(self, owner: str, now: float) -> None:
+    def _invalidate_leases(self, owner: str, now: float) -> None:
         """Makes the next tick tell an owner again what runs here.
 
         A connection that broke may mean that the owner has restarted. It
@@ -514,22 +516,22 @@
         account.slots_denied_until = 0.0
         if account.contract.concurrency and lent.slots < account.needed:
             pause = account.hold_seconds / max(1, account.contract.concurrency)
-            pause = max(pause, lending.SHORTEST_WAIT_SECONDS)
+            pause = max(pause, lending.MIN_WAIT_SECONDS)
             account.slots_denied_until = now + min(pause, 1.0)
 
-    def _settle(
+    def _decide_waiting(
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
         """Decides what it can of the requests that wait, in their order."""
         done: list[actions.Action | Decided] = []
         for request in list(account.waiting):
-            lacking = self._lacking(account, now)
-            if lacking is _ASK:
-                return done + self._ask(account, now)
+            lacking = self._check_quota(account, now)
+            if lacking is _ASK_OWNER:
+                return done + self._send_borrow(account, now)
             del account.waiting[request]
             error = None
             if lacking is None:
-                self._let_in(account, request, now)
+                self._start_request(account, request, now)
             else:
                 self.organisations.pop(request, None)
                 error = self._refusal(account, lacking, now)
@@ -540,7 +542,7 @@
         self.ticked_at = now
         done: list[actions.Action | Decided] = []
         for organisation, account in list(self.accounts.items()):
-            done += self._look_at(account, now)
+            done += self._tick_account(account, now)
             idle = now - account.used_at > self.policy.idle_seconds
             if idle and not account.running and not account.tokens:
                 del self.accounts[organisation]
@@ -550,7 +552,7 @@
                 del self.ledgers[organisation]
         return done
 
-    def _look_at(
+    def _tick_account(
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
         policy = self.policy
@@ -563,14 +565,14 @@
             # lend too little, never the same tokens twice.
             account.asked_at = None
             self.silent.setdefault(account.owner, now)
-            return self._settle(account, now)
-        done = self._settle(account, now)
+            return self._decide_waiting(account, now)
+        done = self._decide_waiting(account, now)
         if account.owner in self.silent:
             if now - self.silent[account.owner] < policy.probe_seconds:
                 return done
             self.silent[account.owner] = now
             account.debt = 0
-            return done + self._ask(account, now)
+            return done + self._send_borrow(account, now)
         stale_tokens = account.tokens and account.tokens_until <= now
         renew = account.slots_until - now < lending.SLOT_SECONDS / 2
         stale_slots = account.slots and renew
@@ -578,12 +580,12 @@
             account.scarce or now - account.used_at > lending.TOKEN_SECONDS
         )
         if stale_tokens or stale_slots or idle_slots or account.debt:
-            done += self._ask(account, now)
+            done += self._send_borrow(account, now)
         return done
 
 
 # The owner has to be asked.
-_ASK = object()
+_ASK_OWNER = object()
 
 
 def _score(organisation: str, peer: str) -> int:
--- a/pimentoledge/decisions/membership.py
+++ b/pimentoledge/decisions/membership.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class HoldBackTiming:
+class BackoffTiming:
     """Times and bounds of hold-back; all times in seconds.
 
     Attributes:
@@ -33,7 +33,7 @@
         last_resort: time between trials when nothing else is left.
         forget: time without failure after which one failure is forgotten.
         probe: time between probes of a server that takes no new work.
-        servers: most servers remembered.
+        max_servers: most servers remembered.
     """
 
     first: float = 0.25
@@ -42,7 +42,7 @@
     last_resort: float = 0.5
     forget: float = 60.0
     probe: float = 1.0
-    servers: int = 16384
+    max_servers: int = 16384
 
 
 class ReportOrder(enum.StrEnum):
@@ -55,13 +55,13 @@
 
 
 @attrs.define(kw_only=True)
-class Trouble:
+class FailureRecord:
     """What speaks against one server; absent for a healthy one.
 
     Attributes:
         failures: failures not yet forgotten.
-        counted: time from which the next one is forgotten.
-        held_until: end of the hold-back.
+        decay_from: time from which the next one is forgotten.
+        backoff_until: end of the hold-back.
         soft: whether only timeouts led to the hold-back.
         down: whether it failed and has not answered since.
         failed_at: time of the last hard failure.
@@ -73,8 +73,8 @@
     """
 
     failures: int = 0
-    counted: float = 0.0
-    held_until: float = 0.0
+    decay_from: float = 0.0
+    backoff_until: float = 0.0
     soft: bool = True
     down: bool = False
     failed_at: float = -math.inf
@@ -95,7 +95,7 @@
 
     Attributes:
         timing: times and bounds.
-        troubles: Trouble by server name, oldest first.
+        failure_records: FailureRecord by server name, oldest first.
         incarnations: the last incarnations by server name, newest last.
         leaving_vms: addresses that the platform lists as leaving.
         missing_vms: addresses that were listed and no longer are, and the
@@ -104,9 +104,9 @@
         next_probe: when to ask a closed server again; None for never.
     """
 
-    def __init__(self, *, seed: int, timing: HoldBackTiming | None = None):
-        self.timing = timing or HoldBackTiming()
-        self.troubles: collections.OrderedDict[str, Trouble] = (
+    def __init__(self, *, seed: int, timing: BackoffTiming | None = None):
+        self.timing = timing or BackoffTiming()
+        self.failure_records: collections.OrderedDict[str, FailureRecord] = (
             collections.OrderedDict()
         )
         self.incarnations: collections.OrderedDict[str, tuple[str, ...]] = (
@@ -138,37 +138,38 @@
             if each.state is declarations.ServerState.IN
         ]
         listed = self._not_leaving_by_list(declared)
-        troubles = self.troubles
+        records = self.failure_records
         found = [
             each
             for each in listed
-            if each.name not in troubles or self._open(troubles[each.name], now)
+            if each.name not in records
+            or self._accepts_work(records[each.name], now)
         ]
         found = self._without_missing(found)
         if found:
             return found
         return self._last_resort(listed, now)
 
-    def dispatched(self, server: str, now: float) -> None:
+    def record_dispatch(self, server: str, now: float) -> None:
         """Takes note of work sent to a server; it may be the trial."""
-        trouble = self.troubles.get(server)
+        trouble = self.failure_records.get(server)
         if trouble is not None and trouble.down:
             trouble.tried_at = now
 
-    def refused(self, server: str, now: float) -> None:
+    def record_refusal(self, server: str, now: float) -> None:
         """Takes note that nothing listens there, or that its engine is down.
 
         Args:
             server: the server's name.
             now: monotonic seconds.
         """
-        self._failed(server, now, soft=False)
+        self._record_failure(server, now, soft=False)
 
-    def timed_out(self, server: str, now: float) -> None:
+    def record_timeout(self, server: str, now: float) -> None:
         """Takes note that no answer came in time, which proves little."""
-        self._failed(server, now, soft=True)
+        self._record_failure(server, now, soft=True)
 
-    def answered(self, truth: messages.Truth, now: float) -> ReportOrder:
+    def record_report(self, truth: messages.Truth, now: float) -> ReportOrder:
         """Takes note of an agent's word.
 
         Args:
@@ -180,22 +181,22 @@
             known to have ended; in the last case nothing is changed.
         """
         if not truth.incarnation:
-            self._closed_or_not(truth, now)
-            self._failed(truth.server, now, soft=False)
+            self._update_closed(truth, now)
+            self._record_failure(truth.server, now, soft=False)
             return ReportOrder.CURRENT
-        heard = self._heard(truth)
+        heard = self._update_incarnation(truth)
         if heard is ReportOrder.PAST:
             return heard
-        self._closed_or_not(truth, now)
-        trouble = self.troubles.get(truth.server)
+        self._update_closed(truth, now)
+        trouble = self.failure_records.get(truth.server)
         was_down = trouble is not None and trouble.down
         if heard is ReportOrder.RESTARTED and not was_down:
-            self._restarted(truth.server, now)
+            self._record_restart(truth.server, now)
         elif trouble is not None:
-            self._recovered(truth.server, trouble, now)
+            self._record_recovery(truth.server, trouble, now)
         return heard
 
-    def vms(self, states: list[events.ListedVm], now: float) -> None:
+    def update_vms(self, states: list[events.ListedVm], now: float) -> None:
         """Takes in the platform's list of VMs.
 
         A VM that was listed and no longer is counts as soft evidence only:
@@ -214,11 +215,11 @@
         kept = sorted(gone, key=lambda each: self.missing_vms.get(each, now))
         self.missing_vms = {
             each: self.missing_vms.get(each, now)
-            for each in kept[-self.timing.servers :]
+            for each in kept[-self.timing.max_servers :]
         }
         self.known_vms = listed
 
-    def probes(self, now: float) -> list[str]:
+    def due_probes(self, now: float) -> list[str]:
         """Returns closed servers to ask whether they take new work again.
 
         Each is returned once in every `timing.probe` seconds. A message
@@ -231,7 +232,7 @@
             return []
         due = []
         closed = []
-        for name, trouble in self.troubles.items():
+        for name, trouble in self.failure_records.items():
             if not trouble.closed:
                 continue
             if now >= trouble.probe_at:
@@ -242,7 +243,7 @@
         return due
 
     def next_wake(self) -> float | None:
-        """Returns when to call `probes`; None for never."""
+        """Returns when to call `due_probes`; None for never."""
         return self.next_probe
 
     def incarnation(self, server: str) -> str:
@@ -250,8 +251,8 @@
         known = self.incarnations.get(server)
         return known[-1] if known else ""
 
-    def _open(self, trouble: Trouble, now: float) -> bool:
-        if trouble.closed or now < trouble.held_until:
+    def _accepts_work(self, trouble: FailureRecord, now: float) -> bool:
+        if trouble.closed or now < trouble.backoff_until:
             return False
         on_trial = trouble.down and now < trouble.tried_at + self.timing.trial
         return not on_trial
@@ -286,9 +287,9 @@
         self, servers: list[declarations.BackendServer], now: float
     ) -> list[declarations.BackendServer]:
         held = [
-            (self.troubles[each.name], each)
+            (self.failure_records[each.name], each)
             for each in servers
-            if self._may_come_back(self.troubles[each.name])
+            if self._may_come_back(self.failure_records[each.name])
         ]
         soft = [each for trouble, each in held if trouble.soft]
         if soft:
@@ -306,72 +307,74 @@
         longest_ago = min(due, key=lambda each: each[:2])
         return [longest_ago[2]]
 
-    def _may_come_back(self, trouble: Trouble) -> bool:
+    def _may_come_back(self, trouble: FailureRecord) -> bool:
         return trouble.loading or not trouble.closed
 
-    def _trouble(self, server: str, now: float) -> Trouble:
-        trouble = self.troubles.get(server)
+    def _failure_record(self, server: str, now: float) -> FailureRecord:
+        trouble = self.failure_records.get(server)
         if trouble is None:
-            trouble = Trouble(counted=now)
-            self.troubles[server] = trouble
-            if len(self.troubles) > self.timing.servers:
-                self.troubles.popitem(last=False)
-        self._forget(trouble, now)
+            trouble = FailureRecord(decay_from=now)
+            self.failure_records[server] = trouble
+            if len(self.failure_records) > self.timing.max_servers:
+                self.failure_records.popitem(last=False)
+        self._decay_failures(trouble, now)
         return trouble
 
-    def _forget(self, trouble: Trouble, now: float) -> None:
-        rounds = int((now - trouble.counted) / self.timing.forget)
+    def _decay_failures(self, trouble: FailureRecord, now: float) -> None:
+        rounds = int((now - trouble.decay_from) / self.timing.forget)
         if rounds > 0:
             trouble.failures = max(0, trouble.failures - rounds)
-            trouble.counted += rounds * self.timing.forget
+            trouble.decay_from += rounds * self.timing.forget
 
-    def _failed(self, server: str, now: float, *, soft: bool) -> None:
-        trouble = self._trouble(server, now)
+    def _record_failure(self, server: str, now: float, *, soft: bool) -> None:
+        trouble = self._failure_record(server, now)
         if not soft:
             trouble.failed_at = now
         trouble.tried_at = -math.inf
-        if now < trouble.held_until:
+        if now < trouble.backoff_until:
             # Many requests fail together when one engine dies: that is one
             # failure. Hard evidence still outweighs soft.
             trouble.soft = trouble.soft and soft
             return
         trouble.soft = soft
         trouble.down = True
-        self._hold(trouble, now)
+        self._start_backoff(trouble, now)
 
-    def _restarted(self, server: str, now: float) -> None:
-        trouble = self._trouble(server, now)
+    def _record_restart(self, server: str, now: float) -> None:
+        trouble = self._failure_record(server, now)
         if trouble.failures > 0:
             trouble.soft = False
-            self._hold(trouble, now)
+            self._start_backoff(trouble, now)
             return
         # The first restart delays nothing: the engine is there and answers.
         trouble.failures = 1
-        trouble.counted = now
+        trouble.decay_from = now
 
-    def _hold(self, trouble: Trouble, now: float) -> None:
+    def _start_backoff(self, trouble: FailureRecord, now: float) -> None:
         doubled = self.timing.first * 2.0 ** min(trouble.failures, 32)
         trouble.failures = min(trouble.failures + 1, 32)
-        trouble.counted = now
+        trouble.decay_from = now
         wait = min(doubled, self.timing.longest)
         # Without jitter all entries would send their trials together.
-        trouble.held_until = now + wait * self._random.uniform(0.75, 1.25)
+        trouble.backoff_until = now + wait * self._random.uniform(0.75, 1.25)
 
-    def _recovered(self, server: str, trouble: Trouble, now: float) -> None:
-        self._forget(trouble, now)
-        if now < trouble.held_until and not trouble.soft:
+    def _record_recovery(
+        self, server: str, trouble: FailureRecord, now: float
+    ) -> None:
+        self._decay_failures(trouble, now)
+        if now < trouble.backoff_until and not trouble.soft:
             # An answer sent before the engine died comes late: it must not
             # end the hold-back.
             return
         trouble.down = False
-        trouble.held_until = 0.0
+        trouble.backoff_until = 0.0
         trouble.tried_at = -math.inf
         if trouble.failures == 0 and not trouble.closed:
-            del self.troubles[server]
+            del self.failure_records[server]
 
-    def _closed_or_not(self, truth: messages.Truth, now: float) -> None:
+    def _update_closed(self, truth: messages.Truth, now: float) -> None:
         if truth.leaving or truth.loading:
-            trouble = self._trouble(truth.server, now)
+            trouble = self._failure_record(truth.server, now)
             if not trouble.closed:
                 trouble.probe_at = now + self.timing.probe
                 self.next_probe = min(
@@ -382,14 +385,14 @@
             if truth.leaving:
                 trouble.left_at = now
             return
-        trouble = self.troubles.get(truth.server)
+        trouble = self.failure_records.get(truth.server)
         # An answer sent before the leave and late on its way must not open
         # the server again; one later than that only costs a refusal by the
         # agent, whose truth closes it again.
         if trouble is not None and now >= trouble.left_at + self.timing.probe:
             trouble.closed = False
 
-    def _heard(self, truth: messages.Truth) -> ReportOrder:
+    def _update_incarnation(self, truth: messages.Truth) -> ReportOrder:
         known = self.incarnations.get(truth.server, ())
         if known and known[-1] == truth.incarnation:
             return ReportOrder.CURRENT
@@ -397,6 +400,6 @@
             return ReportOrder.PAST
         latest = (*known, truth.incarnation)[-PAST_INCARNATIONS:]
         self.incarnations[truth.server] = latest
-        if len(self.incarnations) > self.timing.servers:
+        if len(self.incarnations) > self.timing.max_servers:
             self.incarnations.popitem(last=False)
         return ReportOrder.RESTARTED if known else ReportOrder.CURRENT
--- a/pimentoledge/decisions/quarantine.py
+++ b/pimentoledge/decisions/quarantine.py
@@ -76,12 +76,12 @@
         crashes: ids of the crashes, and whether the engine's death was seen
             by the agent beside it (rather than the whole VM vanishing).
         until: when it is forgotten.
-        held: until when it is refused though fewer than POISON_CRASHES.
+        held_until: until when it is refused though fewer than POISON_CRASHES.
     """
 
     crashes: dict[bytes, bool] = attrs.field(factory=dict)
     until: float = 0.0
-    held: float = 0.0
+    held_until: float = 0.0
 
 
 @attrs.define(kw_only=True)
@@ -174,17 +174,17 @@
             del self.records[fingerprint]
             return Clear()
         count = len(record.crashes)
-        end = record.until if count >= POISON_CRASHES else record.held
+        end = record.until if count >= POISON_CRASHES else record.held_until
         if end > now:
             proved = any(record.crashes.values())
-            return Poison(error=_poison(count, end - now, proved=proved))
+            return Poison(error=_poison_error(count, end - now, proved=proved))
         if count == 1 and not any(record.crashes.values()):
             # One vanished VM says next to nothing, and a data centre that
             # goes would have all that it ran wait for one another.
             return Clear()
         return Suspect(crashes=count)
 
-    def servers(self, fingerprint: bytes, names: list[str]) -> list[str]:
+    def rank_servers(self, fingerprint: bytes, names: list[str]) -> list[str]:
         """Orders servers for a suspect, alike at each entry.
 
         Entries that have not yet heard of each other's crashes send copies
@@ -203,16 +203,16 @@
             key=lambda each: (each in crashed, _rank(fingerprint, each)),
         )
 
-    def begin(self, fingerprint: bytes, request: str) -> bool:
+    def claim(self, fingerprint: bytes, request: str) -> bool:
         """Claims a suspect for one request; false while another runs."""
         return self.running.setdefault(fingerprint, request) == request
 
-    def end(self, fingerprint: bytes, request: str) -> None:
+    def release_claim(self, fingerprint: bytes, request: str) -> None:
         """Gives up a claim of begin()."""
         if self.running.get(fingerprint) == request:
             del self.running[fingerprint]
 
-    def crashed(
+    def record_crash(
         self,
         suspects: list[bytes],
         server: str,
@@ -241,8 +241,8 @@
             return []
         crash = self.crashes[crash_id(server, incarnation)]
         if certain and crash.write_at is None and not crash.version:
-            self._want(crash, now + BACKUP_SECONDS)
-        news = [report] if certain else self._vanished_again(report)
+            self._schedule_write(crash, now + BACKUP_SECONDS)
+        news = [report] if certain else self._repeat_suspects(report)
         sends: list[actions.Action] = [
             actions.Send(address=address, message=message)
             for address in self.peers
@@ -252,7 +252,9 @@
             sends.append(self._log_crash(report))
         return sends + self._write(now)
 
-    def survived(self, fingerprint: bytes, now: float) -> list[actions.Action]:
+    def record_completion(
+        self, fingerprint: bytes, now: float
+    ) -> list[actions.Action]:
         """Notes that an engine completed it; releases it everywhere."""
         record = self.records.pop(fingerprint, None)
         if record is None or record.until <= now:
@@ -282,11 +284,11 @@
             case stores.StoreAnswer(call=call) if (
                 call and call == self.watch_call
             ):
-                return self._watched(event, now)
+                return self._handle_watch_answer(event, now)
             case stores.StoreAnswer(call=call) if (
                 call and call == self.write_call
             ):
-                return self._written(event, now)
+                return self._handle_write_answer(event, now)
         return []
 
     def wake(self, now: float) -> list[actions.Action]:
@@ -340,7 +342,7 @@
         }
         return actions.LogDecision(kind="suspect", fields=fields)
 
-    def _vanished_again(
+    def _repeat_suspects(
         self, report: messages.Suspects
     ) -> list[messages.Suspects]:
         """Returns what peers need to know after a VM vanished.
@@ -382,7 +384,7 @@
         for fingerprint in sorted(fresh):
             self._add(fingerprint, crash, report.certain, now)
         if len(earlier) == 1 and report.certain:
-            self.records[earlier[0]].held = now + self.hold_seconds
+            self.records[earlier[0]].held_until = now + self.hold_seconds
         merged = CrashRecord(
             report=report, version=known.version if known else 0
         )
@@ -390,8 +392,8 @@
         # A vanished VM isn't made durable: a data centre that goes takes
         # hundreds at once, and the store has few writes to spare.
         if report.certain and self.name in self._writers(crash):
-            self._want(merged, now)
-        self._bound()
+            self._schedule_write(merged, now)
+        self._evict()
         return True
 
     def _count(self, fingerprint: bytes, now: float) -> int:
@@ -423,20 +425,20 @@
             return
         for crash in released.crashes:
             record.crashes.pop(crash, None)
-        record.held = 0.0
+        record.held_until = 0.0
         if not record.crashes:
             del self.records[released.fingerprint]
 
-    def _bound(self) -> None:
+    def _evict(self) -> None:
         while len(self.records) > MAX_RECORDS:
-            weakest = min(self.records, key=self._weight)
+            weakest = min(self.records, key=self._eviction_rank)
             del self.records[weakest]
         while len(self.crashes) > MAX_CRASHES:
             oldest = next(iter(self.crashes))
             self.unwritten.pop(oldest, None)
             del self.crashes[oldest]
 
-    def _weight(self, fingerprint: bytes) -> tuple[int, float]:
+    def _eviction_rank(self, fingerprint: bytes) -> tuple[int, float]:
         record = self.records[fingerprint]
         return (len(record.crashes), record.until)
 
@@ -455,7 +457,7 @@
         ranked = sorted(everyone, key=lambda each: _rank(crash, each))
         return ranked[:WRITERS]
 
-    def _want(self, crash: CrashRecord, at: float | None) -> None:
+    def _schedule_write(self, crash: CrashRecord, at: float | None) -> None:
         """Sets when this entry writes a crash."""
         crash.write_at = at
         key = crash_id(crash.report.server, crash.report.incarnation)
@@ -467,14 +469,14 @@
     def _next_write(self, now: float) -> bytes | None:
         for key in list(self.unwritten):
             crash = self.crashes[key]
-            if not crash.version and not self._live(key):
+            if not crash.version and not self._is_live(key):
                 # Released before it was ever stored: nothing to delete.
-                self._want(crash, None)
+                self._schedule_write(crash, None)
             elif crash.write_at <= now:
                 return key
         return None
 
-    def _live(self, crash: bytes) -> bool:
+    def _is_live(self, crash: bytes) -> bool:
         prints = self.crashes[crash].report.fingerprints
         records = [self.records.get(each) for each in prints]
         return any(each and crash in each.crashes for each in records)
@@ -489,7 +491,7 @@
         self.writing = crash
         self.write_call = self._new_call()
         known = self.crashes[crash]
-        live = self._live(crash)
+        live = self._is_live(crash)
         value = msgspec.json.encode(known.report) if live else None
         write = stores.Write(
             call=self.write_call,
@@ -500,7 +502,7 @@
         )
         return [actions.CallStore(call=write)]
 
-    def _written(
+    def _handle_write_answer(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         crash = self.crashes.get(self.writing or b"")
@@ -510,19 +512,19 @@
             return self._write(now)
         match answer.outcome:
             case stores.Outcome.WRITTEN:
-                self._want(crash, None)
+                self._schedule_write(crash, None)
                 crash.version = answer.version
             case stores.Outcome.CONFLICT:
                 # Another entry stored the same crash; the watch brings its
                 # version and whatever it names beyond ours.
-                self._want(crash, None)
+                self._schedule_write(crash, None)
             case _:
                 # Down or lost. Writing again is safe: the path names the
                 # crash, so a write that did take effect gives a conflict.
                 self.write_after = now + STORE_RETRY_SECONDS
         return self._write(now)
 
-    def _watched(
+    def _handle_watch_answer(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         self.watch_call = ""
@@ -534,16 +536,16 @@
             return []
         for each in answer.objects:
             if each.value is None:
-                self._deleted(_crash_at(each.path))
+                self._forget_deleted(_crash_at(each.path))
             else:
-                self._stored(each, now)
+                self._merge_stored(each, now)
         self.revision = answer.version
         quiet = now - self.watched_at > QUIET_SECONDS
         self.watch_at = now if quiet else now + WATCH_PAUSE_SECONDS
         self._clean_up(now)
         return self._write(now)
 
-    def _deleted(self, key: bytes) -> None:
+    def _forget_deleted(self, key: bytes) -> None:
         """Forgets a crash that another entry or an operator deleted."""
         crash = self.crashes.pop(key, None)
         self.unwritten.pop(key, None)
@@ -554,11 +556,11 @@
     def _clean_up(self, now: float) -> None:
         """Deletes stored crashes that nothing is held against any more."""
         for key, crash in self.crashes.items():
-            dead = crash.version and not self._live(key)
+            dead = crash.version and not self._is_live(key)
             if dead and self.name in self._writers(key):
-                self._want(crash, now)
+                self._schedule_write(crash, now)
 
-    def _stored(self, stored: stores.Object, now: float) -> None:
+    def _merge_stored(self, stored: stores.Object, now: float) -> None:
         try:
             report = msgspec.json.decode(stored.value, type=messages.Suspects)
         except (msgspec.DecodeError, msgspec.ValidationError):
@@ -572,14 +574,14 @@
         known.version = stored.version
         missing = set(known.report.fingerprints) - set(report.fingerprints)
         owner = bool(missing) and self.name in self._writers(crash)
-        self._want(known, now if owner else None)
+        self._schedule_write(known, now if owner else None)
 
     def _new_call(self) -> str:
         self.calls += 1
         return f"{PREFIX}{self.name}/{self.calls}"
 
 
-def _poison(count: int, seconds: float, *, proved: bool) -> results.Error:
+def _poison_error(count: int, seconds: float, *, proved: bool) -> results.Error:
     text = f"this request ran and {count} engines that ran it crashed"
     if not proved:
         # What was sent to a VM that vanished may have reached its engine or
--- a/pimentoledge/decisions/validation.py
+++ b/pimentoledge/decisions/validation.py
@@ -17,11 +17,11 @@
 MAILBOX = re.compile(r"tcp://\d{1,3}(\.\d{1,3}){3}:\d{1,5}")
 DIGEST = re.compile(r"[0-9a-f]{64}")
 METHOD = re.compile(r"[A-Z]{1,16}")
-MOST_LISTED = 256
-LONGEST_DEADLINE = 86400.0
-LONGEST_OUTCOME = 7 * 86400.0
-MOST_PER_SECOND = 1e6
-MOST_SLOTS = 65536
+MAX_LIST_LENGTH = 256
+MAX_DEADLINE_SECONDS = 86400.0
+MAX_OUTCOME_SECONDS = 7 * 86400.0
+MAX_PER_SECOND = 1e6
+MAX_SLOTS = 65536
 
 
 @attrs.frozen(kw_only=True)
@@ -41,72 +41,78 @@
     """Returns what is wrong with the values of a declaration."""
     match declaration:
         case declarations.Contract():
-            found = _contract(declaration)
+            found = _contract_faults(declaration)
         case declarations.BackendServer():
-            found = _server(declaration)
+            found = _server_faults(declaration)
         case declarations.Model():
-            found = _model(declaration)
+            found = _model_faults(declaration)
         case declarations.Service():
-            found = _service(declaration)
+            found = _service_faults(declaration)
         case declarations.EntryNode():
-            found = _entry(declaration)
+            found = _entry_faults(declaration)
         case declarations.Operator():
-            found = _operator(declaration)
+            found = _operator_faults(declaration)
     return [each for each in found if each is not None]
 
 
-def _contract(it: declarations.Contract) -> abc.Iterator[Fault | None]:
-    yield _matches("organisation", it.organisation, NAME, "a name")
-    yield _listed("key_digests", it.key_digests, DIGEST, "64 hex digits")
-    yield _listed("models", it.models, NAME, "names")
-    yield _listed("services", it.services, NAME, "names")
-    yield _within("share", it.share, 0.001, 1000)
+def _contract_faults(it: declarations.Contract) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("organisation", it.organisation, NAME, "a name")
+    yield _check_list("key_digests", it.key_digests, DIGEST, "64 hex digits")
+    yield _check_list("models", it.models, NAME, "names")
+    yield _check_list("services", it.services, NAME, "names")
+    yield _check_range("share", it.share, 0.001, 1000)
     rate = it.requests_per_second
-    yield _within("requests_per_second", rate, 0, MOST_PER_SECOND)
-    yield _within("burst", it.burst, 1, MOST_PER_SECOND)
-    yield _within("concurrency", it.concurrency, 0, MOST_PER_SECOND)
+    yield _check_range("requests_per_second", rate, 0, MAX_PER_SECOND)
+    yield _check_range("burst", it.burst, 1, MAX_PER_SECOND)
+    yield _check_range("concurrency", it.concurrency, 0, MAX_PER_SECOND)
     longest = it.max_deadline_seconds
-    yield _within("max_deadline_seconds", longest, 0.001, LONGEST_DEADLINE)
-    yield _within("deadline_seconds", it.deadline_seconds, 0.001, longest)
-
-
-def _server(it: declarations.BackendServer) -> abc.Iterator[Fault | None]:
-    yield _matches("name", it.name, NAME, "a name")
-    yield _matches("serves", it.serves, NAME, "a name")
-    yield _matches("agent", it.agent, MAILBOX, "tcp://IP:PORT")
+    yield _check_range(
+        "max_deadline_seconds", longest, 0.001, MAX_DEADLINE_SECONDS
+    )
+    yield _check_range("deadline_seconds", it.deadline_seconds, 0.001, longest)
+
+
+def _server_faults(
+    it: declarations.BackendServer,
+) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", it.name, NAME, "a name")
+    yield _check_pattern("serves", it.serves, NAME, "a name")
+    yield _check_pattern("agent", it.agent, MAILBOX, "tcp://IP:PORT")
     if it.data_centre:
-        yield _matches("data_centre", it.data_centre, NAME, "a name")
-    yield _within("slots", it.slots, 1, MOST_SLOTS)
-    yield _matches("role", it.role, ROLE, "both, prefill or decode")
+        yield _check_pattern("data_centre", it.data_centre, NAME, "a name")
+    yield _check_range("slots", it.slots, 1, MAX_SLOTS)
+    yield _check_pattern("role", it.role, ROLE, "both, prefill or decode")
 
 
-def _model(it: declarations.Model) -> abc.Iterator[Fault | None]:
-    yield _matches("name", it.name, NAME, "a name")
-    yield _matches("weights", it.weights, NAME, "a name")
-    yield _listed("adapters", it.adapters, NAME, "names")
-    yield _within("concurrent_loads", it.concurrent_loads, 1, MOST_SLOTS)
+def _model_faults(it: declarations.Model) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", it.name, NAME, "a name")
+    yield _check_pattern("weights", it.weights, NAME, "a name")
+    yield _check_list("adapters", it.adapters, NAME, "names")
+    yield _check_range("concurrent_loads", it.concurrent_loads, 1, MAX_SLOTS)
 
 
-def _service(it: declarations.Service) -> abc.Iterator[Fault | None]:
-    yield _matches("name", it.name, NAME, "a name")
+def _service_faults(it: declarations.Service) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", it.name, NAME, "a name")
     methods = it.repeatable_methods
-    yield _listed("repeatable_methods", methods, METHOD, "HTTP methods")
-    yield _within("outcome_seconds", it.outcome_seconds, 0, LONGEST_OUTCOME)
+    yield _check_list("repeatable_methods", methods, METHOD, "HTTP methods")
+    yield _check_range(
+        "outcome_seconds", it.outcome_seconds, 0, MAX_OUTCOME_SECONDS
+    )
 
 
-def _entry(it: declarations.EntryNode) -> abc.Iterator[Fault | None]:
-    yield _matches("name", it.name, NAME, "a name")
-    yield _matches("mailbox", it.mailbox, MAILBOX, "tcp://IP:PORT")
+def _entry_faults(it: declarations.EntryNode) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", it.name, NAME, "a name")
+    yield _check_pattern("mailbox", it.mailbox, MAILBOX, "tcp://IP:PORT")
     if it.data_centre:
-        yield _matches("data_centre", it.data_centre, NAME, "a name")
+        yield _check_pattern("data_centre", it.data_centre, NAME, "a name")
 
 
-def _operator(it: declarations.Operator) -> abc.Iterator[Fault | None]:
-    yield _matches("name", it.name, NAME, "a name")
-    yield _listed("key_digests", it.key_digests, DIGEST, "64 hex digits")
+def _operator_faults(it: declarations.Operator) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", it.name, NAME, "a name")
+    yield _check_list("key_digests", it.key_digests, DIGEST, "64 hex digits")
 
 
-def _matches(
+def _check_pattern(
     param: str, value: str, pattern: re.Pattern[str], what: str
 ) -> Fault | None:
     if pattern.fullmatch(value):
@@ -114,11 +120,11 @@
     return Fault(param=param, text=f"{value!r} must be {what}")
 
 
-def _listed(
+def _check_list(
     param: str, values: list[str], pattern: re.Pattern[str], what: str
 ) -> Fault | None:
-    if len(values) > MOST_LISTED:
-        return Fault(param=param, text=f"at most {MOST_LISTED} allowed")
+    if len(values) > MAX_LIST_LENGTH:
+        return Fault(param=param, text=f"at most {MAX_LIST_LENGTH} allowed")
     if len(set(values)) < len(values):
         return Fault(param=param, text="one is given twice")
     for index, value in enumerate(values):
@@ -128,7 +134,9 @@
     return None
 
 
-def _within(param: str, value: float, low: float, high: float) -> Fault | None:
+def _check_range(
+    param: str, value: float, low: float, high: float
+) -> Fault | None:
     # Written so that a NaN, for which every comparison is false, is refused.
     if low <= value <= high:
         return None
--- a/pimentoledge/tests/test_membership.py
+++ b/pimentoledge/tests/test_membership.py
@@ -28,14 +28,14 @@
 
 def _hold(members, now):
     """Refuses at `now` and returns how long server a is held back."""
-    members.refused("a", now)
-    return members.troubles["a"].held_until - now
+    members.record_refusal("a", now)
+    return members.failure_records["a"].backoff_until - now
 
 
 def test_only_a_declaration_admits():
     members = membership.Membership(seed=1)
-    members.answered(_truth("undeclared"), 0.0)
-    members.vms([events.ListedVm(address="10.0.0.9")], 0.0)
+    members.record_report(_truth("undeclared"), 0.0)
+    members.update_vms([events.ListedVm(address="10.0.0.9")], 0.0)
     assert members.usable([], 0.0) == []
     assert _names(members.usable(_fleet(), 0.0)) == ["a", "b"]
     assert members.usable([_server("a", state=_LEAVING)], 0.0) == []
@@ -52,7 +52,7 @@
     now = 0.0
     holds = []
     for life in range(7):
-        members.answered(_truth(incarnation=f"i{life}"), now)
+        members.record_report(_truth(incarnation=f"i{life}"), now)
         holds.append(_hold(members, now))
         assert _names(members.usable(_fleet(), now)) == ["b"]
         now += holds[-1]
@@ -65,17 +65,17 @@
 def test_many_failures_of_one_crash_count_once():
     members = membership.Membership(seed=1)
     for _ in range(50):
-        members.refused("a", 1.0)
-    assert members.troubles["a"].failures == 1
+        members.record_refusal("a", 1.0)
+    assert members.failure_records["a"].failures == 1
 
 
 def test_one_trial_at_the_end_of_hold_back():
     members = membership.Membership(seed=1)
     now = _hold(members, 0.0)
     assert _names(members.usable(_fleet(), now)) == ["a", "b"]
-    members.dispatched("a", now)
+    members.record_dispatch("a", now)
     assert _names(members.usable(_fleet(), now)) == ["b"]
-    members.answered(_truth(), now + 0.1)
+    members.record_report(_truth(), now + 0.1)
     assert _names(members.usable(_fleet(), now + 0.1)) == ["a", "b"]
 
 
@@ -86,9 +86,9 @@
     as a sign of life, the answer would send more requests to a dead engine.
     """
     members = membership.Membership(seed=1)
-    members.answered(_truth(), 0.0)
-    members.refused("a", 1.0)
-    members.answered(_truth(), 1.01)
+    members.record_report(_truth(), 0.0)
+    members.record_refusal("a", 1.0)
+    members.record_report(_truth(), 1.01)
     assert _names(members.usable(_fleet(), 1.02)) == ["b"]
 
 
@@ -99,7 +99,9 @@
     bring back hints about a cache that is gone.
     """
     members = membership.Membership(seed=1)
-    heard = [members.answered(_truth(incarnation=each), 0.0) for each in "1121"]
+    heard = [
+        members.record_report(_truth(incarnation=each), 0.0) for each in "1121"
+    ]
     assert heard == [
         membership.ReportOrder.CURRENT,
         membership.ReportOrder.CURRENT,
@@ -117,9 +119,9 @@
     """
     members = membership.Membership(seed=1)
     for name in "ab":
-        members.timed_out(name, 0.0)
+        members.record_timeout(name, 0.0)
     assert _names(members.usable(_fleet(), 0.1)) == ["a", "b"]
-    members.refused("a", 0.1)
+    members.record_refusal("a", 0.1)
     assert _names(members.usable(_fleet(), 0.2)) == ["b"]
 
 
@@ -133,15 +135,15 @@
     now = 0.0
     for _ in range(8):
         now += 40.0
-        members.refused("a", now)
-        members.refused("b", now)
+        members.record_refusal("a", now)
+        members.record_refusal("b", now)
     assert members.usable(_fleet(), now + 0.1) == []
     now += 0.5
     first = _names(members.usable(_fleet(), now))
-    members.dispatched(first[0], now)
+    members.record_dispatch(first[0], now)
     second = _names(members.usable(_fleet(), now))
     assert sorted(first + second) == ["a", "b"]
-    members.refused(first[0], now)
+    members.record_refusal(first[0], now)
     assert _names(members.usable(_fleet(), now)) == second
 
 
@@ -153,24 +155,24 @@
     late and must not bring the work back; nor does time alone.
     """
     members = membership.Membership(seed=1)
-    members.answered(_truth(leaving=True), 0.0)
-    members.answered(_truth(), 0.5)
+    members.record_report(_truth(leaving=True), 0.0)
+    members.record_report(_truth(), 0.5)
     for now in (0.5, 3.0, 600.0):
         assert _names(members.usable(_fleet(), now)) == ["b"]
     assert members.usable([_server("a")], 600.0) == []
     assert members.next_wake() == 1.0
-    assert members.probes(600.0) == ["a"]
-    assert members.probes(600.5) == []
+    assert members.due_probes(600.0) == ["a"]
+    assert members.due_probes(600.5) == []
     assert members.next_wake() == 601.0
-    members.answered(_truth(), 600.5)
+    members.record_report(_truth(), 600.5)
     assert _names(members.usable(_fleet(), 600.5)) == ["a", "b"]
 
 
 def test_loading_server_is_back_at_its_word():
     members = membership.Membership(seed=1)
-    members.answered(_truth(loading=True), 0.0)
+    members.record_report(_truth(loading=True), 0.0)
     assert _names(members.usable(_fleet(), 0.1)) == ["b"]
-    members.answered(_truth(weights="w2"), 0.5)
+    members.record_report(_truth(weights="w2"), 0.5)
     assert _names(members.usable(_fleet(), 0.5)) == ["a", "b"]
 
 
@@ -185,23 +187,23 @@
         events.ListedVm(address="10.0.0.1", leaving=True),
         events.ListedVm(address="10.0.0.2"),
     ]
-    members.vms(both, 0.0)
+    members.update_vms(both, 0.0)
     assert _names(members.usable(_fleet(), 0.0)) == ["b"]
-    members.vms(both[1:], 1.0)
+    members.update_vms(both[1:], 1.0)
     assert _names(members.usable(_fleet(), 1.0)) == ["b"]
-    members.vms([], 2.0)
+    members.update_vms([], 2.0)
     assert _names(members.usable(_fleet(), 2.0)) == ["a", "b"]
 
 
 def test_memory_is_bounded():
-    timing = membership.HoldBackTiming(servers=10)
+    timing = membership.BackoffTiming(max_servers=10)
     members = membership.Membership(seed=1, timing=timing)
     for number in range(100):
         name = f"s{number}"
-        members.refused(name, 0.0)
-        members.answered(_truth(name, str(number)), 1.0)
+        members.record_refusal(name, 0.0)
+        members.record_report(_truth(name, str(number)), 1.0)
         address = f"10.0.1.{number}"
-        members.vms([events.ListedVm(address=address)], 2.0)
-    assert len(members.troubles) <= 10
+        members.update_vms([events.ListedVm(address=address)], 2.0)
+    assert len(members.failure_records) <= 10
     assert len(members.incarnations) <= 10
     assert len(members.missing_vms) <= 10
--- a/pimentoledge/tests/test_quarantine.py
+++ b/pimentoledge/tests/test_quarantine.py
@@ -80,35 +80,35 @@
     crash has it refused for long, and the answer says that it ran.
     """
     one, other = pair()
-    deliver(one.crashed([b"p", b"i"], "r1", "x", 0.0), other, 0.0)
+    deliver(one.record_crash([b"p", b"i"], "r1", "x", 0.0), other, 0.0)
     assert one.check(b"i", 0.0) == quarantine.Suspect(crashes=1)
     assert other.check(b"p", 0.0) == quarantine.Suspect(crashes=1)
-    deliver(one.survived(b"i", 1.0), other, 1.0)
+    deliver(one.record_completion(b"i", 1.0), other, 1.0)
     assert other.check(b"i", 1.0) == quarantine.Clear()
-    deliver(one.crashed([b"p", b"c"], "r2", "y", 2.0), other, 2.0)
+    deliver(one.record_crash([b"p", b"c"], "r2", "y", 2.0), other, 2.0)
     held = other.check(b"p", 2.0)
     assert held.error.code == results.Code.POISON
     assert held.error.outcome() == results.Ran.RAN
     assert held.error.retry_after == 30.0
     assert other.check(b"c", 2.0) == quarantine.Suspect(crashes=1)
     assert other.check(b"p", 32.0) == quarantine.Suspect(crashes=2)
-    deliver(one.crashed([b"p"], "r3", "z", 33.0), other, 33.0)
+    deliver(one.record_crash([b"p"], "r3", "z", 33.0), other, 33.0)
     assert isinstance(other.check(b"p", 80_000.0), quarantine.Poison)
 
 
 def test_one_crash_counts_once_whoever_reports_it():
     one, other = pair()
-    sent = one.crashed([b"p"], "r1", "x", 0.0)
+    sent = one.record_crash([b"p"], "r1", "x", 0.0)
     deliver(sent, other, 0.0)
     deliver(sent, other, 1.0)
-    assert other.crashed([b"p"], "r1", "x", 1.0) == []
+    assert other.record_crash([b"p"], "r1", "x", 1.0) == []
     assert other.check(b"p", 1.0) == quarantine.Suspect(crashes=1)
 
 
 def test_two_suspects_in_one_batch_are_not_pointed_at():
     one, _ = pair()
-    one.crashed([b"p", b"i"], "r1", "x", 0.0)
-    one.crashed([b"p", b"i"], "r2", "y", 1.0)
+    one.record_crash([b"p", b"i"], "r1", "x", 0.0)
+    one.record_crash([b"p", b"i"], "r2", "y", 1.0)
     assert one.check(b"p", 1.0) == quarantine.Suspect(crashes=2)
     assert one.check(b"i", 1.0) == quarantine.Suspect(crashes=2)
 
@@ -124,7 +124,7 @@
     seen = []
     for number in range(3):
         seen.append(type(one.check(b"i", 0.0)))
-        one.crashed([b"i"], f"r{number}", "x", 0.0, certain=False)
+        one.record_crash([b"i"], f"r{number}", "x", 0.0, certain=False)
     assert seen == [quarantine.Clear, quarantine.Clear, quarantine.Suspect]
     refused = one.check(b"i", 1.0).error
     assert refused.outcome() == results.Ran.UNKNOWN
@@ -143,7 +143,7 @@
     one, _ = pair()
     one.peers = []
     for number in range(3):
-        sent = one.crashed([b"p", b"i"], f"r{number}", "x", 0.0)
+        sent = one.record_crash([b"p", b"i"], f"r{number}", "x", 0.0)
         store.serve(one, sent, 0.0)
     assert store.writes == 3
     fresh = quarantine.Quarantine(name=B)
@@ -156,7 +156,7 @@
 
 def test_operator_releases_by_deleting_the_object():
     one, _ = pair()
-    one.crashed([b"p"], "r1", "x", 0.0)
+    one.record_crash([b"p"], "r1", "x", 0.0)
     (crash,) = one.crashes
     one.revision = 1
     (watch,) = [each.call for each in one.wake(0.0) if each.call.call]
@@ -178,7 +178,7 @@
     store = Store()
     store.down = True
     one = quarantine.Quarantine(name=A)
-    store.serve(one, one.crashed([b"p"], "r1", "x", 0.0), 0.0)
+    store.serve(one, one.record_crash([b"p"], "r1", "x", 0.0), 0.0)
     assert not store.objects
     store.down = False
     store.serve(one, one.wake(2.0), 2.0)
@@ -191,17 +191,17 @@
 def test_suspects_go_to_one_server_from_each_entry():
     one, other = pair()
     names = [f"r{number}" for number in range(9)]
-    order = one.servers(b"p", names)
-    assert order == other.servers(b"p", names[::-1])
+    order = one.rank_servers(b"p", names)
+    assert order == other.rank_servers(b"p", names[::-1])
     assert sorted(order) == names
-    one.crashed([b"p"], order[0], "x", 0.0)
-    assert one.servers(b"p", names) == [*order[1:], order[0]]
+    one.record_crash([b"p"], order[0], "x", 0.0)
+    assert one.rank_servers(b"p", names) == [*order[1:], order[0]]
 
 
 def test_peers_hear_of_content_that_was_on_two_vanished_vms():
     one, other = pair()
-    assert one.crashed([b"i"], "r1", "x", 0.0, certain=False) == []
-    news = one.crashed([b"i"], "r2", "x", 1.0, certain=False)
+    assert one.record_crash([b"i"], "r1", "x", 0.0, certain=False) == []
+    news = one.record_crash([b"i"], "r2", "x", 1.0, certain=False)
     deliver(news, other, 1.0)
     assert other.check(b"i", 1.0) == quarantine.Suspect(crashes=2)
 
@@ -217,9 +217,9 @@
 
 def test_claim_lets_one_copy_run_at_a_time():
     one, _ = pair()
-    assert one.begin(b"p", "q1")
-    assert not one.begin(b"p", "q2")
-    one.end(b"p", "q2")
-    assert not one.begin(b"p", "q2")
-    one.end(b"p", "q1")
-    assert one.begin(b"p", "q2")
+    assert one.claim(b"p", "q1")
+    assert not one.claim(b"p", "q2")
+    one.release_claim(b"p", "q2")
+    assert not one.claim(b"p", "q2")
+    one.release_claim(b"p", "q1")
+    assert one.claim(b"p", "q2")
