--- a/pimentoledge/decisions/lending.py
+++ b/pimentoledge/decisions/lending.py
@@ -1,8 +1,8 @@
-"""The owner's side of a contract's limits: one token bucket, lent out.
+"""The owner's side of a contract's limits: a token bucket lent to entries.
 
-The entry that owns an organisation keeps one Ledger for it. What the other
-entries may let in, they borrow from there, so that one limit holds over all
-of them.
+The entry that owns an organisation's limits keeps one Ledger for it. The
+other entries borrow tokens and slots from it, so that one limit holds over
+all of them.
 """
 
 import math
@@ -13,16 +13,17 @@
 
 TOKEN_SECONDS = 2.0
 SLOT_SECONDS = 30.0
-# An owner that knows no limit yet waits at most this long for a token.
+# Longest wait for a token that a Lend announces, however low the rate is.
 MAX_WAIT_SECONDS = 60.0
-# Entries that were told to wait ask again no sooner, so that a contract far
-# above its limit costs few messages.
+# An entry without tokens waits at least this long before its next Borrow, so
+# that a contract far above its limit costs few messages.
 MIN_WAIT_SECONDS = 0.05
-# An entry that needs a slot waits this long for those that are recalled.
+# How long the answer to a Borrow waits for recalled slots.
 RECALL_SECONDS = 0.05
-# After a slot was lacking, borrowers go on saying at once what they end.
+# How long slots count as scarce after a shortage. Meanwhile borrowers report
+# each freed slot at once.
 SCARCE_SECONDS = 1.0
-# The number of a Lend that answers no Borrow.
+# The number of a Lend that recalls unused slots instead of answering a Borrow.
 RECALL_NUMBER = 0
 
 
@@ -31,14 +32,15 @@
     """Slots lent to one entry.
 
     Attributes:
-        slots: how many.
-        running: of them, in use at the borrower's last word.
-        until: when they come back by themselves.
-        scarce: whether the borrower knows that there are no more, and so
-            says at once when one becomes free.
-        recalled: whether the borrower is asked to give back the rest.
-        life: the borrower's life that this is from.
-        number: of the Borrow that this is from.
+        slots: number of slots.
+        running: slots needed for running and waiting requests, as of the
+            borrower's last Borrow.
+        until: when the lease expires.
+        scarce: whether the borrower was notified that no slots are left and
+            so reports each freed slot at once.
+        recalled: whether a recall of unused slots was sent to the borrower.
+        life: the borrower's life in the Borrow behind this lease.
+        number: the number of that Borrow.
     """
 
     slots: int
@@ -55,12 +57,12 @@
     """An answer that waits for recalled slots.
 
     Attributes:
-        ask: what was asked for.
-        answer: its tokens are settled, its slots are not.
-        until: when it is sent in any case.
+        borrow: the message to answer.
+        answer: the answer; its tokens are final, its slots are not.
+        until: when it is sent even if no slots have come back.
     """
 
-    ask: messages.Borrow
+    borrow: messages.Borrow
     answer: messages.Lend
     until: float
 
@@ -75,18 +77,21 @@
 
 @attrs.define(kw_only=True)
 class Ledger:
-    """What is left of one organisation's limits, and who has the rest.
+    """The tokens left and the slots lent of one organisation's limits.
 
     Attributes:
-        version: contract version that the limits are from.
+        version: version of the contract that the limits are from.
         rate: tokens per second; 0 for no limit.
-        burst: most tokens kept.
-        concurrency: slots in all; 0 for no limit.
-        level: tokens left; below zero when entries let requests in ahead.
-        filled_at: time up to which `level` counts.
+        burst: capacity of the token bucket.
+        concurrency: total number of slots; 0 for no limit.
+        level: tokens left; negative after debt was reported for requests
+            that entries admitted from their own shares.
+        filled_at: time up to which `level` was refilled.
         leases: slots lent, by the borrower's mailbox.
-        scarce_until: a slot was lacking a moment ago; counts as scarce.
-        pending: answers that wait for recalled slots, by mailbox.
+        scarce_until: time until which slots count as scarce after a
+            shortage.
+        pending: answers that wait for recalled slots, by the borrower's
+            mailbox.
     """
 
     version: int
@@ -100,68 +105,81 @@
     pending: dict[str, Pending] = attrs.field(factory=dict)
 
     def lend(
-        self, borrower: str, ask: messages.Borrow, now: float
+        self, borrower: str, borrow: messages.Borrow, now: float
     ) -> list[Reply]:
-        """Settles what the borrower reports, and lends what there is."""
-        self.update_limits(ask)
+        """Applies the borrower's report and lends what is available.
+
+        Args:
+            borrower: mailbox of the borrower.
+            borrow: its report and the tokens and slots that it requests.
+            now: monotonic time in seconds.
+
+        Returns:
+            The messages to send: recalls if slots are short, else the answer
+            and those pending answers that are now complete.
+        """
+        self.update_limits(borrow)
         self.refill(now)
-        self.level += ask.returned - ask.debt
+        self.level += borrow.returned - borrow.debt
         self.level = min(self.level, self.burst)
         answer = messages.Lend(
-            organisation=ask.organisation,
-            number=ask.number,
+            organisation=borrow.organisation,
+            number=borrow.number,
             token_seconds=TOKEN_SECONDS,
             slot_seconds=SLOT_SECONDS,
         )
-        self._lend_tokens(ask, answer)
-        # A level that was overtaken by a newer one would lend slots to
-        # others that the borrower believes it still has.
-        if self._is_outdated(borrower, ask):
+        self._lend_tokens(borrow, answer)
+        # Applying an outdated report would free slots that a newer one has
+        # leased to this borrower, and lend them to others as well.
+        if self._is_outdated(borrower, borrow):
             return []
         self.pending.pop(borrower, None)
-        recalls = self._lend_slots(borrower, ask, answer, now)
+        recalls = self._lend_slots(borrower, borrow, answer, now)
         if recalls:
             self.pending[borrower] = Pending(
-                ask=ask, answer=answer, until=now + RECALL_SECONDS
+                borrow=borrow, answer=answer, until=now + RECALL_SECONDS
             )
             return recalls
-        done = [Reply(address=borrower, message=answer)]
-        return done + self.answer_pending(now)
+        replies = [Reply(address=borrower, message=answer)]
+        return replies + self.answer_pending(now)
 
     def answer_pending(self, now: float) -> list[Reply]:
-        """Answers those whose slots have come back, or that waited enough."""
-        done: list[Reply] = []
+        """Returns the pending answers whose slots came back or time is up.
+
+        Recalls that became necessary meanwhile are returned with them.
+        """
+        replies: list[Reply] = []
         for borrower, pending in list(self.pending.items()):
             recalls = self._lend_slots(
-                borrower, pending.ask, pending.answer, now
+                borrower, pending.borrow, pending.answer, now
             )
-            ask = pending.ask
-            short = pending.answer.slots < ask.running + ask.waiting
+            borrow = pending.borrow
+            short = pending.answer.slots < borrow.running + borrow.waiting
             expected = any(lease.recalled for lease in self.leases.values())
             if short and (recalls or expected) and now < pending.until:
-                done += recalls
+                replies += recalls
                 continue
             del self.pending[borrower]
-            done.append(Reply(address=borrower, message=pending.answer))
-        return done
+            replies.append(Reply(address=borrower, message=pending.answer))
+        return replies
 
-    def update_limits(self, ask: messages.Borrow) -> None:
-        """Takes over the limits of a newer contract, never of an older one."""
-        if ask.version <= self.version:
+    def update_limits(self, borrow: messages.Borrow) -> None:
+        """Applies the limits of a newer contract; ignores an older one."""
+        if borrow.version <= self.version:
             return
-        self.version = ask.version
-        self.rate = ask.rate
-        self.burst = burst_of(ask)
-        self.concurrency = ask.concurrency
+        self.version = borrow.version
+        self.rate = borrow.rate
+        self.burst = burst_of(borrow)
+        self.concurrency = borrow.concurrency
 
     def refill(self, now: float) -> None:
-        """Adds the tokens of the time that has passed."""
+        """Adds the tokens accrued since the last refill."""
         passed = max(0.0, now - self.filled_at)
         self.level = min(self.burst, self.level + passed * self.rate)
         self.filled_at = max(now, self.filled_at)
 
     def keep_only(self, borrowers: set[str]) -> None:
-        """Takes back the slots of entries that are gone."""
+        """Drops the leases and pending answers of all other borrowers."""
         for borrower in list(self.leases):
             if borrower not in borrowers:
                 del self.leases[borrower]
@@ -170,67 +188,69 @@
                 del self.pending[borrower]
 
     def idle(self, now: float) -> bool:
-        """Whether forgetting this ledger would change nothing."""
+        """Returns whether the ledger can be dropped without effect."""
         self.refill(now)
         self._expire_leases(now)
         return not self.leases and self.level >= self.burst
 
-    def _lend_tokens(self, ask: messages.Borrow, answer: messages.Lend) -> None:
+    def _lend_tokens(
+        self, borrow: messages.Borrow, answer: messages.Lend
+    ) -> None:
         if not self.rate:
-            answer.tokens = ask.tokens
+            answer.tokens = borrow.tokens
             return
-        answer.tokens = max(0, min(ask.tokens, math.floor(self.level)))
+        answer.tokens = max(0, min(borrow.tokens, math.floor(self.level)))
         self.level -= answer.tokens
-        if ask.tokens and not answer.tokens:
+        if borrow.tokens and not answer.tokens:
             floor = min(MIN_WAIT_SECONDS, self.burst / (2 * self.rate))
             wait = max(floor, (1.0 - self.level) / self.rate)
             answer.wait = min(wait, MAX_WAIT_SECONDS)
 
-    def _is_outdated(self, borrower: str, ask: messages.Borrow) -> bool:
+    def _is_outdated(self, borrower: str, borrow: messages.Borrow) -> bool:
         lease = self.leases.get(borrower)
-        if lease is None or lease.life != ask.life:
+        if lease is None or lease.life != borrow.life:
             return False
-        return ask.number < lease.number
+        return borrow.number < lease.number
 
     def _lend_slots(
         self,
         borrower: str,
-        ask: messages.Borrow,
+        borrow: messages.Borrow,
         answer: messages.Lend,
         now: float,
     ) -> list[Reply]:
-        """Settles the slots of an answer; returns recalls where short."""
+        """Sets the slots of an answer; returns recalls if slots are short."""
         if not self.concurrency:
-            answer.slots = ask.slots
+            answer.slots = borrow.slots
             return []
         self._expire_leases(now)
         self.leases.pop(borrower, None)
         lent = sum(lease.slots for lease in self.leases.values())
         free = self.concurrency - lent
-        # What runs already is counted whether or not it was lent: it can't
-        # be taken back, and leaving it out would lend its slots twice.
-        answer.slots = max(ask.running, min(ask.slots, free))
-        short = answer.slots < ask.running + ask.waiting
+        # Running requests count whether or not their slots were lent: they
+        # can't be stopped, and leaving them out would lend their slots twice.
+        answer.slots = max(borrow.running, min(borrow.slots, free))
+        short = answer.slots < borrow.running + borrow.waiting
         if short:
             self.scarce_until = now + SCARCE_SECONDS
         answer.scarce = answer.slots >= free or now < self.scarce_until
         self.leases[borrower] = SlotLease(
             slots=answer.slots,
-            running=ask.running + ask.waiting,
+            running=borrow.running + borrow.waiting,
             until=now + SLOT_SECONDS,
             scarce=answer.scarce,
-            life=ask.life,
-            number=ask.number,
+            life=borrow.life,
+            number=borrow.number,
         )
-        return self._recall(borrower, ask.organisation) if short else []
+        return self._recall(borrower, borrow.organisation) if short else []
 
     def _recall(self, borrower: str, organisation: str) -> list[Reply]:
-        """Asks the others for the slots that they hold and don't use.
+        """Returns recalls for the other borrowers' unused slots.
 
-        Slots lent ahead of need would otherwise be refused to an entry that
-        needs them, while the organisation is below its limit.
+        Without a recall, slots lent ahead of demand would be unavailable to
+        an entry that needs them, while the organisation is below its limit.
         """
-        done: list[Reply] = []
+        replies: list[Reply] = []
         for address, lease in self.leases.items():
             unused = lease.slots > lease.running or not lease.scarce
             if address == borrower or lease.recalled or not unused:
@@ -239,33 +259,32 @@
             recall = messages.Lend(
                 organisation=organisation, number=RECALL_NUMBER, scarce=True
             )
-            done.append(Reply(address=address, message=recall))
-        return done
+            replies.append(Reply(address=address, message=recall))
+        return replies
 
     def _expire_leases(self, now: float) -> None:
-        """Takes back the slots of borrowers that have not renewed them."""
+        """Removes the leases that their borrowers have not renewed."""
         for borrower, lease in list(self.leases.items()):
             if lease.until <= now:
                 del self.leases[borrower]
 
 
-def burst_of(ask: messages.Borrow) -> float:
-    """Returns the bucket's size; room for one request at least."""
-    return max(1.0, float(ask.burst))
+def burst_of(borrow: messages.Borrow) -> float:
+    """Returns the capacity of the token bucket, at least one request."""
+    return max(1.0, float(borrow.burst))
 
 
-def open_ledger(ask: messages.Borrow, now: float) -> Ledger:
-    """Returns the ledger of an organisation that was not known before.
+def open_ledger(borrow: messages.Borrow, now: float) -> Ledger:
+    """Returns a new ledger with a full bucket.
 
-    The bucket starts full. After a change of owner this lets in at most one
-    burst too many; starting empty would refuse an organisation that has
-    just come.
+    After a change of owner the full bucket admits at most one burst too
+    many. An empty one would refuse the first requests of a new organisation.
     """
     return Ledger(
-        version=ask.version,
-        rate=ask.rate,
-        burst=burst_of(ask),
-        concurrency=ask.concurrency,
-        level=burst_of(ask),
+        version=borrow.version,
+        rate=borrow.rate,
+        burst=burst_of(borrow),
+        concurrency=borrow.concurrency,
+        level=burst_of(borrow),
         filled_at=now,
     )
--- a/pimentoledge/decisions/limit_accounts.py
+++ b/pimentoledge/decisions/limit_accounts.py
@@ -1,4 +1,4 @@
-"""What one entry holds of one organisation's limits."""
+"""One entry's account of the quota that it has for one organisation."""
 
 import math
 
@@ -9,30 +9,36 @@
 
 @attrs.define(kw_only=True)
 class Account:
-    """What this entry holds of one organisation's limits.
+    """Tokens and slots of one organisation at this entry.
+
+    Times are monotonic seconds.
 
     Attributes:
-        contract: newest contract seen here.
+        contract: newest contract seen at this entry.
         owner: mailbox of the entry that owns the limits.
-        tokens: tokens lent and not yet spent.
-        tokens_until: when they lapse.
-        slots: concurrent requests that the owner allows here.
-        slots_until: when that lapses.
-        own_level: tokens of the own share.
-        own_at: time up to which `own_level` counts.
-        debt: requests let in from the own share and not yet reported.
+        tokens: lent tokens not yet spent.
+        tokens_until: when `tokens` expire.
+        slots: concurrent requests that the owner allows at this entry.
+        slots_until: when the lease of `slots` expires.
+        own_level: tokens left in this entry's own share.
+        own_at: time up to which `own_level` was refilled.
+        debt: requests admitted from the own share and not yet reported to
+            the owner.
         running: start time by request id.
-        waiting: time of arrival by request id, in that order.
-        rate_denied_until: the owner has said that there is no token before.
-        slots_denied_until: the same for slots.
-        promised_until: a caller refused earlier was told to come back then.
+        waiting: arrival time by request id, in order of arrival.
+        rate_denied_until: time before which the owner has no token to lend.
+        slots_denied_until: time before which requests without a lent slot
+            are refused, as the owner's last answer granted too few.
+        promised_until: earliest retry time for the next refused caller;
+            earlier times are already given to other callers.
         scarce: whether the owner has no slot left.
-        number: that of the last Borrow.
-        asked_at: when it was sent; None when it is answered.
-        needed: slots that it needed for what ran and waited.
+        number: number of the last Borrow.
+        asked_at: when the last Borrow was sent; None once it is answered.
+        needed: slots that the last Borrow needed for running and waiting
+            requests.
         arrival_seconds: moving average of the time between requests.
-        hold_seconds: moving average of the time that a request runs.
-        used_at: when the last request came.
+        hold_seconds: moving average of a request's running time.
+        used_at: when the last request arrived.
     """
 
     contract: declarations.Contract
@@ -58,7 +64,7 @@
     used_at: float = 0.0
 
     def chunk(self, seconds: float) -> int:
-        """Returns how many tokens to borrow ahead."""
+        """Returns how many tokens to borrow for `seconds` of demand."""
         wanted = seconds / max(self.arrival_seconds, 1e-6)
         most = max(1.0, self.contract.burst / 2)
         return math.ceil(max(1.0, min(wanted, most)))
--- a/pimentoledge/decisions/limits.py
+++ b/pimentoledge/decisions/limits.py
@@ -1,11 +1,12 @@
 """One contract's rate and concurrency limits over all entries.
 
 For each organisation one entry, chosen by rendezvous hashing, owns the
-limits (decisions.lending) and lends tokens and slots to the others ahead of
-need. An entry without a token lets a request in from a small share of its
-own and reports it as debt, so that the usual request waits for no message.
-While the owner is silent only that share is left: neither nothing nor
-everything.
+limits (decisions.lending) and lends tokens and slots to the other entries
+ahead of demand. An entry without a lent token admits a request from a small
+share of its own and reports it to the owner as debt, so that most requests
+are admitted without waiting for a message. While the owner is unreachable,
+entries admit requests from this share only, which neither stops the
+organisation nor lifts its limit.
 """
 
 import math
@@ -32,16 +33,21 @@
     """How entries share a limit.
 
     Attributes:
-        own_share: part of the limit, over all entries, that they may use
-            without the owner.
-        chunk_seconds: tokens are borrowed for this time of demand.
-        answer_seconds: an owner that has not answered by then is silent.
-        probe_seconds: a silent owner is asked again this often.
-        tick_seconds: how often leases and waiting requests are looked at.
-        idle_seconds: an account without requests is forgotten after this.
-        max_waiting: requests that may wait for one owner's answer.
-        slots_ahead: whether a slot is taken from the own share before the
-            owner has answered.
+        own_share: fraction of the limit that all entries together may use
+            without borrowing from the owner.
+        chunk_seconds: duration of expected demand that one Borrow requests
+            tokens for.
+        answer_seconds: time after which an owner that has not answered
+            counts as silent.
+        probe_seconds: interval between Borrows sent to a silent owner.
+        tick_seconds: interval at which leases and waiting requests are
+            checked.
+        idle_seconds: time without requests after which an account is
+            dropped.
+        max_waiting: maximum number of requests of one organisation that
+            wait for the owner's answer.
+        slots_ahead: whether a slot of the entry's own share may be used
+            before the owner has answered.
     """
 
     own_share: float = 0.5
@@ -56,10 +62,10 @@
 
 @attrs.frozen(kw_only=True)
 class Granted:
-    """The request may run; release it when it has ended.
+    """The request may run; the caller must release it when it ends.
 
     Attributes:
-        sends: messages to send, and what became of others that waited.
+        sends: messages to send, and decisions on other waiting requests.
     """
 
     sends: "list[actions.Action | Decided]" = attrs.field(factory=list)
@@ -70,8 +76,9 @@
     """The request must not run.
 
     Attributes:
-        error: what to tell the caller, with an honest `retry_after`.
-        sends: messages to send, and what became of others that waited.
+        error: the error to return to the caller; a retry can succeed after
+            its `retry_after`.
+        sends: messages to send, and decisions on other waiting requests.
     """
 
     error: results.Error
@@ -80,10 +87,10 @@
 
 @attrs.frozen(kw_only=True)
 class Waiting:
-    """The owner is asked; a Decided follows within `answer_seconds`.
+    """A Borrow is under way; a Decided follows within `answer_seconds`.
 
     Attributes:
-        sends: messages to send, and what became of others that waited.
+        sends: messages to send, and decisions on other waiting requests.
     """
 
     sends: "list[actions.Action | Decided]" = attrs.field(factory=list)
@@ -91,11 +98,11 @@
 
 @attrs.frozen(kw_only=True)
 class Decided:
-    """What became of a request that was Waiting.
+    """The decision on a request that was Waiting.
 
     Attributes:
         request: request id.
-        error: None when it may run.
+        error: why the request is refused; None if it may run.
     """
 
     request: str
@@ -106,17 +113,18 @@
 
 
 class ContractLimits:
-    """The limits of all contracts, as one entry sees and keeps them.
+    """One entry's accounts and ledgers for the limits of all contracts.
 
     Attributes:
         name: this entry's name.
         address: this entry's mailbox.
         policy: how limits are shared.
-        peers: mailboxes of all live entries, this one's among them.
-        accounts: what this entry holds, by organisation.
-        ledgers: what this entry owns, by organisation.
-        organisations: organisation by request that runs or waits.
-        silent: owners that owe an answer, with the time of the last probe.
+        peers: mailboxes of all live entries, including this one's.
+        accounts: tokens and slots borrowed by this entry, by organisation.
+        ledgers: limits owned by this entry, by organisation.
+        organisations: organisation by id of a running or waiting request.
+        silent: time of the last probe, by mailbox of an owner that has not
+            answered in time.
     """
 
     def __init__(
@@ -127,13 +135,14 @@
         seed: int = 0,
         policy: Policy | None = None,
     ):
-        """Starts with nothing lent and no peer known.
+        """Creates an entry's limits without leases or peers.
 
         Args:
             name: this entry's name.
             address: this entry's mailbox.
-            seed: a number drawn for this life, so that messages of an
-                earlier life of this entry are told from those of this one.
+            seed: random number of this process's life, sent as `life` in
+                each Borrow, so that the owner can distinguish it from
+                earlier lives of this entry.
             policy: how limits are shared.
         """
         self.name = name
@@ -150,10 +159,10 @@
     def take(
         self, contract: declarations.Contract, request: str, now: float
     ) -> LimitOutcome:
-        """Asks to let one request in.
+        """Admits or refuses one request, or makes it wait for the owner.
 
         Args:
-            contract: the organisation's contract as this entry knows it.
+            contract: the organisation's contract as cached by this entry.
             request: request id.
             now: monotonic time in seconds.
         """
@@ -161,16 +170,16 @@
             return Granted()
         account = self._account(contract, now)
         sent: list[actions.Action | Decided] = []
-        lacking = self._check_quota(account, now)
-        if lacking is _ASK_OWNER:
+        shortage = self._check_quota(account, now)
+        if shortage is _ASK_OWNER:
             sent = self._send_borrow(account, now, waiting=1)
-            lacking = self._check_quota(account, now)
-        if lacking is None:
+            shortage = self._check_quota(account, now)
+        if shortage is None:
             self._start_request(account, request, now)
             return Granted(sends=sent + self._borrow_ahead(account, now))
-        if lacking is not _ASK_OWNER:
+        if shortage is not _ASK_OWNER:
             return Refused(
-                error=self._refusal(account, lacking, now), sends=sent
+                error=self._refusal(account, shortage, now), sends=sent
             )
         if len(account.waiting) >= self.policy.max_waiting:
             code = results.Code.OVERLOADED
@@ -182,7 +191,7 @@
     def release(
         self, request: str, now: float
     ) -> list[actions.Action | Decided]:
-        """Ends a request that was granted, or one that gave up waiting."""
+        """Releases a granted request, or removes a waiting one."""
         organisation = self.organisations.pop(request, "")
         account = self.accounts.get(organisation)
         if account is None:
@@ -193,8 +202,8 @@
             held = now - started
             account.hold_seconds += SMOOTHING * (held - account.hold_seconds)
         account.slots_denied_until = 0.0
-        # A freed slot that nobody hears of would be a refusal below the
-        # limit at another entry.
+        # When slots are scarce, a freed slot that is not reported at once
+        # would make another entry refuse a request below the limit.
         if account.scarce and account.asked_at is None:
             return self._send_borrow(account, now)
         return []
@@ -202,7 +211,7 @@
     def entries(
         self, addresses: list[str], now: float
     ) -> list[actions.Action | Decided]:
-        """Takes over the list of live entries' mailboxes."""
+        """Replaces the list of live entries' mailboxes."""
         self.peers = sorted({*addresses, self.address})
         alive = set(self.peers)
         for organisation, ledger in list(self.ledgers.items()):
@@ -214,7 +223,7 @@
             for address, at in self.silent.items()
             if address in alive
         }
-        done: list[actions.Action | Decided] = []
+        outputs: list[actions.Action | Decided] = []
         for organisation, account in self.accounts.items():
             owner = self.owner_of(organisation)
             if owner == account.owner:
@@ -222,28 +231,28 @@
             account.owner = owner
             account.asked_at = None
             account.slots = min(account.slots, len(account.running))
-            # The new owner knows nothing of what runs here, and would lend
-            # it out again.
+            # The new owner has no record of the slots in use here and would
+            # lend them again.
             if account.running or account.waiting:
-                done += self._send_borrow(account, now)
-            done += self._decide_waiting(account, now)
-        return done
+                outputs += self._send_borrow(account, now)
+            outputs += self._decide_waiting(account, now)
+        return outputs
 
     def handle(
         self, event: object, now: float
     ) -> list[actions.Action | Decided]:
-        """Takes in a message of another entry, or the passing of time.
+        """Handles a message of another entry, or a tick.
 
         Args:
             event: events.FromNode with a Borrow or a Lend, or
-                events.Unreachable; anything else counts as time that passed.
+                events.Unreachable; any other value counts as a tick.
             now: monotonic time in seconds.
         """
         match event:
-            case events.FromNode(message=messages.Borrow() as ask):
-                return self._handle_borrow(event.sender, ask, now)
-            case events.FromNode(message=messages.Lend() as lent):
-                return self._handle_lend(event.sender, lent, now)
+            case events.FromNode(message=messages.Borrow() as borrow):
+                return self._handle_borrow(event.sender, borrow, now)
+            case events.FromNode(message=messages.Lend() as lend):
+                return self._handle_lend(event.sender, lend, now)
             case events.Unreachable():
                 self._invalidate_leases(event.address, now)
                 return []
@@ -251,7 +260,7 @@
                 return self._tick(now)
 
     def next_wake(self) -> float | None:
-        """Returns when handle should be called again without a message."""
+        """Returns when to call `handle` for the next tick; None for never."""
         if not self.accounts and not self.ledgers:
             return None
         return (self.ticked_at or 0.0) + self.policy.tick_seconds
@@ -275,8 +284,10 @@
             self.accounts[contract.organisation] = account
         if contract.version >= account.contract.version:
             account.contract = contract
-        apart = now - account.used_at
-        account.arrival_seconds += SMOOTHING * (apart - account.arrival_seconds)
+        interval = now - account.used_at
+        account.arrival_seconds += SMOOTHING * (
+            interval - account.arrival_seconds
+        )
         account.used_at = now
         return account
 
@@ -302,10 +313,10 @@
         self, account: limit_accounts.Account, now: float
     ) -> object:
         """Returns None, a results.Code, or _ASK_OWNER."""
-        lacking = self._check_slot(account, now)
-        if isinstance(lacking, results.Code):
-            return lacking
-        return self._check_token(account, now) or lacking
+        shortage = self._check_slot(account, now)
+        if isinstance(shortage, results.Code):
+            return shortage
+        return self._check_token(account, now) or shortage
 
     def _check_slot(
         self, account: limit_accounts.Account, now: float
@@ -354,32 +365,34 @@
     def _refusal(
         self, account: limit_accounts.Account, code: results.Code, now: float
     ) -> results.Error:
-        """Returns an error that says when coming back is worth it.
+        """Returns an error with the time after which a retry can succeed.
 
-        Callers refused at one time are told times one after another: with
-        the same time for all, most of them would come back for nothing.
+        Callers that are refused together get staggered retry times. With the
+        same time for all, most of them would be refused again.
         """
         contract = account.contract
         match code:
             case results.Code.RATE_LIMITED:
-                apart = 1.0 / contract.requests_per_second
+                interval = 1.0 / contract.requests_per_second
                 first = account.rate_denied_until
                 if account.owner in self.silent:
-                    apart *= len(self.peers) / max(0.01, self.policy.own_share)
-                    first = now + apart * max(0.0, 1.0 - account.own_level)
+                    interval *= len(self.peers) / max(
+                        0.01, self.policy.own_share
+                    )
+                    first = now + interval * max(0.0, 1.0 - account.own_level)
             case _:
-                apart = account.hold_seconds / max(1, contract.concurrency)
-                first = now + apart
+                interval = account.hold_seconds / max(1, contract.concurrency)
+                first = now + interval
         start = max(first, account.promised_until, now)
         start = min(start, now + MAX_RETRY_SECONDS)
-        account.promised_until = start + apart
+        account.promised_until = start + interval
         retry = max(MIN_RETRY_SECONDS, start - now)
         return results.Error(code=code, retry_after=retry)
 
     def _borrow_ahead(
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
-        """Asks for more before the last token and slot are used."""
+        """Sends a Borrow before the last token or slot is used."""
         contract = account.contract
         chunk = account.chunk(self.policy.chunk_seconds)
         few_tokens = contract.requests_per_second and (
@@ -403,10 +416,10 @@
         """Sends a Borrow, unless one is under way."""
         if account.asked_at is not None:
             return []
-        ask = self._make_borrow(account, now, waiting)
+        borrow = self._make_borrow(account, now, waiting)
         if account.owner == self.address:
-            return self._handle_borrow(self.address, ask, now)
-        return [actions.Send(address=account.owner, message=ask)]
+            return self._handle_borrow(self.address, borrow, now)
+        return [actions.Send(address=account.owner, message=borrow)]
 
     def _make_borrow(
         self, account: limit_accounts.Account, now: float, waiting: int
@@ -427,7 +440,7 @@
         account.number += 1
         account.asked_at = now
         account.needed = len(account.running) + waiting
-        ask = messages.Borrow(
+        borrow = messages.Borrow(
             organisation=contract.organisation,
             number=account.number,
             life=self.seed,
@@ -443,54 +456,55 @@
             slots=slots if contract.concurrency else 0,
         )
         account.debt = 0
-        # What is given back must not be used while the answer is under way.
-        account.slots = min(account.slots, ask.slots)
-        return ask
+        # Slots that this Borrow gives back must not be used while the answer
+        # is under way: the owner may already have lent them again.
+        account.slots = min(account.slots, borrow.slots)
+        return borrow
 
     def _handle_borrow(
-        self, borrower: str, ask: messages.Borrow, now: float
+        self, borrower: str, borrow: messages.Borrow, now: float
     ) -> list[actions.Action | Decided]:
-        ledger = self.ledgers.get(ask.organisation)
+        ledger = self.ledgers.get(borrow.organisation)
         if ledger is None:
-            ledger = lending.open_ledger(ask, now)
-            self.ledgers[ask.organisation] = ledger
-        return self._reply(ledger.lend(borrower, ask, now), now)
+            ledger = lending.open_ledger(borrow, now)
+            self.ledgers[borrow.organisation] = ledger
+        return self._reply(ledger.lend(borrower, borrow, now), now)
 
     def _reply(
         self, replies: list[lending.Reply], now: float
     ) -> list[actions.Action | Decided]:
-        done: list[actions.Action | Decided] = []
+        outputs: list[actions.Action | Decided] = []
         for reply in replies:
             if reply.address == self.address:
-                done += self._handle_lend(self.address, reply.message, now)
+                outputs += self._handle_lend(self.address, reply.message, now)
                 continue
-            done.append(
+            outputs.append(
                 actions.Send(address=reply.address, message=reply.message)
             )
-        return done
+        return outputs
 
     def _handle_lend(
-        self, sender: str, lent: messages.Lend, now: float
+        self, sender: str, lend: messages.Lend, now: float
     ) -> list[actions.Action | Decided]:
         self.silent.pop(sender, None)
-        account = self.accounts.get(lent.organisation)
-        # An answer to an older question, or of a former owner, speaks of a
-        # state that has passed; its tokens lapse unspent.
+        account = self.accounts.get(lend.organisation)
+        # An answer to an older Borrow, or from a former owner, describes an
+        # outdated state; its tokens expire unspent.
         if account is None or account.owner != sender:
             return []
-        if lent.number == lending.RECALL_NUMBER:
+        if lend.number == lending.RECALL_NUMBER:
             account.scarce = True
             return self._send_borrow(account, now)
-        if account.asked_at is None or account.number != lent.number:
+        if account.asked_at is None or account.number != lend.number:
             return []
-        self._apply(account, lent, now)
+        self._apply(account, lend, now)
         return self._decide_waiting(account, now)
 
     def _invalidate_leases(self, owner: str, now: float) -> None:
-        """Makes the next tick tell an owner again what runs here.
+        """Makes the next tick report the slots in use here to the owner.
 
-        A connection that broke may mean that the owner has restarted. It
-        would know of no lease, and lend each slot a second time.
+        A broken connection may mean that the owner has restarted. It would
+        have lost all leases and lend each slot a second time.
         """
         for account in self.accounts.values():
             if account.owner != owner:
@@ -500,21 +514,21 @@
             account.slots_until = min(account.slots_until, now)
 
     def _apply(
-        self, account: limit_accounts.Account, lent: messages.Lend, now: float
+        self, account: limit_accounts.Account, lend: messages.Lend, now: float
     ) -> None:
         asked_at = account.asked_at if account.asked_at is not None else now
         account.asked_at = None
-        if lent.tokens:
-            account.tokens += lent.tokens
-            account.tokens_until = asked_at + lent.token_seconds
+        if lend.tokens:
+            account.tokens += lend.tokens
+            account.tokens_until = asked_at + lend.token_seconds
             account.rate_denied_until = 0.0
-        if lent.wait:
-            account.rate_denied_until = now + lent.wait
-        account.slots = lent.slots
-        account.slots_until = asked_at + lent.slot_seconds
-        account.scarce = lent.scarce
+        if lend.wait:
+            account.rate_denied_until = now + lend.wait
+        account.slots = lend.slots
+        account.slots_until = asked_at + lend.slot_seconds
+        account.scarce = lend.scarce
         account.slots_denied_until = 0.0
-        if account.contract.concurrency and lent.slots < account.needed:
+        if account.contract.concurrency and lend.slots < account.needed:
             pause = account.hold_seconds / max(1, account.contract.concurrency)
             pause = max(pause, lending.MIN_WAIT_SECONDS)
             account.slots_denied_until = now + min(pause, 1.0)
@@ -522,35 +536,35 @@
     def _decide_waiting(
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
-        """Decides what it can of the requests that wait, in their order."""
-        done: list[actions.Action | Decided] = []
+        """Decides waiting requests in order of arrival, as far as possible."""
+        outputs: list[actions.Action | Decided] = []
         for request in list(account.waiting):
-            lacking = self._check_quota(account, now)
-            if lacking is _ASK_OWNER:
-                return done + self._send_borrow(account, now)
+            shortage = self._check_quota(account, now)
+            if shortage is _ASK_OWNER:
+                return outputs + self._send_borrow(account, now)
             del account.waiting[request]
             error = None
-            if lacking is None:
+            if shortage is None:
                 self._start_request(account, request, now)
             else:
                 self.organisations.pop(request, None)
-                error = self._refusal(account, lacking, now)
-            done.append(Decided(request=request, error=error))
-        return done
+                error = self._refusal(account, shortage, now)
+            outputs.append(Decided(request=request, error=error))
+        return outputs
 
     def _tick(self, now: float) -> list[actions.Action | Decided]:
         self.ticked_at = now
-        done: list[actions.Action | Decided] = []
+        outputs: list[actions.Action | Decided] = []
         for organisation, account in list(self.accounts.items()):
-            done += self._tick_account(account, now)
+            outputs += self._tick_account(account, now)
             idle = now - account.used_at > self.policy.idle_seconds
             if idle and not account.running and not account.tokens:
                 del self.accounts[organisation]
         for organisation, ledger in list(self.ledgers.items()):
-            done += self._reply(ledger.answer_pending(now), now)
+            outputs += self._reply(ledger.answer_pending(now), now)
             if ledger.idle(now):
                 del self.ledgers[organisation]
-        return done
+        return outputs
 
     def _tick_account(
         self, account: limit_accounts.Account, now: float
@@ -560,19 +574,19 @@
             late = now - account.asked_at >= policy.answer_seconds
             if not late:
                 return []
-            # The Borrow or its answer is lost, or the owner is dead or cut
-            # off. What was borrowed with it is gone; asking again may only
-            # lend too little, never the same tokens twice.
+            # The Borrow or its answer is lost, or the owner is down or
+            # unreachable. Tokens lent in a lost answer are not recovered: a
+            # new Borrow may grant too few, but never the same tokens twice.
             account.asked_at = None
             self.silent.setdefault(account.owner, now)
             return self._decide_waiting(account, now)
-        done = self._decide_waiting(account, now)
+        outputs = self._decide_waiting(account, now)
         if account.owner in self.silent:
             if now - self.silent[account.owner] < policy.probe_seconds:
-                return done
+                return outputs
             self.silent[account.owner] = now
             account.debt = 0
-            return done + self._send_borrow(account, now)
+            return outputs + self._send_borrow(account, now)
         stale_tokens = account.tokens and account.tokens_until <= now
         renew = account.slots_until - now < lending.SLOT_SECONDS / 2
         stale_slots = account.slots and renew
@@ -580,11 +594,11 @@
             account.scarce or now - account.used_at > lending.TOKEN_SECONDS
         )
         if stale_tokens or stale_slots or idle_slots or account.debt:
-            done += self._send_borrow(account, now)
-        return done
+            outputs += self._send_borrow(account, now)
+        return outputs
 
 
-# The owner has to be asked.
+# Marks that only the owner can decide whether the quota allows a request.
 _ASK_OWNER = object()
 
 
--- a/pimentoledge/decisions/validation.py
+++ b/pimentoledge/decisions/validation.py
@@ -1,8 +1,8 @@
-"""Which values a declaration may have, beside the types of its fields.
+"""Validates the values of declarations beyond the types of their fields.
 
-The rules hold for what an operator sends and for what a node takes into
-force, so a rule may be loosened in a later release but never tightened: a
-node of the new release would drop what one of the old release accepted.
+The rules apply to declarations that an operator sends and to those that a
+node loads. A later release may therefore loosen a rule but never tighten it:
+a node of the new release would drop what one of the old release accepted.
 """
 
 from collections import abc
@@ -26,11 +26,11 @@
 
 @attrs.frozen(kw_only=True)
 class Fault:
-    """A field that may not have the value it has.
+    """An invalid value of a field.
 
     Attributes:
         param: the field's name.
-        text: what is wrong with it, for a person.
+        text: human-readable reason.
     """
 
     param: str
@@ -38,7 +38,7 @@
 
 
 def faults(declaration: declarations.Declaration) -> list[Fault]:
-    """Returns what is wrong with the values of a declaration."""
+    """Returns the invalid values of a declaration; empty if it is valid."""
     match declaration:
         case declarations.Contract():
             found = _contract_faults(declaration)
@@ -55,73 +55,85 @@
     return [each for each in found if each is not None]
 
 
-def _contract_faults(it: declarations.Contract) -> abc.Iterator[Fault | None]:
-    yield _check_pattern("organisation", it.organisation, NAME, "a name")
-    yield _check_list("key_digests", it.key_digests, DIGEST, "64 hex digits")
-    yield _check_list("models", it.models, NAME, "names")
-    yield _check_list("services", it.services, NAME, "names")
-    yield _check_range("share", it.share, 0.001, 1000)
-    rate = it.requests_per_second
+def _contract_faults(
+    contract: declarations.Contract,
+) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("organisation", contract.organisation, NAME, "a name")
+    yield _check_list(
+        "key_digests", contract.key_digests, DIGEST, "64 hex digits"
+    )
+    yield _check_list("models", contract.models, NAME, "names")
+    yield _check_list("services", contract.services, NAME, "names")
+    yield _check_range("share", contract.share, 0.001, 1000)
+    rate = contract.requests_per_second
     yield _check_range("requests_per_second", rate, 0, MAX_PER_SECOND)
-    yield _check_range("burst", it.burst, 1, MAX_PER_SECOND)
-    yield _check_range("concurrency", it.concurrency, 0, MAX_PER_SECOND)
-    longest = it.max_deadline_seconds
+    yield _check_range("burst", contract.burst, 1, MAX_PER_SECOND)
+    yield _check_range("concurrency", contract.concurrency, 0, MAX_PER_SECOND)
+    longest = contract.max_deadline_seconds
     yield _check_range(
         "max_deadline_seconds", longest, 0.001, MAX_DEADLINE_SECONDS
     )
-    yield _check_range("deadline_seconds", it.deadline_seconds, 0.001, longest)
+    yield _check_range(
+        "deadline_seconds", contract.deadline_seconds, 0.001, longest
+    )
 
 
 def _server_faults(
-    it: declarations.BackendServer,
+    server: declarations.BackendServer,
 ) -> abc.Iterator[Fault | None]:
-    yield _check_pattern("name", it.name, NAME, "a name")
-    yield _check_pattern("serves", it.serves, NAME, "a name")
-    yield _check_pattern("agent", it.agent, MAILBOX, "tcp://IP:PORT")
-    if it.data_centre:
-        yield _check_pattern("data_centre", it.data_centre, NAME, "a name")
-    yield _check_range("slots", it.slots, 1, MAX_SLOTS)
-    yield _check_pattern("role", it.role, ROLE, "both, prefill or decode")
+    yield _check_pattern("name", server.name, NAME, "a name")
+    yield _check_pattern("serves", server.serves, NAME, "a name")
+    yield _check_pattern("agent", server.agent, MAILBOX, "tcp://IP:PORT")
+    if server.data_centre:
+        yield _check_pattern("data_centre", server.data_centre, NAME, "a name")
+    yield _check_range("slots", server.slots, 1, MAX_SLOTS)
+    yield _check_pattern("role", server.role, ROLE, "both, prefill or decode")
 
 
-def _model_faults(it: declarations.Model) -> abc.Iterator[Fault | None]:
-    yield _check_pattern("name", it.name, NAME, "a name")
-    yield _check_pattern("weights", it.weights, NAME, "a name")
-    yield _check_list("adapters", it.adapters, NAME, "names")
-    yield _check_range("concurrent_loads", it.concurrent_loads, 1, MAX_SLOTS)
+def _model_faults(model: declarations.Model) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", model.name, NAME, "a name")
+    yield _check_pattern("weights", model.weights, NAME, "a name")
+    yield _check_list("adapters", model.adapters, NAME, "names")
+    yield _check_range("concurrent_loads", model.concurrent_loads, 1, MAX_SLOTS)
 
 
-def _service_faults(it: declarations.Service) -> abc.Iterator[Fault | None]:
-    yield _check_pattern("name", it.name, NAME, "a name")
-    methods = it.repeatable_methods
+def _service_faults(
+    service: declarations.Service,
+) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", service.name, NAME, "a name")
+    methods = service.repeatable_methods
     yield _check_list("repeatable_methods", methods, METHOD, "HTTP methods")
     yield _check_range(
-        "outcome_seconds", it.outcome_seconds, 0, MAX_OUTCOME_SECONDS
+        "outcome_seconds", service.outcome_seconds, 0, MAX_OUTCOME_SECONDS
     )
 
 
-def _entry_faults(it: declarations.EntryNode) -> abc.Iterator[Fault | None]:
-    yield _check_pattern("name", it.name, NAME, "a name")
-    yield _check_pattern("mailbox", it.mailbox, MAILBOX, "tcp://IP:PORT")
-    if it.data_centre:
-        yield _check_pattern("data_centre", it.data_centre, NAME, "a name")
+def _entry_faults(entry: declarations.EntryNode) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", entry.name, NAME, "a name")
+    yield _check_pattern("mailbox", entry.mailbox, MAILBOX, "tcp://IP:PORT")
+    if entry.data_centre:
+        yield _check_pattern("data_centre", entry.data_centre, NAME, "a name")
 
 
-def _operator_faults(it: declarations.Operator) -> abc.Iterator[Fault | None]:
-    yield _check_pattern("name", it.name, NAME, "a name")
-    yield _check_list("key_digests", it.key_digests, DIGEST, "64 hex digits")
+def _operator_faults(
+    operator: declarations.Operator,
+) -> abc.Iterator[Fault | None]:
+    yield _check_pattern("name", operator.name, NAME, "a name")
+    yield _check_list(
+        "key_digests", operator.key_digests, DIGEST, "64 hex digits"
+    )
 
 
 def _check_pattern(
-    param: str, value: str, pattern: re.Pattern[str], what: str
+    param: str, value: str, pattern: re.Pattern[str], expected: str
 ) -> Fault | None:
     if pattern.fullmatch(value):
         return None
-    return Fault(param=param, text=f"{value!r} must be {what}")
+    return Fault(param=param, text=f"{value!r} must be {expected}")
 
 
 def _check_list(
-    param: str, values: list[str], pattern: re.Pattern[str], what: str
+    param: str, values: list[str], pattern: re.Pattern[str], expected: str
 ) -> Fault | None:
     if len(values) > MAX_LIST_LENGTH:
         return Fault(param=param, text=f"at most {MAX_LIST_LENGTH} allowed")
@@ -129,7 +141,7 @@
         return Fault(param=param, text="one is given twice")
     for index, value in enumerate(values):
         if not pattern.fullmatch(value):
-            text = f"{value!r} must be one of a list of {what}"
+            text = f"{value!r} must be one of a list of {expected}"
             return Fault(param=f"{param}[{index}]", text=text)
     return None
 
@@ -137,7 +149,7 @@
 def _check_range(
     param: str, value: float, low: float, high: float
 ) -> Fault | None:
-    # Written so that a NaN, for which every comparison is false, is refused.
+    # Every comparison with NaN is false, so this form also rejects NaN.
     if low <= value <= high:
         return None
     return Fault(param=param, text=f"{value:g} must be {low:g} to {high:g}")
