--- a/pimentoledge/decisions/membership.py
+++ b/pimentoledge/decisions/membership.py
@@ -1,9 +1,9 @@
-"""Which declared backend servers an entry may give new work to.
+"""Selects the declared backend servers that may get new requests.
 
-Three sources are put together. The declaration alone admits a server. The
-platform's list of VMs and what the entry sees itself (refused connections,
-timeouts, changed incarnations, the agent's word that it is leaving) may only
-remove a server or delay it.
+Three sources are combined. Only a declaration admits a server. The platform's
+list of VMs and the entry's own observations (refused connections, timeouts,
+changed incarnations, an agent's report that it is leaving) may only exclude a
+server or delay requests to it.
 """
 
 import collections
@@ -17,23 +17,25 @@
 from pimentoledge.decisions import events
 from pimentoledge.nodes import messages
 
-# Incarnations remembered for one server; a truth that names a past one is a
-# late message.
+# Number of incarnations stored for one server. A report that names one of the
+# earlier incarnations is a late message.
 PAST_INCARNATIONS = 4
 
 
 @attrs.frozen(kw_only=True)
 class BackoffTiming:
-    """Times and bounds of hold-back; all times in seconds.
+    """Times and bounds of the backoff of servers; all times in seconds.
 
     Attributes:
-        first: hold-back after the first failure.
-        longest: longest hold-back.
-        trial: how long one trial request keeps others away.
-        last_resort: time between trials when nothing else is left.
-        forget: time without failure after which one failure is forgotten.
-        probe: time between probes of a server that takes no new work.
-        max_servers: most servers remembered.
+        first: backoff after the first failure.
+        longest: maximum backoff.
+        trial: how long a trial request in flight blocks other requests to
+            the same server.
+        last_resort: minimum time between trials of a server in backoff when
+            no other server is usable.
+        forget: time without failure that lowers the failure count by one.
+        probe: time between probes of a server that accepts no new requests.
+        max_servers: maximum number of servers with stored state.
     """
 
     first: float = 0.25
@@ -46,30 +48,32 @@
 
 
 class ReportOrder(enum.StrEnum):
-    """What a truth means beside what was known of its server."""
+    """How an agent's report relates to the server's known incarnations."""
 
     CURRENT = "current"
     RESTARTED = "restarted"
-    # It names an incarnation that is known to have ended: a late message.
+    # A late message: its incarnation is known to have ended.
     PAST = "past"
 
 
 @attrs.define(kw_only=True)
 class FailureRecord:
-    """What speaks against one server; absent for a healthy one.
+    """Failures and unavailability of one server; absent for a healthy one.
 
     Attributes:
-        failures: failures not yet forgotten.
-        decay_from: time from which the next one is forgotten.
-        backoff_until: end of the hold-back.
-        soft: whether only timeouts led to the hold-back.
-        down: whether it failed and has not answered since.
+        failures: failure count; it decays with time.
+        decay_from: start of the interval after which `failures` drops by
+            one.
+        backoff_until: end of the backoff.
+        soft: whether only timeouts caused the backoff.
+        down: whether the server failed and has not answered since.
         failed_at: time of the last hard failure.
-        tried_at: when the trial that is out was sent; others stay away.
-        closed: whether its agent said that it takes no new work.
-        loading: whether it said so for a load only.
-        left_at: when its agent last said that it is leaving.
-        probe_at: when to ask a closed server again.
+        tried_at: when the trial request in flight was sent; it blocks other
+            requests.
+        closed: whether the agent reported that it accepts no new requests.
+        loading: whether it is closed only while it loads weights.
+        left_at: time of the agent's last report that it is leaving.
+        probe_at: when to probe a closed server again.
     """
 
     failures: int = 0
@@ -91,17 +95,17 @@
 
 
 class Membership:
-    """One entry's view of the declared servers.
+    """One entry's state of the declared servers.
 
     Attributes:
         timing: times and bounds.
         failure_records: FailureRecord by server name, oldest first.
-        incarnations: the last incarnations by server name, newest last.
+        incarnations: recent incarnations by server name, newest last.
         leaving_vms: addresses that the platform lists as leaving.
-        missing_vms: addresses that were listed and no longer are, and the
-            time when each was first missed.
+        missing_vms: time of first absence, by address that was listed
+            before and no longer is.
         known_vms: addresses in the latest list.
-        next_probe: when to ask a closed server again; None for never.
+        next_probe: when to probe a closed server again; None for never.
     """
 
     def __init__(self, *, seed: int, timing: BackoffTiming | None = None):
@@ -121,16 +125,17 @@
     def usable(
         self, servers: list[declarations.BackendServer], now: float
     ) -> list[declarations.BackendServer]:
-        """Returns the servers that may get new work.
+        """Returns the servers that may get new requests.
 
         Args:
             servers: declared servers, such as those of one model.
             now: monotonic seconds.
 
         Returns:
-            The servers without trouble and those due for a trial. Where that
-            leaves none, those held back on soft evidence; where there is none
-            of those either, one that is due for a last trial.
+            The healthy servers and those due for a trial. If there are none,
+            the servers in backoff because of timeouts only; if there are
+            none of these either, at most one server that is due for a
+            last-resort trial.
         """
         declared = [
             each
@@ -139,25 +144,25 @@
         ]
         listed = self._not_leaving_by_list(declared)
         records = self.failure_records
-        found = [
+        selected = [
             each
             for each in listed
             if each.name not in records
             or self._accepts_work(records[each.name], now)
         ]
-        found = self._without_missing(found)
-        if found:
-            return found
+        selected = self._without_missing(selected)
+        if selected:
+            return selected
         return self._last_resort(listed, now)
 
     def record_dispatch(self, server: str, now: float) -> None:
-        """Takes note of work sent to a server; it may be the trial."""
-        trouble = self.failure_records.get(server)
-        if trouble is not None and trouble.down:
-            trouble.tried_at = now
+        """Records a request sent to a server, which may be its trial."""
+        record = self.failure_records.get(server)
+        if record is not None and record.down:
+            record.tried_at = now
 
     def record_refusal(self, server: str, now: float) -> None:
-        """Takes note that nothing listens there, or that its engine is down.
+        """Records a refused connection or a report that the engine is down.
 
         Args:
             server: the server's name.
@@ -166,42 +171,42 @@
         self._record_failure(server, now, soft=False)
 
     def record_timeout(self, server: str, now: float) -> None:
-        """Takes note that no answer came in time, which proves little."""
+        """Records a timeout, which is weak evidence of a failure."""
         self._record_failure(server, now, soft=True)
 
-    def record_report(self, truth: messages.Truth, now: float) -> ReportOrder:
-        """Takes note of an agent's word.
+    def record_report(self, report: messages.Truth, now: float) -> ReportOrder:
+        """Records an agent's report about its server.
 
         Args:
-            truth: what the agent says of its server.
+            report: the agent's report.
             now: monotonic seconds.
 
         Returns:
-            Whether the engine is the one known, a new one, or one that is
+            Whether the report is from the current engine, a new one, or one
             known to have ended; in the last case nothing is changed.
         """
-        if not truth.incarnation:
-            self._update_closed(truth, now)
-            self._record_failure(truth.server, now, soft=False)
+        if not report.incarnation:
+            self._update_closed(report, now)
+            self._record_failure(report.server, now, soft=False)
             return ReportOrder.CURRENT
-        heard = self._update_incarnation(truth)
-        if heard is ReportOrder.PAST:
-            return heard
-        self._update_closed(truth, now)
-        trouble = self.failure_records.get(truth.server)
-        was_down = trouble is not None and trouble.down
-        if heard is ReportOrder.RESTARTED and not was_down:
-            self._record_restart(truth.server, now)
-        elif trouble is not None:
-            self._record_recovery(truth.server, trouble, now)
-        return heard
+        order = self._update_incarnation(report)
+        if order is ReportOrder.PAST:
+            return order
+        self._update_closed(report, now)
+        record = self.failure_records.get(report.server)
+        was_down = record is not None and record.down
+        if order is ReportOrder.RESTARTED and not was_down:
+            self._record_restart(report.server, now)
+        elif record is not None:
+            self._record_recovery(report.server, record, now)
+        return order
 
     def update_vms(self, states: list[events.ListedVm], now: float) -> None:
-        """Takes in the platform's list of VMs.
+        """Applies the platform's list of VMs.
 
-        A VM that was listed and no longer is counts as soft evidence only:
-        the list lags and may be cut short. One never listed may be too new
-        to be there; its declaration admits it.
+        A VM that is no longer listed is weak evidence only: the list lags
+        and may be truncated. A VM that was never listed may be newer than
+        the list; its declaration admits it.
 
         Args:
             states: the whole list.
@@ -211,19 +216,22 @@
         self.leaving_vms = frozenset(
             each.address for each in states if each.leaving
         )
-        gone = (self.known_vms | self.missing_vms.keys()) - listed
-        kept = sorted(gone, key=lambda each: self.missing_vms.get(each, now))
+        unlisted = (self.known_vms | self.missing_vms.keys()) - listed
+        missing = sorted(
+            unlisted, key=lambda each: self.missing_vms.get(each, now)
+        )
         self.missing_vms = {
             each: self.missing_vms.get(each, now)
-            for each in kept[-self.timing.max_servers :]
+            for each in missing[-self.timing.max_servers :]
         }
         self.known_vms = listed
 
     def due_probes(self, now: float) -> list[str]:
-        """Returns closed servers to ask whether they take new work again.
+        """Returns closed servers whose agents are due for a probe.
 
-        Each is returned once in every `timing.probe` seconds. A message
-        asks, so that no request is spent on a server that is leaving.
+        Each is returned at most once in `timing.probe` seconds. Probes are
+        separate messages, so that no request is risked on a server that is
+        leaving.
 
         Args:
             now: monotonic seconds.
@@ -232,13 +240,13 @@
             return []
         due = []
         closed = []
-        for name, trouble in self.failure_records.items():
-            if not trouble.closed:
+        for name, record in self.failure_records.items():
+            if not record.closed:
                 continue
-            if now >= trouble.probe_at:
-                trouble.probe_at = now + self.timing.probe
+            if now >= record.probe_at:
+                record.probe_at = now + self.timing.probe
                 due.append(name)
-            closed.append(trouble.probe_at)
+            closed.append(record.probe_at)
         self.next_probe = min(closed, default=None)
         return due
 
@@ -247,14 +255,14 @@
         return self.next_probe
 
     def incarnation(self, server: str) -> str:
-        """Returns the engine incarnation last heard of; empty for none."""
+        """Returns the newest reported engine incarnation; empty for none."""
         known = self.incarnations.get(server)
         return known[-1] if known else ""
 
-    def _accepts_work(self, trouble: FailureRecord, now: float) -> bool:
-        if trouble.closed or now < trouble.backoff_until:
+    def _accepts_work(self, record: FailureRecord, now: float) -> bool:
+        if record.closed or now < record.backoff_until:
             return False
-        on_trial = trouble.down and now < trouble.tried_at + self.timing.trial
+        on_trial = record.down and now < record.tried_at + self.timing.trial
         return not on_trial
 
     def _not_leaving_by_list(
@@ -271,9 +279,9 @@
     def _without_missing(
         self, servers: list[declarations.BackendServer]
     ) -> list[declarations.BackendServer]:
-        # A list that comes back cut short would remove every server at once.
-        # It shows as servers whose agents still answer; so a missing VM only
-        # loses its place while another server is left to take the work.
+        # A truncated list would exclude every server at once, though their
+        # agents still answer. So a missing VM is excluded only while another
+        # server is left to take the requests.
         if not self.missing_vms:
             return servers
         present = [
@@ -286,20 +294,20 @@
     def _last_resort(
         self, servers: list[declarations.BackendServer], now: float
     ) -> list[declarations.BackendServer]:
-        held = [
+        in_backoff = [
             (self.failure_records[each.name], each)
             for each in servers
             if self._may_come_back(self.failure_records[each.name])
         ]
-        soft = [each for trouble, each in held if trouble.soft]
+        soft = [each for record, each in in_backoff if record.soft]
         if soft:
             return soft
-        # All were refused, as when every engine of a model restarts at once:
-        # without this a request would wait for the end of a long hold-back
-        # though an engine is there again.
+        # All servers failed hard, as when every engine of a model restarts
+        # at once. Without a trial here, requests would wait for the end of a
+        # long backoff although an engine is up again.
         due = []
-        for trouble, each in held:
-            latest = max(trouble.failed_at, trouble.tried_at)
+        for record, each in in_backoff:
+            latest = max(record.failed_at, record.tried_at)
             if now >= latest + self.timing.last_resort:
                 due.append((latest, each.name, each))
         if not due:
@@ -307,99 +315,99 @@
         longest_ago = min(due, key=lambda each: each[:2])
         return [longest_ago[2]]
 
-    def _may_come_back(self, trouble: FailureRecord) -> bool:
-        return trouble.loading or not trouble.closed
+    def _may_come_back(self, record: FailureRecord) -> bool:
+        return record.loading or not record.closed
 
     def _failure_record(self, server: str, now: float) -> FailureRecord:
-        trouble = self.failure_records.get(server)
-        if trouble is None:
-            trouble = FailureRecord(decay_from=now)
-            self.failure_records[server] = trouble
+        record = self.failure_records.get(server)
+        if record is None:
+            record = FailureRecord(decay_from=now)
+            self.failure_records[server] = record
             if len(self.failure_records) > self.timing.max_servers:
                 self.failure_records.popitem(last=False)
-        self._decay_failures(trouble, now)
-        return trouble
+        self._decay_failures(record, now)
+        return record
 
-    def _decay_failures(self, trouble: FailureRecord, now: float) -> None:
-        rounds = int((now - trouble.decay_from) / self.timing.forget)
+    def _decay_failures(self, record: FailureRecord, now: float) -> None:
+        rounds = int((now - record.decay_from) / self.timing.forget)
         if rounds > 0:
-            trouble.failures = max(0, trouble.failures - rounds)
-            trouble.decay_from += rounds * self.timing.forget
+            record.failures = max(0, record.failures - rounds)
+            record.decay_from += rounds * self.timing.forget
 
     def _record_failure(self, server: str, now: float, *, soft: bool) -> None:
-        trouble = self._failure_record(server, now)
+        record = self._failure_record(server, now)
         if not soft:
-            trouble.failed_at = now
-        trouble.tried_at = -math.inf
-        if now < trouble.backoff_until:
-            # Many requests fail together when one engine dies: that is one
-            # failure. Hard evidence still outweighs soft.
-            trouble.soft = trouble.soft and soft
+            record.failed_at = now
+        record.tried_at = -math.inf
+        if now < record.backoff_until:
+            # The many requests that fail together when one engine dies count
+            # as one failure. A hard failure still overrides timeouts.
+            record.soft = record.soft and soft
             return
-        trouble.soft = soft
-        trouble.down = True
-        self._start_backoff(trouble, now)
+        record.soft = soft
+        record.down = True
+        self._start_backoff(record, now)
 
     def _record_restart(self, server: str, now: float) -> None:
-        trouble = self._failure_record(server, now)
-        if trouble.failures > 0:
-            trouble.soft = False
-            self._start_backoff(trouble, now)
+        record = self._failure_record(server, now)
+        if record.failures > 0:
+            record.soft = False
+            self._start_backoff(record, now)
             return
-        # The first restart delays nothing: the engine is there and answers.
-        trouble.failures = 1
-        trouble.decay_from = now
-
-    def _start_backoff(self, trouble: FailureRecord, now: float) -> None:
-        doubled = self.timing.first * 2.0 ** min(trouble.failures, 32)
-        trouble.failures = min(trouble.failures + 1, 32)
-        trouble.decay_from = now
+        # The first restart causes no backoff, as the engine is answering.
+        record.failures = 1
+        record.decay_from = now
+
+    def _start_backoff(self, record: FailureRecord, now: float) -> None:
+        doubled = self.timing.first * 2.0 ** min(record.failures, 32)
+        record.failures = min(record.failures + 1, 32)
+        record.decay_from = now
         wait = min(doubled, self.timing.longest)
-        # Without jitter all entries would send their trials together.
-        trouble.backoff_until = now + wait * self._random.uniform(0.75, 1.25)
+        # Without jitter all entries would send their trials at the same time.
+        record.backoff_until = now + wait * self._random.uniform(0.75, 1.25)
 
     def _record_recovery(
-        self, server: str, trouble: FailureRecord, now: float
+        self, server: str, record: FailureRecord, now: float
     ) -> None:
-        self._decay_failures(trouble, now)
-        if now < trouble.backoff_until and not trouble.soft:
-            # An answer sent before the engine died comes late: it must not
-            # end the hold-back.
+        self._decay_failures(record, now)
+        if now < record.backoff_until and not record.soft:
+            # This may be a late answer, sent before the engine died. It must
+            # not end the backoff.
             return
-        trouble.down = False
-        trouble.backoff_until = 0.0
-        trouble.tried_at = -math.inf
-        if trouble.failures == 0 and not trouble.closed:
+        record.down = False
+        record.backoff_until = 0.0
+        record.tried_at = -math.inf
+        if record.failures == 0 and not record.closed:
             del self.failure_records[server]
 
-    def _update_closed(self, truth: messages.Truth, now: float) -> None:
-        if truth.leaving or truth.loading:
-            trouble = self._failure_record(truth.server, now)
-            if not trouble.closed:
-                trouble.probe_at = now + self.timing.probe
+    def _update_closed(self, report: messages.Truth, now: float) -> None:
+        if report.leaving or report.loading:
+            record = self._failure_record(report.server, now)
+            if not record.closed:
+                record.probe_at = now + self.timing.probe
                 self.next_probe = min(
-                    trouble.probe_at, self.next_probe or math.inf
+                    record.probe_at, self.next_probe or math.inf
                 )
-            trouble.closed = True
-            trouble.loading = not truth.leaving
-            if truth.leaving:
-                trouble.left_at = now
+            record.closed = True
+            record.loading = not report.leaving
+            if report.leaving:
+                record.left_at = now
             return
-        trouble = self.failure_records.get(truth.server)
-        # An answer sent before the leave and late on its way must not open
-        # the server again; one later than that only costs a refusal by the
-        # agent, whose truth closes it again.
-        if trouble is not None and now >= trouble.left_at + self.timing.probe:
-            trouble.closed = False
-
-    def _update_incarnation(self, truth: messages.Truth) -> ReportOrder:
-        known = self.incarnations.get(truth.server, ())
-        if known and known[-1] == truth.incarnation:
+        record = self.failure_records.get(report.server)
+        # A delayed report that the agent sent before it began to leave must
+        # not reopen the server. One delayed by more than `probe` seconds costs
+        # only a refusal by the agent, whose next report closes it again.
+        if record is not None and now >= record.left_at + self.timing.probe:
+            record.closed = False
+
+    def _update_incarnation(self, report: messages.Truth) -> ReportOrder:
+        known = self.incarnations.get(report.server, ())
+        if known and known[-1] == report.incarnation:
             return ReportOrder.CURRENT
-        if truth.incarnation in known:
+        if report.incarnation in known:
             return ReportOrder.PAST
-        latest = (*known, truth.incarnation)[-PAST_INCARNATIONS:]
-        self.incarnations[truth.server] = latest
+        latest = (*known, report.incarnation)[-PAST_INCARNATIONS:]
+        self.incarnations[report.server] = latest
         if len(self.incarnations) > self.timing.max_servers:
             self.incarnations.popitem(last=False)
         return ReportOrder.RESTARTED if known else ReportOrder.CURRENT
--- a/pimentoledge/decisions/quarantine.py
+++ b/pimentoledge/decisions/quarantine.py
@@ -1,9 +1,9 @@
-"""Poison requests: content that crashes each engine that runs it.
+"""Quarantine of poison requests: content that crashes every engine it runs on.
 
-When an engine dies, all it ran is suspect. A crash is one fact with an id of
-its own, known by (server, incarnation), and an entry's knowledge is the set
-of crashes of each fingerprint. Sets merge by union, so that news may come
-twice, late or in any order, and several entries may report one crash.
+When an engine dies, every request that it ran becomes suspect. A crash is
+identified by (server, incarnation), and an entry keeps the set of crashes of
+each fingerprint. Sets are merged by union, so that reports may arrive twice,
+late or in any order, and several entries may report the same crash.
 """
 
 import hashlib
@@ -22,36 +22,39 @@
 POISON_CRASHES = 3
 FINGERPRINT_BYTES = 16
 CRASH_BYTES = 8
-# Entries that make one crash durable: one, and one in case that it dies.
+# Number of entries that write one crash to the store: one, and a second in
+# case the first dies.
 WRITERS = 2
-# An entry that saw a crash itself writes it after so long, unless the store
-# shows it by then: the writers may be out of its reach.
+# An entry that observed a crash itself writes it after this delay if it has
+# not appeared in the store, as the designated writers may be unreachable.
 BACKUP_SECONDS = 0.2
 MAX_RECORDS = 4096
 MAX_CRASHES = 4096
-# How long a watch of the store waits for news.
+# How long a watch of the store waits for changes.
 WATCH_SECONDS = 30.0
-# The next watch starts at once after a quiet time, so that news of the next
-# crash is quick; else after a pause, so that many come with one answer.
+# After a watch that waited longer than QUIET_SECONDS the next one starts at
+# once, so that the next crash is learned quickly. Otherwise it starts after
+# WATCH_PAUSE_SECONDS, so that one answer carries many changes.
 WATCH_PAUSE_SECONDS = 0.5
 QUIET_SECONDS = 5.0
 EXPIRE_SECONDS = 1.0
-# An answer that has not come so long after it was due is asked for again.
+# How long after the end of a watch its answer counts as lost and the watch is
+# sent again.
 ANSWER_SECONDS = 30.0
 STORE_RETRY_SECONDS = 2.0
 
 
 @attrs.define(kw_only=True)
 class Clear:
-    """Nothing is known against it."""
+    """No crash counts against the content; it may run as usual."""
 
 
 @attrs.define(kw_only=True)
 class Suspect:
-    """It ran in engines that died; run it apart from other suspects.
+    """The content ran on engines that died; run it apart from other suspects.
 
     Attributes:
-        crashes: how many engines.
+        crashes: number of engines that died.
     """
 
     crashes: int
@@ -59,10 +62,11 @@
 
 @attrs.define(kw_only=True)
 class Poison:
-    """Refuse it.
+    """The content must be refused.
 
     Attributes:
-        error: the answer; it says that it ran, and until when it is refused.
+        error: the error to return; it states whether the request ran and for
+            how long it is refused.
     """
 
     error: results.Error
@@ -70,13 +74,14 @@
 
 @attrs.define(kw_only=True)
 class SuspectRecord:
-    """What is known against one fingerprint.
+    """The crashes of one fingerprint.
 
     Attributes:
-        crashes: ids of the crashes, and whether the engine's death was seen
-            by the agent beside it (rather than the whole VM vanishing).
-        until: when it is forgotten.
-        held_until: until when it is refused though fewer than POISON_CRASHES.
+        crashes: whether the agent observed the engine's death (rather than
+            the whole VM vanishing), by id of the crash.
+        until: when the record expires.
+        held_until: time until which the content is refused even with fewer
+            than POISON_CRASHES crashes.
     """
 
     crashes: dict[bytes, bool] = attrs.field(factory=dict)
@@ -86,12 +91,12 @@
 
 @attrs.define(kw_only=True)
 class CrashRecord:
-    """One crash as far as the store goes.
+    """One crash and the state of its object in the store.
 
     Attributes:
-        report: what was reported.
+        report: the merged reports of the crash.
         version: the object's version; 0 while not known to be stored.
-        write_at: when this entry writes it; None if it needn't.
+        write_at: when this entry writes the object; None if it need not.
     """
 
     report: messages.Suspects
@@ -100,12 +105,12 @@
 
 
 def fingerprint_of(organisation: str, parts: list[bytes]) -> bytes:
-    """Returns the digest that content keeps under a new request id.
+    """Returns a digest of the content that does not depend on the request id.
 
     Args:
-        organisation: whose request it is.
-        parts: all that an engine gets to see of it, without request id and
-            without text that earlier attempts generated.
+        organisation: the organisation that sent the request.
+        parts: everything that the engine receives of the request, without
+            the request id and without text generated by earlier attempts.
     """
     digest = hashlib.blake2b(digest_size=FINGERPRINT_BYTES)
     for part in [organisation.encode(), *parts]:
@@ -115,22 +120,25 @@
 
 
 def crash_id(server: str, incarnation: str) -> bytes:
-    """Returns the id under which all reporters know one crash."""
+    """Returns the id of a crash, which is the same at every reporter."""
     digest = hashlib.blake2b(digest_size=CRASH_BYTES)
     digest.update(f"{server}\0{incarnation}".encode())
     return digest.digest()
 
 
 class Quarantine:
-    """One entry's knowledge of suspects and poison.
+    """One entry's records of suspect and poison requests.
 
     Attributes:
         name: this entry's mailbox.
-        peers: mailboxes of the other entries; the owner keeps it current.
+        peers: mailboxes of the other entries; the object that holds this
+            quarantine keeps the list current.
         records: SuspectRecord by fingerprint.
         crashes: CrashRecord by id.
-        running: request that runs now, by suspect fingerprint.
-        unwritten: ids of the crashes that this entry has still to write.
+        running: id of the request that holds the claim, by suspect
+            fingerprint.
+        unwritten: ids of the crashes that this entry still has to write, in
+            order.
     """
 
     def __init__(
@@ -161,12 +169,12 @@
         self.watched_at = 0.0
         self.expire_at = 0.0
         self.revision = 0
-        # Due at once, to read what earlier entries stored; serving need not
-        # wait for it.
+        # The first read is due at once, to load the crashes stored by earlier
+        # entries; requests need not wait for it.
         self.watch_at = 0.0
 
     def check(self, fingerprint: bytes, now: float) -> Clear | Suspect | Poison:
-        """Says whether content may run."""
+        """Returns whether the content may run."""
         record = self.records.get(fingerprint)
         if record is None:
             return Clear()
@@ -176,21 +184,24 @@
         count = len(record.crashes)
         end = record.until if count >= POISON_CRASHES else record.held_until
         if end > now:
-            proved = any(record.crashes.values())
-            return Poison(error=_poison_error(count, end - now, proved=proved))
+            observed = any(record.crashes.values())
+            return Poison(
+                error=_poison_error(count, end - now, observed=observed)
+            )
         if count == 1 and not any(record.crashes.values()):
-            # One vanished VM says next to nothing, and a data centre that
-            # goes would have all that it ran wait for one another.
+            # One vanished VM is hardly evidence, and after the loss of a
+            # data centre all of its requests would wait for one another.
             return Clear()
         return Suspect(crashes=count)
 
     def rank_servers(self, fingerprint: bytes, names: list[str]) -> list[str]:
-        """Orders servers for a suspect, alike at each entry.
+        """Returns the servers in order of preference for a suspect.
 
-        Entries that have not yet heard of each other's crashes send copies
-        of the same content to the same server, whose agent runs one at a
-        time and remembers what it did; so they crash one engine and not one
-        each. Those that it crashed come last, which leaves others whole.
+        The order is the same at each entry. Entries that have not yet
+        received each other's crash reports thus send copies of the same
+        content to the same server, whose agent runs one at a time and
+        records the outcome, so that they crash one engine and not one each.
+        Servers that the content has crashed come last.
         """
         record = self.records.get(fingerprint)
         crashed = {
@@ -204,11 +215,11 @@
         )
 
     def claim(self, fingerprint: bytes, request: str) -> bool:
-        """Claims a suspect for one request; false while another runs."""
+        """Claims a suspect for one request; False while another holds it."""
         return self.running.setdefault(fingerprint, request) == request
 
     def release_claim(self, fingerprint: bytes, request: str) -> None:
-        """Gives up a claim of begin()."""
+        """Releases a claim made by claim()."""
         if self.running.get(fingerprint) == request:
             del self.running[fingerprint]
 
@@ -221,15 +232,15 @@
         *,
         certain: bool = True,
     ) -> list[actions.Action]:
-        """Notes that an engine died while it ran these.
+        """Records that an engine died while it ran the suspects.
 
         Args:
-            suspects: fingerprints of what ran.
+            suspects: fingerprints of the requests that ran.
             server: the engine's backend server.
-            incarnation: the life that ended.
-            now: the time.
-            certain: whether its agent saw the engine die; false when the
-                whole VM vanished, which is mostly not the request's doing.
+            incarnation: the engine's incarnation that ended.
+            now: the time in seconds.
+            certain: whether the agent observed the engine's death; False if
+                the whole VM vanished, which a request rarely causes.
         """
         report = messages.Suspects(
             server=server,
@@ -242,20 +253,20 @@
         crash = self.crashes[crash_id(server, incarnation)]
         if certain and crash.write_at is None and not crash.version:
             self._schedule_write(crash, now + BACKUP_SECONDS)
-        news = [report] if certain else self._repeat_suspects(report)
+        reports = [report] if certain else self._repeat_suspects(report)
         sends: list[actions.Action] = [
             actions.Send(address=address, message=message)
             for address in self.peers
-            for message in news
+            for message in reports
         ]
-        if news:
+        if reports:
             sends.append(self._log_crash(report))
         return sends + self._write(now)
 
     def record_completion(
         self, fingerprint: bytes, now: float
     ) -> list[actions.Action]:
-        """Notes that an engine completed it; releases it everywhere."""
+        """Records that the content completed; releases it at all entries."""
         record = self.records.pop(fingerprint, None)
         if record is None or record.until <= now:
             return []
@@ -273,7 +284,7 @@
         return [log, *sends]
 
     def handle(self, event: object, now: float) -> list[actions.Action]:
-        """Takes news of peers and answers of the store; ignores the rest."""
+        """Handles peers' reports and the store's answers; ignores the rest."""
         match event:
             case events.FromNode(message=messages.Suspects() as report):
                 self._merge(report, now)
@@ -292,12 +303,12 @@
         return []
 
     def wake(self, now: float) -> list[actions.Action]:
-        """Does what is due: the next watch, writes put off, deletions."""
+        """Runs what is due: the next watch, delayed writes, expiry."""
         self._expire(now)
-        asked = self._write(now)
+        outputs = self._write(now)
         if now >= self.watch_at:
-            asked.append(actions.CallStore(call=self._watch(now)))
-        return asked
+            outputs.append(actions.CallStore(call=self._watch(now)))
+        return outputs
 
     def next_wake(self) -> float:
         """Returns when wake() is due."""
@@ -310,11 +321,11 @@
         return min([*times, self.watch_at])
 
     def _watch(self, now: float) -> stores.Call:
-        """Returns the next read: all at first, then what has changed.
+        """Returns the next read: a scan at first, then watches for changes.
 
-        The store is the second way for news, beside messages: entries that
-        can't reach each other would each let a poison request crash an
-        engine of its own.
+        The store is a second channel besides messages between entries.
+        Without it, entries that can't reach each other would each let a
+        poison request crash further engines.
         """
         self.watched_at = now
         self.watch_at = now + WATCH_SECONDS + ANSWER_SECONDS
@@ -345,27 +356,27 @@
     def _repeat_suspects(
         self, report: messages.Suspects
     ) -> list[messages.Suspects]:
-        """Returns what peers need to know after a VM vanished.
+        """Returns the reports to send to peers after a VM vanished.
 
-        A data centre that goes takes thousands of requests along, and each
-        would be told to each entry. So peers hear of content only when it
-        was on a second VM that vanished, and then of all its crashes.
+        The loss of a data centre affects thousands of requests, and each
+        would be reported to every entry. So content is reported only once it
+        was on a second vanished VM, and then with all of its crashes.
         """
-        news = []
+        reports = []
         for fingerprint in report.fingerprints:
             crashes = self.records[fingerprint].crashes
             if len(crashes) > 1:
-                news += [
+                reports += [
                     attrs.evolve(
                         self.crashes[crash].report, fingerprints=[fingerprint]
                     )
                     for crash in crashes
                     if crash in self.crashes
                 ]
-        return news
+        return reports
 
     def _merge(self, report: messages.Suspects, now: float) -> bool:
-        """Adds a crash; returns whether anything was new."""
+        """Merges a crash report; returns whether it added anything."""
         crash = crash_id(report.server, report.incarnation)
         known = self.crashes.get(crash)
         if known is not None:
@@ -378,8 +389,8 @@
             )
         else:
             fresh = set(report.fingerprints)
-        # With exactly one earlier suspect among those that ran, this crash
-        # points at it; the others have only shared its batch.
+        # If exactly one of the requests that ran was a suspect before, it is
+        # the likely cause; the others only shared its batch.
         earlier = [each for each in sorted(fresh) if self._count(each, now)]
         for fingerprint in sorted(fresh):
             self._add(fingerprint, crash, report.certain, now)
@@ -389,8 +400,8 @@
             report=report, version=known.version if known else 0
         )
         self.crashes[crash] = merged
-        # A vanished VM isn't made durable: a data centre that goes takes
-        # hundreds at once, and the store has few writes to spare.
+        # Vanished VMs are not written to the store: the loss of a data centre
+        # removes hundreds at once, and the store's write capacity is small.
         if report.certain and self.name in self._writers(crash):
             self._schedule_write(merged, now)
         self._evict()
@@ -414,9 +425,9 @@
         elif any(record.crashes.values()):
             record.until = now + self.poison_seconds
         else:
-            # Three VMs of one failing rack look like poison; without an
-            # engine seen to die the refusal is short, shorter than the time
-            # for which a suspect is remembered.
+            # Three VMs lost with one failing rack look like poison. If no
+            # agent observed an engine's death, the refusal is short, shorter
+            # than the lifetime of a suspect's record.
             record.until = now + self.vanished_seconds
 
     def _release(self, released: messages.Released) -> None:
@@ -446,15 +457,15 @@
         if now < self.expire_at:
             return
         self.expire_at = now + EXPIRE_SECONDS
-        late = [
+        expired = [
             each for each, record in self.records.items() if record.until <= now
         ]
-        for fingerprint in late:
+        for fingerprint in expired:
             del self.records[fingerprint]
 
     def _writers(self, crash: bytes) -> list[str]:
-        everyone = {self.name, *self.peers}
-        ranked = sorted(everyone, key=lambda each: _rank(crash, each))
+        entries = {self.name, *self.peers}
+        ranked = sorted(entries, key=lambda each: _rank(crash, each))
         return ranked[:WRITERS]
 
     def _schedule_write(self, crash: CrashRecord, at: float | None) -> None:
@@ -470,19 +481,19 @@
         for key in list(self.unwritten):
             crash = self.crashes[key]
             if not crash.version and not self._is_live(key):
-                # Released before it was ever stored: nothing to delete.
+                # Released before it was stored, so there is nothing to delete.
                 self._schedule_write(crash, None)
             elif crash.write_at <= now:
                 return key
         return None
 
     def _is_live(self, crash: bytes) -> bool:
-        prints = self.crashes[crash].report.fingerprints
-        records = [self.records.get(each) for each in prints]
+        fingerprints = self.crashes[crash].report.fingerprints
+        records = [self.records.get(each) for each in fingerprints]
         return any(each and crash in each.crashes for each in records)
 
     def _write(self, now: float) -> list[actions.Action]:
-        """Sends the next write; one at a time, to spare the store."""
+        """Sends the next write, one at a time to limit the store's load."""
         crash = self._next_write(now)
         if self.writing is not None or crash is None:
             return []
@@ -515,12 +526,13 @@
                 self._schedule_write(crash, None)
                 crash.version = answer.version
             case stores.Outcome.CONFLICT:
-                # Another entry stored the same crash; the watch brings its
-                # version and whatever it names beyond ours.
+                # Another entry stored the same crash. The watch returns its
+                # version and its additional fingerprints.
                 self._schedule_write(crash, None)
             case _:
-                # Down or lost. Writing again is safe: the path names the
-                # crash, so a write that did take effect gives a conflict.
+                # The store is down or the answer was lost. A retry is safe:
+                # the path is the crash's id, so a write that took effect
+                # leads to a conflict.
                 self.write_after = now + STORE_RETRY_SECONDS
         return self._write(now)
 
@@ -529,8 +541,8 @@
     ) -> list[actions.Action]:
         self.watch_call = ""
         if answer.outcome != stores.Outcome.FOUND:
-            # Read all again: a store that was down may have forgotten what
-            # changed in between.
+            # Start again with a scan: a store that was down may have lost the
+            # changes since the last revision.
             self.revision = 0
             self.watch_at = now + STORE_RETRY_SECONDS
             return []
@@ -546,7 +558,7 @@
         return self._write(now)
 
     def _forget_deleted(self, key: bytes) -> None:
-        """Forgets a crash that another entry or an operator deleted."""
+        """Removes a crash that another entry or an operator deleted."""
         crash = self.crashes.pop(key, None)
         self.unwritten.pop(key, None)
         for fingerprint in crash.report.fingerprints if crash else ():
@@ -554,17 +566,17 @@
             self._release(released)
 
     def _clean_up(self, now: float) -> None:
-        """Deletes stored crashes that nothing is held against any more."""
+        """Schedules the deletion of stored crashes without live records."""
         for key, crash in self.crashes.items():
-            dead = crash.version and not self._is_live(key)
-            if dead and self.name in self._writers(key):
+            obsolete = crash.version and not self._is_live(key)
+            if obsolete and self.name in self._writers(key):
                 self._schedule_write(crash, now)
 
     def _merge_stored(self, stored: stores.Object, now: float) -> None:
         try:
             report = msgspec.json.decode(stored.value, type=messages.Suspects)
         except (msgspec.DecodeError, msgspec.ValidationError):
-            # Written by a newer program; it decides nothing here.
+            # Written by a newer release in an unknown format; ignored.
             return
         crash = crash_id(report.server, report.incarnation)
         if stored.path != PREFIX + crash.hex():
@@ -573,24 +585,26 @@
         known = self.crashes[crash]
         known.version = stored.version
         missing = set(known.report.fingerprints) - set(report.fingerprints)
-        owner = bool(missing) and self.name in self._writers(crash)
-        self._schedule_write(known, now if owner else None)
+        must_write = bool(missing) and self.name in self._writers(crash)
+        self._schedule_write(known, now if must_write else None)
 
     def _new_call(self) -> str:
         self.calls += 1
         return f"{PREFIX}{self.name}/{self.calls}"
 
 
-def _poison_error(count: int, seconds: float, *, proved: bool) -> results.Error:
+def _poison_error(
+    count: int, seconds: float, *, observed: bool
+) -> results.Error:
     text = f"this request ran and {count} engines that ran it crashed"
-    if not proved:
-        # What was sent to a VM that vanished may have reached its engine or
-        # not; to say that it ran would be a guess.
+    if not observed:
+        # A request sent to a vanished VM may or may not have reached its
+        # engine, so it is not known whether it ran.
         text = f"{count} servers vanished that may have run this request"
     return results.Error(
         code=results.Code.POISON,
         text=f"{text}; it is refused for {seconds:.0f} s",
-        ran=results.Ran.RAN if proved else results.Ran.UNKNOWN,
+        ran=results.Ran.RAN if observed else results.Ran.UNKNOWN,
         retry_after=seconds,
     )
 
