--- a/pimentoledge/tests/test_limits.py
+++ b/pimentoledge/tests/test_limits.py
@@ -16,13 +16,13 @@
 
 
 class Net:
-    """Several entries' limits; messages are carried at once unless cut.
+    """Several entries' limits; messages are delivered at once unless cut.
 
     Attributes:
         nodes: ContractLimits by mailbox.
-        cut: mailboxes that no message reaches or leaves.
+        cut: mailboxes that can neither send nor receive messages.
         decided: error or None, by request that had to wait.
-        sent: number of messages.
+        sent: number of messages sent.
     """
 
     def __init__(self, *, addresses=ENTRIES, policy=None):
@@ -50,7 +50,7 @@
                     self.carry(target, more, now)
 
     def take(self, address, contract, request, now):
-        """Returns None when let in, or the error."""
+        """Returns None if the request is admitted, else the error."""
         taken = self.nodes[address].take(contract, request, now)
         self.decided.pop(request, None)
         self.carry(address, taken.sends, now)
@@ -71,7 +71,7 @@
         self.carry(address, self.nodes[address].release(request, now), now)
 
     def let_in(self, contract, per_second, seconds, places):
-        """Offers requests for a while; returns how many were let in."""
+        """Offers requests for `seconds`; returns how many were admitted."""
         count = 0
         for step in range(int(per_second * seconds)):
             now = step / per_second
@@ -96,9 +96,9 @@
 
 
 def test_the_rate_holds_over_all_entries():
-    """An organisation sends ten times its rate, spread over ten entries.
+    """Ten entries that each apply the whole limit would admit ten times it.
 
-    With a full bucket in each entry it would get ten times its limit.
+    An organisation sends ten times its rate, spread over ten entries.
     """
     net = Net()
     limited = contract(requests_per_second=20, burst=20)
@@ -107,9 +107,9 @@
 
 
 def test_one_entry_gets_the_whole_rate():
-    """The balancer sends all of an organisation's requests to one entry.
+    """Fixed equal shares would leave one entry a tenth of the limit.
 
-    With an equal share for each entry it would get a tenth of its limit.
+    The load balancer sends all of an organisation's requests to one entry.
     """
     net = Net()
     limited = contract(requests_per_second=20, burst=20)
@@ -150,12 +150,11 @@
     assert answers[-1].retry_after > 0
 
 
-def test_a_silent_owner_leaves_neither_nothing_nor_everything():
-    """The entry that owns a contract's limits is cut off for a while.
+def test_entries_admit_from_their_own_share_while_the_owner_is_silent():
+    """An unreachable owner must neither stop an organisation nor unlimit it.
 
-    Callers at the other entries go on, but slower: each entry has its part
-    of half the limit. Refusing all would stop the organisation; letting all
-    in would drop its limit.
+    The owner of the limits is cut off. The other entries admit requests from
+    their parts of half the limit.
     """
     net = Net()
     limited = contract(requests_per_second=20, burst=20)
@@ -167,8 +166,8 @@
     assert 0.8 * share <= count <= 1.2 * share + 9
 
 
-def test_retry_after_is_worth_following():
-    """A caller is refused, waits as told, and must not be refused again."""
+def test_retry_after_the_announced_time_succeeds():
+    """A client that waits for `retry_after` must not be refused again."""
     net = Net()
     limited = contract(requests_per_second=2, burst=1)
     assert net.take(ENTRIES[0], limited, "a", 0.0) is None
@@ -180,11 +179,11 @@
     assert net.take(ENTRIES[0], limited, "c", later) is None
 
 
-def test_a_new_owner_learns_what_runs():
-    """The owner of an organisation's limits dies while its slots are used.
+def test_a_new_owner_does_not_lend_slots_in_use():
+    """A new owner without reports of slots in use would lend them again.
 
-    The entry that follows it must not lend the same slots again: the
-    organisation would run twice what its contract says.
+    The owner dies while all slots are in use, and another entry follows it.
+    The organisation would run twice its concurrency limit.
     """
     net = Net()
     limited = contract(concurrency=10)
@@ -202,11 +201,11 @@
     assert error.code == results.Code.CONCURRENCY_LIMITED
 
 
-def test_a_restarted_owner_learns_what_runs():
-    """The owner of an organisation's limits restarts and has forgotten all.
+def test_a_restarted_owner_does_not_lend_slots_in_use():
+    """A restarted owner without its leases would lend every slot again.
 
-    Others would report what runs there only when their leases are renewed,
-    15 s later; until then the owner would lend every slot a second time.
+    If the borrowers reported only when they renew their leases, 15 s later,
+    the owner would lend the slots a second time until then.
     """
     net = Net()
     limited = contract(concurrency=10)
@@ -228,7 +227,7 @@
 
 
 def test_an_older_contract_is_not_taken_over():
-    """An entry that is behind must not bring back the limit of before."""
+    """An entry with an outdated contract must not restore the old limit."""
     net = Net()
     new = contract(concurrency=2)
     new.version = 5
@@ -255,11 +254,10 @@
 
 
 def test_a_late_report_does_not_free_slots_in_use():
-    """Two reports of one entry reach the owner in the wrong order.
+    """An outdated report must not free slots leased by a newer one.
 
-    An organisation would run more than its contract allows: the first, late
-    report says that the entry uses nothing, and the owner would lend to
-    others what the second has just been lent.
+    Two reports of one entry reach the owner in the wrong order. The late one
+    shows no slot in use, and the owner would lend the slots to others too.
     """
     ledger = lending.open_ledger(borrow(0), 0.0)
     ledger.lend("a", borrow(2, running=3, waiting=3, slots=6), 0.0)
@@ -269,11 +267,11 @@
     assert [reply.message.slots for reply in replies] == [0]
 
 
-def test_a_slot_that_is_given_back_is_not_used_meanwhile():
-    """An entry gives back unused slots, and a request comes at that moment.
+def test_a_slot_under_return_is_not_used():
+    """A slot that is being given back would be used by two entries.
 
-    The owner lends them to another entry as soon as it hears of it, so that
-    both would use them.
+    A request arrives while the Borrow that gives back unused slots is under
+    way. The owner lends them to another entry when it receives the message.
     """
     address, other = [
         each for each in ENTRIES if each != Net().nodes[each].owner_of("acme")
--- a/pimentoledge/tests/test_membership.py
+++ b/pimentoledge/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Which servers an entry gives new work to, and when it takes them back."""
+"""Tests of which servers get new requests, and of backoff and recovery."""
 
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import events
@@ -27,7 +27,7 @@
 
 
 def _hold(members, now):
-    """Refuses at `now` and returns how long server a is held back."""
+    """Records a refusal at `now`; returns the backoff of server a."""
     members.record_refusal("a", now)
     return members.failure_records["a"].backoff_until - now
 
@@ -41,11 +41,11 @@
     assert members.usable([_server("a", state=_LEAVING)], 0.0) == []
 
 
-def test_flapping_server_is_held_back_longer_each_time():
-    """A server that crashes every few seconds takes requests down with it.
+def test_backoff_of_a_flapping_server_grows():
+    """A server that crashes every few seconds would keep failing requests.
 
     Each crash shows as refused connections and then as a new incarnation.
-    Its restarts look like recovery, so only the memory of earlier failures
+    Its restarts look like recovery, so only the count of earlier failures
     keeps requests away from it.
     """
     members = membership.Membership(seed=1)
@@ -69,7 +69,7 @@
     assert members.failure_records["a"].failures == 1
 
 
-def test_one_trial_at_the_end_of_hold_back():
+def test_one_trial_at_the_end_of_backoff():
     members = membership.Membership(seed=1)
     now = _hold(members, 0.0)
     assert _names(members.usable(_fleet(), now)) == ["a", "b"]
@@ -79,11 +79,11 @@
     assert _names(members.usable(_fleet(), now + 0.1)) == ["a", "b"]
 
 
-def test_late_answer_does_not_end_hold_back():
-    """An engine dies while an answer that it gave is still on its way.
+def test_late_answer_does_not_end_backoff():
+    """A late answer must not send more requests to a dead engine.
 
-    The entry sees a refused connection first and the answer after it. Taken
-    as a sign of life, the answer would send more requests to a dead engine.
+    An engine dies while its answer is under way. The entry observes a
+    refused connection first and receives the answer after it.
     """
     members = membership.Membership(seed=1)
     members.record_report(_truth(), 0.0)
@@ -92,11 +92,11 @@
     assert _names(members.usable(_fleet(), 1.02)) == ["b"]
 
 
-def test_truths_of_a_past_life_change_nothing():
-    """Two answers cross: the older names the engine's life before a crash.
+def test_reports_of_a_past_incarnation_change_nothing():
+    """A late report of a past incarnation must not count as a restart.
 
-    Taken at its word, the older one would look like one more restart, and
-    bring back hints about a cache that is gone.
+    It arrives after the report of a newer incarnation, and would restore
+    hints about a cache that no longer exists.
     """
     members = membership.Membership(seed=1)
     heard = [
@@ -112,10 +112,10 @@
 
 
 def test_timeouts_leave_a_model_its_servers():
-    """A slow network lets every request of a model time out.
+    """Backoff of all servers after timeouts would make a model unavailable.
 
-    Timeouts don't show that an engine is dead. Holding back all servers on
-    such evidence would turn a slow model into one that is not there.
+    On a slow network every request of a model times out, which does not show
+    that its engines are dead.
     """
     members = membership.Membership(seed=1)
     for name in "ab":
@@ -126,10 +126,11 @@
 
 
 def test_all_refused_leaves_a_trial_each_half_second():
-    """All engines of a model crash again and again, then one comes back.
+    """A long backoff of all servers would delay a model's recovery.
 
-    By then each is held back for half a minute. One request is let through
-    every half second, so that the model is back soon after the engine.
+    All engines of a model crash repeatedly until each has a backoff of half a
+    minute. One trial request is sent every half second, so that the model is
+    available soon after an engine is.
     """
     members = membership.Membership(seed=1)
     now = 0.0
@@ -147,12 +148,12 @@
     assert _names(members.usable(_fleet(), now)) == second
 
 
-def test_agents_word_keeps_new_work_away_with_the_store_down():
-    """A server leaves while the entry can't learn of the declaration.
+def test_agents_report_of_leaving_excludes_its_server():
+    """A leaving server must get no requests while the store is down.
 
-    The store is down, so the entry still holds it as declared in; the agent
-    refuses and says that it is leaving. An answer sent before that comes
-    late and must not bring the work back; nor does time alone.
+    The entry's cached declaration still admits the server, but its agent
+    refuses and reports that it is leaving. Neither a late report sent before
+    that nor the passing of time may readmit the server.
     """
     members = membership.Membership(seed=1)
     members.record_report(_truth(leaving=True), 0.0)
@@ -168,7 +169,7 @@
     assert _names(members.usable(_fleet(), 600.5)) == ["a", "b"]
 
 
-def test_loading_server_is_back_at_its_word():
+def test_loading_server_is_usable_after_its_report():
     members = membership.Membership(seed=1)
     members.record_report(_truth(loading=True), 0.0)
     assert _names(members.usable(_fleet(), 0.1)) == ["b"]
@@ -177,10 +178,10 @@
 
 
 def test_list_of_vms_only_removes_or_delays():
-    """The platform's list lags, and once it comes back empty.
+    """An empty list of VMs must not exclude all servers of all models.
 
-    Leaving VMs lose their work. VMs that are missing lose it only while
-    another server is left, or an empty list would take all models away.
+    Leaving VMs get no new requests. Missing VMs are excluded only while
+    another server is left, as the platform's list lags and may be empty.
     """
     members = membership.Membership(seed=1)
     both = [
--- a/pimentoledge/tests/test_poison.py
+++ b/pimentoledge/tests/test_poison.py
@@ -1,4 +1,4 @@
-"""Poison requests through entries and agents, with resends under new ids."""
+"""End-to-end tests of poison requests that are resent under new ids."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 def send_poison(path, number, copies=1):
-    """Sends it through the next entries and waits for the answers."""
+    """Sends copies through successive entries; returns their errors."""
     names = [f"x{number}.{copy}" for copy in range(copies)]
     for copy, name in enumerate(names):
         path.request((number + copy) % ENTRIES, name, POISON)
@@ -49,12 +49,11 @@
 
 @pytest.mark.parametrize("copies", [1, 10])
 def test_a_poison_request_crashes_three_engines_at_most(copies):
-    """One request crashes each engine that runs it, and comes again.
+    """A resent poison request would crash one engine after another.
 
-    Its caller sends it eight times with new ids through ten entries, one
-    by one or ten copies at once, while mechanics ask for manuals on the
-    same engines. Their answers are whole in the end; the poison's answer
-    says that it ran and crashed.
+    A client sends it eight times with new ids through ten entries, one copy
+    or ten copies at a time, while other clients use the same engines. Their
+    answers must be complete, and the poison's error must state that it ran.
     """
     path = path_of()
     for number in range(RESENDS):
@@ -64,7 +63,8 @@
             assert error.outcome() == results.Ran.RAN
             assert error.retry_after > 0
     check_innocents(path, RESENDS * len(MANUALS))
-    # After the hold it may try once more: the third engine, and the last.
+    # After the short refusal it may run once more, on the third and last
+    # engine.
     path.run(31.0)
     for number in range(RESENDS):
         send_poison(path, number + RESENDS)
@@ -72,7 +72,7 @@
 
 
 def test_two_poison_requests_in_one_batch():
-    """Two different ones share engines, so that no crash points at one."""
+    """Two poison requests share engines, so no crash identifies one alone."""
     path = path_of()
     for number in range(RESENDS):
         send_innocents(path, number)
@@ -86,7 +86,7 @@
 
 
 def test_all_entries_restart_between_two_resends():
-    """Every entry is replaced at once, with nothing in memory."""
+    """Entries that lose their memory must read the crashes from the store."""
     path = path_of()
     send_poison(path, 0)
     path.run(31.0)
@@ -101,11 +101,11 @@
     assert before == path.crashes() <= 3
 
 
-def test_entries_that_cannot_reach_each_other_hear_through_the_store():
-    """The entries are cut off from one another; the store is there.
+def test_isolated_entries_receive_crashes_through_the_store():
+    """Entries cut off from one another would each let poison crash engines.
 
-    The caller waits two seconds between its resends, by when each entry has
-    the crashes from the store.
+    The store is reachable. The client waits two seconds between resends, in
+    which each entry receives the crashes from the store.
     """
     path = path_of()
     entries = set(path.entry_names)
@@ -117,10 +117,10 @@
 
 
 def test_innocents_of_a_crash_are_released_soon():
-    """Four requests share the batch of an engine that a poison crashed.
+    """Requests that shared a batch with poison must not stay suspect.
 
-    All are suspects for a moment; tried one by one, all are served within
-    seconds, and nothing is held against them afterwards.
+    Poison crashes an engine that runs three other requests. These are tried
+    one by one, complete within seconds and leave no record.
     """
     path = path_of(entry_count=2, runners=2)
     for number, manual in enumerate(MANUALS[:3]):
--- a/pimentoledge/tests/test_quarantine.py
+++ b/pimentoledge/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Quarantine: poison is bounded, innocents are released, news is kept."""
+"""Tests of refusal, release, merging and storage in the quarantine."""
 
 from pimentoledge import results
 from pimentoledge.decisions import actions
@@ -26,7 +26,7 @@
 
 
 class Store:
-    """Answers calls from a dictionary, or says that it is down."""
+    """Store in memory that answers calls, or reports that it is down."""
 
     def __init__(self):
         self.objects = {}
@@ -72,12 +72,12 @@
                 sent += machine.handle(self.answer(each.call), now)
 
 
-def test_second_crash_points_at_one_and_the_third_ends_it():
-    """A request crashes an engine with an innocent beside it.
+def test_second_crash_delays_poison_and_third_refuses_it():
+    """Poison must be refused, and requests that shared its batch released.
 
-    Retried apart, the poison crashes its second engine and the innocent
-    completes. After a short hold the poison may try once more; its third
-    crash has it refused for long, and the answer says that it ran.
+    After the first crash both requests are suspects and run apart. The
+    harmless one completes; the poison crashes a second engine and is refused
+    for a short time. Its third crash has it refused for long.
     """
     one, other = pair()
     deliver(one.record_crash([b"p", b"i"], "r1", "x", 0.0), other, 0.0)
@@ -105,7 +105,7 @@
     assert other.check(b"p", 1.0) == quarantine.Suspect(crashes=1)
 
 
-def test_two_suspects_in_one_batch_are_not_pointed_at():
+def test_two_suspects_in_one_batch_are_not_refused():
     one, _ = pair()
     one.record_crash([b"p", b"i"], "r1", "x", 0.0)
     one.record_crash([b"p", b"i"], "r2", "y", 1.0)
@@ -114,11 +114,11 @@
 
 
 def test_vanished_vms_give_only_a_short_refusal():
-    """A rack fails, and a request that was retried in it looks like poison.
+    """A request retried in a failing rack must not be treated as poison.
 
-    Three VMs vanish one after another, none seen by its agent to crash. The
-    caller was told that its request ran, though it may have reached none of
-    the engines, and was refused for as long as a suspect is remembered.
+    Three VMs vanish one after another, and no agent observes a crash. The
+    request may have reached none of the engines, so the error must not state
+    that it ran, and the refusal must be shorter than a suspect's record.
     """
     one, _ = pair()
     seen = []
@@ -133,11 +133,11 @@
     assert not one.unwritten
 
 
-def test_knowledge_outlives_a_herd_restart_of_entries():
-    """All entries restart at once, and the caller sends its poison again.
+def test_crashes_persist_when_all_entries_restart():
+    """Poison would run again after a restart of all entries at once.
 
-    The crashes are in the store; a new entry reads them at its start, and
-    keeps them through an outage that comes afterwards.
+    A new entry reads the stored crashes at its start and keeps them through
+    a later outage of the store.
     """
     store = Store()
     one, _ = pair()
@@ -198,7 +198,7 @@
     assert one.rank_servers(b"p", names) == [*order[1:], order[0]]
 
 
-def test_peers_hear_of_content_that_was_on_two_vanished_vms():
+def test_content_on_two_vanished_vms_is_reported_to_peers():
     one, other = pair()
     assert one.record_crash([b"i"], "r1", "x", 0.0, certain=False) == []
     news = one.record_crash([b"i"], "r2", "x", 1.0, certain=False)
--- a/pimentoledge/tests/test_upgrades.py
+++ b/pimentoledge/tests/test_upgrades.py
@@ -1,4 +1,4 @@
-"""New weights, adapters and leaving servers, through real daemons."""
+"""End-to-end tests of weight rollouts, adapters and leaving servers."""
 
 import threading
 import time
@@ -30,7 +30,7 @@
 
 
 def start(emulator, runners):
-    """Adds runners that share one weight store, and an entry before them."""
+    """Adds runners that share one weight store; returns a started entry."""
     shared = fake_weight_stores.WeightStore(load_seconds=0.3, concurrent=LIMIT)
     for number in range(1, runners + 1):
         emulator.add_runner(
@@ -67,7 +67,7 @@
 
 
 class Callers:
-    """Some callers who ask one after another until they are told to stop."""
+    """Client threads that send requests in sequence until stopped."""
 
     def __init__(self, entry, count):
         self.entry = entry
@@ -95,18 +95,18 @@
 
 
 def check(answers):
-    """Checks that each caller got the whole answer."""
+    """Checks that each client got the complete answer."""
     expected = fake_engines.expected_text(test_path.PROMPT, 0, TOKENS)
     assert answers
     assert [each for each in answers if each != (expected, True)] == []
 
 
-def test_upgrade_under_load_costs_no_caller_an_answer(emulator):
-    """An operator declares new weights on a busy afternoon, then newer ones.
+def test_weight_rollout_under_load_fails_no_request(emulator):
+    """A rollout of new weights must not break streams or refuse requests.
 
-    Each engine must stop, load and come back. Callers see none of it: their
-    streams end first, others go to runners of either version, and at least
-    three of the five runners serve throughout.
+    New weights are declared under load, then newer ones. Each engine drains
+    its streams and loads the weights, while new requests go to runners of
+    either version and at least three of the five runners serve throughout.
     """
     entry = start(emulator, 5)
     store = emulator.runners["r1"].engine.weight_store
@@ -124,10 +124,10 @@
 
 
 def test_adapters_share_no_cached_prefix(emulator):
-    """Two adapters get the same prompt, one after the other.
+    """A prefix cached for one adapter is invalid for another.
 
-    What one has cached is false for the other. The first adapter's second
-    request finds its own blocks again, or the check would prove nothing.
+    Two adapters get the same prompt in turn. The first adapter's second
+    request must hit its own blocks, to show that the cache is in use.
     """
     entry = start(emulator, 1)
     declare_model(emulator, "w1", ["a1", "a2"])
@@ -143,10 +143,10 @@
 
 
 def test_leaving_server_gets_nothing_after_three_seconds(emulator):
-    """An operator declares a server as leaving; then the store goes down.
+    """A leaving server must get no request that arrives after three seconds.
 
-    Work that comes in after three seconds must not reach the engine, whether
-    it was declared or only its agent knows.
+    One server is declared as leaving, another is draining according to its
+    agent only. Then the store goes down.
     """
     entry = start(emulator, 3)
     with Callers(entry, 6) as callers:
