--- a/pimentoledge/tests/test_membership.py
+++ b/pimentoledge/tests/test_membership.py
@@ -99,10 +99,10 @@
     hints about a cache that no longer exists.
     """
     members = membership.Membership(seed=1)
-    heard = [
+    orders = [
         members.record_report(_truth(incarnation=each), 0.0) for each in "1121"
     ]
-    assert heard == [
+    assert orders == [
         membership.ReportOrder.CURRENT,
         membership.ReportOrder.CURRENT,
         membership.ReportOrder.RESTARTED,
--- a/pimentoledge/tests/test_quarantine.py
+++ b/pimentoledge/tests/test_quarantine.py
@@ -201,8 +201,8 @@
 def test_content_on_two_vanished_vms_is_reported_to_peers():
     one, other = pair()
     assert one.record_crash([b"i"], "r1", "x", 0.0, certain=False) == []
-    news = one.record_crash([b"i"], "r2", "x", 1.0, certain=False)
-    deliver(news, other, 1.0)
+    reports = one.record_crash([b"i"], "r2", "x", 1.0, certain=False)
+    deliver(reports, other, 1.0)
     assert other.check(b"i", 1.0) == quarantine.Suspect(crashes=2)
 
 
