--- a/pimentoledge/decisions/administration.py
+++ b/pimentoledge/decisions/administration.py
@@ -21,22 +21,22 @@
 from pimentoledge.nodes import configuration_messages as messages
 
 STATUS = "status"
-MOST_READS = 256
-MOST_LISTED = 1000
+MAX_READS = 256
+MAX_LISTED = 1000
 # What other entries have not told by then is shown as silent.
 STATUS_SECONDS = 0.5
-LIMIT_SECONDS = 5.0
+READ_TIMEOUT_SECONDS = 5.0
 FIRST_OPERATOR = "first-operator"
 
 Actions = list[actions.Action]
 
 # The kinds that take an admin to change; the others take an editor.
-_GUARDED = (declarations.Operator, declarations.EntryNode)
+_ADMIN_KINDS = (declarations.Operator, declarations.EntryNode)
 _RANK = {role: rank for rank, role in enumerate(declarations.Role)}
 
 
 @attrs.define(kw_only=True)
-class Reading:
+class PendingRead:
     """A read that waits for the store.
 
     Attributes:
@@ -59,7 +59,7 @@
         updates: the changes that run.
         first_key: digest of the key that is valid before any operator is
             declared; empty for none.
-        readings: Reading by the id of its call.
+        readings: PendingRead by the id of its call.
         asked: when the answer to each request for the status is due.
     """
 
@@ -78,16 +78,16 @@
             name=name, seed=seed, view=view, distributor=distributor
         )
         self.first_key = first_key
-        self.readings: dict[str, Reading] = {}
-        self.asked: dict[str, float] = {}
+        self.readings: dict[str, PendingRead] = {}
+        self.status_due: dict[str, float] = {}
 
     def handle(self, event: object, now: float) -> Actions:
         """Takes a request of an operator, or an answer of the store."""
         match event:
             case events.OperatorRequest():
-                return self._request(event, now)
+                return self._on_request(event, now)
             case stores.StoreAnswer() if event.call in self.readings:
-                return [self._read(self.readings.pop(event.call), event)]
+                return [self._on_read(self.readings.pop(event.call), event)]
             case stores.StoreAnswer():
                 return self.updates.handle(event, now)
         return []
@@ -95,35 +95,37 @@
     def wake(self, now: float) -> Actions:
         """Does what is due."""
         todo = self.updates.wake(now)
-        for request, due in list(self.asked.items()):
+        for request, due in list(self.status_due.items()):
             if due <= now:
-                del self.asked[request]
+                del self.status_due[request]
                 todo.append(self._status(request, now))
         for call, reading in list(self.readings.items()):
             if reading.ends <= now:
                 del self.readings[call]
-                todo.append(self._known(reading))
+                todo.append(self._reply_from_memory(reading))
         return todo
 
     def next_wake(self) -> float | None:
         """Returns when `wake` is due next."""
-        times = [self.updates.next_wake(), *self.asked.values()]
+        times = [self.updates.next_wake(), *self.status_due.values()]
         times += [reading.ends for reading in self.readings.values()]
         return min((each for each in times if each is not None), default=None)
 
-    def _request(self, event: events.OperatorRequest, now: float) -> Actions:
-        error = self._forbidden(event)
+    def _on_request(self, event: events.OperatorRequest, now: float) -> Actions:
+        error = self._authorization_error(event)
         if error is not None:
             return [updates.refusal(event.request, error)]
         if event.kind == STATUS:
-            return self._ask_status(event, now)
+            return self._start_status(event, now)
         if event.method != "GET":
             return self.updates.start(event, self._operator(event), now)
         if event.name:
             return self._start_read(event, now)
         return [self._list(event)]
 
-    def _forbidden(self, event: events.OperatorRequest) -> results.Error | None:
+    def _authorization_error(
+        self, event: events.OperatorRequest
+    ) -> results.Error | None:
         role = self._role(event.key_digest)
         if role is None:
             return results.Error(code=results.Code.OPERATOR_KEY)
@@ -140,7 +142,7 @@
         needed = declarations.Role.VIEWER
         if changes:
             needed = declarations.Role.EDITOR
-            if documents.KINDS[event.kind] in _GUARDED:
+            if documents.KINDS[event.kind] in _ADMIN_KINDS:
                 needed = declarations.Role.ADMIN
         if _RANK[role] >= _RANK[needed]:
             return None
@@ -162,28 +164,30 @@
     def _start_read(self, event: events.OperatorRequest, now: float) -> Actions:
         kind = documents.KINDS[event.kind]
         path = declarations.PREFIXES[kind] + event.name
-        reading = Reading(event=event, path=path, ends=now + LIMIT_SECONDS)
-        if len(self.readings) >= MOST_READS:
-            return [self._known(reading)]
+        reading = PendingRead(
+            event=event, path=path, ends=now + READ_TIMEOUT_SECONDS
+        )
+        if len(self.readings) >= MAX_READS:
+            return [self._reply_from_memory(reading)]
         call = f"admin.{event.request}"
         self.readings[call] = reading
         if event.history:
             path = histories.path_of(path)
         return [actions.CallStore(call=stores.Read(call=call, path=path))]
 
-    def _read(
-        self, reading: Reading, answer: stores.StoreAnswer
+    def _on_read(
+        self, reading: PendingRead, answer: stores.StoreAnswer
     ) -> actions.ReplyOperator:
         match answer.outcome:
             case stores.Outcome.FOUND | stores.Outcome.ABSENT:
                 stored = answer.objects[0] if answer.objects else None
             case _:
-                return self._known(reading)
+                return self._reply_from_memory(reading)
         if reading.event.history:
             return self._history(reading, stored)
-        return _shown(reading.event.request, stored)
+        return _object_reply(reading.event.request, stored)
 
-    def _known(self, reading: Reading) -> actions.ReplyOperator:
+    def _reply_from_memory(self, reading: PendingRead) -> actions.ReplyOperator:
         request = reading.event.request
         if reading.event.history:
             error = results.Error(
@@ -191,12 +195,12 @@
                 text="the platform's store did not answer; try again",
             )
             return updates.refusal(request, error)
-        reply = _shown(request, self.configuration.newest(reading.path))
+        reply = _object_reply(request, self.configuration.newest(reading.path))
         reply.known = True
         return reply
 
     def _history(
-        self, reading: Reading, stored: stores.Object | None
+        self, reading: PendingRead, stored: stores.Object | None
     ) -> actions.ReplyOperator:
         history = histories.decode(stored)
         formers = [
@@ -217,7 +221,7 @@
 
     def _list(self, event: events.OperatorRequest) -> actions.ReplyOperator:
         kind = documents.KINDS[event.kind]
-        limit = min(max(event.limit, 1), MOST_LISTED)
+        limit = min(max(event.limit, 1), MAX_LISTED)
         names = self.configuration.page(kind, after=event.cursor, limit=limit)
         prefix = declarations.PREFIXES[kind]
         items = [
@@ -230,20 +234,22 @@
             request=event.request, status=200, fields=fields, known=True
         )
 
-    def _ask_status(self, event: events.OperatorRequest, now: float) -> Actions:
-        self.asked[event.request] = now + STATUS_SECONDS
+    def _start_status(
+        self, event: events.OperatorRequest, now: float
+    ) -> Actions:
+        self.status_due[event.request] = now + STATUS_SECONDS
         return self.distributor.ask_status(now)
 
     def _status(self, request: str, now: float) -> actions.ReplyOperator:
         own = self.distributor.status(now)
-        told = self.distributor.told.values()
+        statuses = self.distributor.peer_statuses.values()
         rows = [_row(own, 0.0, own.root)]
-        rows += [_row(each.tell, now - each.at, own.root) for each in told]
-        heard = {row["name"] for row in rows}
+        rows += [_row(each.tell, now - each.at, own.root) for each in statuses]
+        answered = {row["name"] for row in rows}
         silent = [
             entry.name
             for entry in self.configuration.entries()
-            if entry.name not in heard
+            if entry.name not in answered
         ]
         fields = {
             "declared": {
@@ -271,7 +277,9 @@
     }
 
 
-def _shown(request: str, stored: stores.Object | None) -> actions.ReplyOperator:
+def _object_reply(
+    request: str, stored: stores.Object | None
+) -> actions.ReplyOperator:
     if stored is None or stored.value is None:
         error = results.Error(code=results.Code.ABSENT)
         return updates.refusal(request, error)
--- a/pimentoledge/decisions/agent_subscriptions.py
+++ b/pimentoledge/decisions/agent_subscriptions.py
@@ -18,12 +18,12 @@
 # Agents that keep each bucket.
 KEEPERS = 3
 # Entries that tell an agent of a change.
-TELLERS = 2
+NOTIFYING_ENTRIES = 2
 # Entries that an agent is told to poll.
-POLLED = 4
-MOST_SEEN = 4096
+POLLED_ENTRIES = 4
+MAX_POLLS = 4096
 SEEN_SECONDS = 15.0
-MOST_NAMED = 20
+MAX_NAMED = 20
 # An agent that has not polled for so long may know no entry that lives; the
 # entries that tell it of changes write to it, a few agents at one time.
 LOST_SECONDS = 60.0
@@ -75,14 +75,14 @@
         self._declared: list[str] = []
         self._entries: rings.Ring | None = None
         self._servers: rings.Ring | None = None
-        self._held: dict[str, list[int]] = {}
-        self._mine: list[str] | None = None
+        self._kept_buckets: dict[str, list[int]] = {}
+        self._notified_names: list[str] | None = None
         self._counted: dict[str, int] = {}
         self._counted_at = -1
-        self._written: dict[str, float] = {}
+        self._introduced_at: dict[str, float] = {}
         self._next_introduction = float("-inf")
 
-    def knows(self, mailbox: str) -> bool:
+    def is_agent(self, mailbox: str) -> bool:
         """Returns whether a mailbox is that of an agent."""
         return mailbox in self.seen
 
@@ -92,17 +92,17 @@
             return
         self._declared = mailboxes
         self._entries = None
-        self._mine = None
+        self._notified_names = None
 
     def servers_changed(self) -> None:
         """Notes that declared backend servers have changed."""
         self._servers = None
-        self._mine = None
+        self._notified_names = None
 
-    def polled(self, poll: messages.Poll, sender: str, now: float) -> Actions:
+    def on_poll(self, poll: messages.Poll, sender: str, now: float) -> Actions:
         """Answers an agent."""
         newer = self._newer(poll)
-        self._see(
+        self._record_poll(
             sender, AgentPoll(server=poll.server, at=now, behind=bool(newer))
         )
         todo: Actions = []
@@ -111,14 +111,14 @@
             todo.append(actions.Send(address=sender, message=changes))
         answer = messages.PollAnswer(
             known=self.configuration.known,
-            entries=self._entries_of(poll.server, POLLED),
+            entries=self._entries_of(poll.server, POLLED_ENTRIES),
             held=self._held_by(poll.server),
-            runners=self._runners_like(poll.server),
+            runners=self._runner_count(poll.server),
         )
         todo.append(actions.Send(address=sender, message=answer))
         return todo
 
-    def _runners_like(self, name: str) -> int:
+    def _runner_count(self, name: str) -> int:
         server = self.configuration.server(name)
         if server is None:
             return 0
@@ -139,8 +139,10 @@
         """Tells the agents that this entry is to tell of changes."""
         todo: Actions = []
         for each in objects:
-            for server in self._concerned(each.path):
-                if self.address in self._entries_of(server.name, TELLERS):
+            for server in self._affected_servers(each.path):
+                if self.address in self._entries_of(
+                    server.name, NOTIFYING_ENTRIES
+                ):
                     changes = messages.Changes(objects=[each])
                     send = actions.Send(address=server.agent, message=changes)
                     todo.append(send)
@@ -152,7 +154,7 @@
         todo: Actions = []
         for each in objects:
             number = configuration.bucket_of(each.path)
-            for name in ring.successors(_place(number), KEEPERS):
+            for name in ring.successors(_bucket_point(number), KEEPERS):
                 server = self.configuration.server(name)
                 changes = messages.Changes(objects=[each])
                 send = actions.Send(address=server.agent, message=changes)
@@ -176,13 +178,14 @@
         }
         lost = [
             name
-            for name in self._told_by_me()
+            for name in self._notified_by_me()
             if name not in polled
-            and now - self._written.get(name, float("-inf")) > LOST_SECONDS
+            and now - self._introduced_at.get(name, float("-inf"))
+            > LOST_SECONDS
         ]
         todo: Actions = []
         for name in lost[:INTRODUCED_TOGETHER]:
-            self._written[name] = now
+            self._introduced_at[name] = now
             server = self.configuration.server(name)
             path = declarations.path_of(server)
             found = self.configuration.in_force(path)
@@ -191,24 +194,24 @@
         return todo
 
     def counts(self, now: float) -> tuple[int, list[str]]:
-        """Returns how many agents polled lately, and who was behind."""
-        lately = [
+        """Returns how many agents polled recent, and who was behind."""
+        recent = [
             each for each in self.seen.values() if now - each.at < SEEN_SECONDS
         ]
-        behind = sorted(each.server for each in lately if each.behind)
-        return len(lately), behind[:MOST_NAMED]
+        behind = sorted(each.server for each in recent if each.behind)
+        return len(recent), behind[:MAX_NAMED]
 
     def _newer(self, poll: messages.Poll) -> list[stores.Object]:
         server = self.configuration.server(poll.server)
-        given = dict(poll.versions)
+        polled = dict(poll.versions)
         if server is None:
-            paths = list(given)
+            paths = list(polled)
         else:
             paths = own_paths(server)
         newer = []
         for path in paths:
             found = self.configuration.newest(path)
-            if found is not None and found.version > given.get(path, -1):
+            if found is not None and found.version > polled.get(path, -1):
                 newer += [
                     each
                     for each in (self.configuration.in_force(path), found)
@@ -216,13 +219,13 @@
                 ]
         return newer
 
-    def _see(self, mailbox: str, seen: AgentPoll) -> None:
+    def _record_poll(self, mailbox: str, seen: AgentPoll) -> None:
         self.seen.pop(mailbox, None)
         self.seen[mailbox] = seen
-        if len(self.seen) > MOST_SEEN:
+        if len(self.seen) > MAX_POLLS:
             del self.seen[next(iter(self.seen))]
 
-    def _concerned(self, path: str) -> list[declarations.BackendServer]:
+    def _affected_servers(self, path: str) -> list[declarations.BackendServer]:
         kind = declarations.kind_of(path)
         name = path.removeprefix(declarations.PREFIXES.get(kind, ""))
         of_kind = declarations.ServerKind
@@ -243,30 +246,32 @@
             self._entries = rings.Ring(names=names)
         return self._entries.successors(rings.point(server), count)
 
-    def _told_by_me(self) -> list[str]:
-        if self._mine is None:
+    def _notified_by_me(self) -> list[str]:
+        if self._notified_names is None:
             kind = declarations.BackendServer
-            self._mine = [
+            self._notified_names = [
                 name
                 for name in self.configuration.page(kind, after="", limit=None)
-                if self.address in self._entries_of(name, TELLERS)
+                if self.address in self._entries_of(name, NOTIFYING_ENTRIES)
             ]
-            mine = set(self._mine)
-            self._written = {
-                name: at for name, at in self._written.items() if name in mine
+            mine = set(self._notified_names)
+            self._introduced_at = {
+                name: at
+                for name, at in self._introduced_at.items()
+                if name in mine
             }
-        return self._mine
+        return self._notified_names
 
     def _server_ring(self) -> rings.Ring:
         if self._servers is None:
             kind = declarations.BackendServer
             names = self.configuration.page(kind, after="", limit=None)
             self._servers = rings.Ring(names=names)
-            self._held = {}
+            self._kept_buckets = {}
             for number in range(configuration.BUCKETS):
-                place = _place(number)
+                place = _bucket_point(number)
                 for name in self._servers.successors(place, KEEPERS):
-                    self._held.setdefault(name, []).append(number)
+                    self._kept_buckets.setdefault(name, []).append(number)
         return self._servers
 
     def _held_by(self, server: str) -> list[messages.Held]:
@@ -276,9 +281,9 @@
             messages.Held(
                 number=number, digest=view.buckets[number], known=view.known
             )
-            for number in self._held.get(server, ())
+            for number in self._kept_buckets.get(server, ())
         ]
 
 
-def _place(number: int) -> int:
+def _bucket_point(number: int) -> int:
     return rings.point(f"bucket {number}")
--- a/pimentoledge/decisions/bucket_repairs.py
+++ b/pimentoledge/decisions/bucket_repairs.py
@@ -8,13 +8,13 @@
 from pimentoledge.nodes import configuration_messages as messages
 
 # Buckets asked for in one message.
-ASKED_TOGETHER = 16
+FETCHED_TOGETHER = 16
 # Bytes of values in one message.
 MESSAGE_BYTES = 200_000
 # A node that answered nothing for so long is not waited for.
-REPAIR_SECONDS = 2.0
+REPAIR_TIMEOUT_SECONDS = 2.0
 # Snapshots that an entry that starts takes at one time.
-SNAPSHOTS = 2
+MAX_SNAPSHOTS = 2
 
 Actions = list[actions.Action]
 
@@ -23,10 +23,10 @@
     view: configuration.Configuration, number: int
 ) -> messages.Bucket:
     """Returns what a node has in a bucket, as fingerprints."""
-    shelf = view.shelves[number]
+    bucket_records = view.records[number]
     fingerprints = [
         configuration.fingerprint(path, record.version)
-        for path, record in shelf.items()
+        for path, record in bucket_records.items()
     ]
     return messages.Bucket(number=number, fingerprints=fingerprints)
 
@@ -116,7 +116,7 @@
         """Returns how many snapshots make progress."""
         return sum(r.full and now < r.ends for r in self.repairs.values())
 
-    def drop(self, mailbox: str) -> None:
+    def abandon(self, mailbox: str) -> None:
         """Gives up a repair with a node that can't be reached."""
         self.repairs.pop(mailbox, None)
 
@@ -140,7 +140,7 @@
             # What is in neither of the two is gone, as the other one knows.
             view.raise_floor(digest.floor)
 
-    def repair(
+    def start(
         self, summary: messages.Summary, sender: str, now: float
     ) -> Actions:
         """Fetches what differs from a node, after its summary."""
@@ -155,7 +155,7 @@
             if digest != view.buckets[number]
         ]
         full = summary.known >= 0 and not view.is_whole()
-        if full and self.snapshots(now) >= SNAPSHOTS:
+        if full and self.snapshots(now) >= MAX_SNAPSHOTS:
             return []
         if full:
             # The digests cover what is live; deletions are wanted too.
@@ -165,21 +165,21 @@
                 if number not in self.whole and number not in numbers
             ]
         elif not view.is_whole():
-            self.mark(_whole(summary))
+            self.mark_complete(_complete_buckets(summary))
         if not numbers:
             return []
         self.repairs[sender] = Repair(
             left=numbers, floor=summary.floor, full=full, ends=now
         )
-        return self._ask(sender, now)
+        return self._fetch_next(sender, now)
 
-    def told(
+    def on_changes(
         self, changes: messages.Changes, sender: str, now: float
     ) -> Actions:
         """Goes on after the answer to a fetch has been applied."""
         if not changes.done:
             return []
-        self.mark(changes.done)
+        self.mark_complete(changes.done)
         repair = self.repairs.get(sender)
         if repair is None:
             return []
@@ -191,30 +191,34 @@
             del self.repairs[sender]
             return []
         if repair.left:
-            return self._ask(sender, now)
+            return self._fetch_next(sender, now)
         del self.repairs[sender]
         if repair.full:
             self.configuration.raise_floor(repair.floor)
         return []
 
-    def give(self, fetch: messages.Fetch, sender: str) -> Actions:
+    def answer_fetch(self, fetch: messages.Fetch, sender: str) -> Actions:
         """Answers a fetch, and asks back for what is missing here."""
         view = self.configuration
         todo: Actions = [
             actions.Send(address=sender, message=part)
             for part in answers(view, fetch, known=view.known)
         ]
-        lacking = [b.number for b in fetch.buckets if self._lacks(b)]
+        lacking = [
+            b.number for b in fetch.buckets if self._is_missing_objects(b)
+        ]
         if fetch.answer and lacking:
             todo.append(self.fetch(sender, lacking, answer=False))
         return todo
 
-    def offered(self, held: list[messages.Held], sender: str) -> Actions:
+    def fetch_from_agent(
+        self, held: list[messages.Held], sender: str
+    ) -> Actions:
         """Takes from an agent's buckets while this entry is not complete."""
         view = self.configuration
         if view.is_whole():
             return []
-        self.mark(held)
+        self.mark_complete(held)
         differ = [
             each.number
             for each in held
@@ -224,7 +228,7 @@
             return []
         return [self.fetch(sender, differ, answer=False)]
 
-    def mark(self, held: list[messages.Held]) -> None:
+    def mark_complete(self, held: list[messages.Held]) -> None:
         """Notes the buckets that are complete here since another's are."""
         view = self.configuration
         if view.is_whole():
@@ -235,7 +239,7 @@
             if each.known >= 0 and view.buckets[each.number] == each.digest:
                 self.whole[each.number] = each.known
 
-    def has_all(self) -> bool:
+    def all_complete(self) -> bool:
         """Returns whether every bucket is complete here."""
         return len(self.whole) == configuration.BUCKETS
 
@@ -253,19 +257,19 @@
         fetch = messages.Fetch(buckets=own, answer=answer)
         return actions.Send(address=mailbox, message=fetch)
 
-    def _ask(self, sender: str, now: float) -> Actions:
+    def _fetch_next(self, sender: str, now: float) -> Actions:
         repair = self.repairs[sender]
-        numbers = repair.left[:ASKED_TOGETHER]
-        repair.left = repair.left[ASKED_TOGETHER:]
-        repair.ends = now + REPAIR_SECONDS
+        numbers = repair.left[:FETCHED_TOGETHER]
+        repair.left = repair.left[FETCHED_TOGETHER:]
+        repair.ends = now + REPAIR_TIMEOUT_SECONDS
         return [self.fetch(sender, numbers, answer=True)]
 
-    def _lacks(self, bucket: messages.Bucket) -> bool:
+    def _is_missing_objects(self, bucket: messages.Bucket) -> bool:
         own = bucket_fingerprints(self.configuration, bucket.number)
         return not set(own.fingerprints).issuperset(bucket.fingerprints)
 
 
-def _whole(summary: messages.Summary) -> list[messages.Held]:
+def _complete_buckets(summary: messages.Summary) -> list[messages.Held]:
     return [
         messages.Held(
             number=number, digest=summary.buckets[number], known=known
--- a/pimentoledge/decisions/configuration.py
+++ b/pimentoledge/decisions/configuration.py
@@ -25,14 +25,14 @@
 BUCKETS = 256
 # A revision that stands for "not complete up to any".
 UNKNOWN = -1
-MOST_DECODED = 2048
-MOST_TOMBSTONES = 20_000
+MAX_DECODED = 2048
+MAX_TOMBSTONES = 20_000
 _CONTRACTS = declarations.PREFIXES[declarations.Contract]
 
 
 # Text that most values contain, so that even a short one shrinks; it is never
 # sent or stored, so a release may change it.
-_COMMON = b"".join(
+_ZLIB_DICTIONARY = b"".join(
     declarations.encode(each)
     for each in (
         declarations.EntryNode(name="", mailbox="tcp://10."),
@@ -45,12 +45,16 @@
 
 
 def _pack(value: bytes) -> bytes:
-    packer = zlib.compressobj(level=1, wbits=-12, memLevel=4, zdict=_COMMON)
+    packer = zlib.compressobj(
+        level=1, wbits=-12, memLevel=4, zdict=_ZLIB_DICTIONARY
+    )
     return packer.compress(value) + packer.flush()
 
 
 def _unpack(packed: bytes) -> bytes:
-    return zlib.decompressobj(wbits=-12, zdict=_COMMON).decompress(packed)
+    return zlib.decompressobj(wbits=-12, zdict=_ZLIB_DICTIONARY).decompress(
+        packed
+    )
 
 
 @attrs.frozen(kw_only=True, weakref_slot=False)
@@ -145,7 +149,7 @@
         if stored is None:
             raise KeyError(organisation)
         found = declarations.decode(stored.path, stored).unwrap()
-        if len(self.decoded) >= MOST_DECODED:
+        if len(self.decoded) >= MAX_DECODED:
             self.decoded.pop(next(iter(self.decoded)))
         self.decoded[organisation] = found
         return found
@@ -189,7 +193,7 @@
         self.contracts = Contracts(configuration=self)
         self.rejections: dict[str, Rejection] = {}
         self.buckets = [0] * BUCKETS
-        self.shelves: list[dict[str, ObjectRecord]] = [
+        self.records: list[dict[str, ObjectRecord]] = [
             {} for _ in range(BUCKETS)
         ]
         self.root = 0
@@ -208,7 +212,7 @@
         self.floor = 0
         # As the floor, but without a scan that proves it: an object below is
         # not taken from another node, and not called deleted either.
-        self._doubt = 0
+        self._unproven_floor = 0
 
     def is_whole(self) -> bool:
         """Returns whether this node lacks nothing up to some revision."""
@@ -230,20 +234,24 @@
         changed = []
         for stored in objects:
             if self.is_newer(stored, from_store=from_store):
-                changed += self._take(stored)
+                changed += self._apply_object(stored)
         return changed
 
     def is_newer(self, stored: stores.Object, *, from_store: bool) -> bool:
         """Returns whether an object is newer than what is here."""
-        old = self.shelves[bucket_of(stored.path)].get(stored.path)
+        old = self.records[bucket_of(stored.path)].get(stored.path)
         if old is not None:
             return stored.version > old.version
         # Its deletion may have been forgotten here. A node that was cut off
         # meanwhile still has the object and would bring it back into force;
         # the store would not.
-        return from_store or stored.version > max(self.floor, self._doubt)
+        return from_store or stored.version > max(
+            self.floor, self._unproven_floor
+        )
 
-    def refuted(self, objects: list[stores.Object]) -> list[stores.Object]:
+    def known_deletions(
+        self, objects: list[stores.Object]
+    ) -> list[stores.Object]:
         """Returns deletions of objects that are known to be gone.
 
         What is not here, and not newer than the floor, was not in the store
@@ -258,7 +266,9 @@
             and self.newest(each.path) is None
         ]
 
-    def absent(self, objects: list[stores.Object], revision: int) -> list:
+    def missed_deletions(
+        self, objects: list[stores.Object], revision: int
+    ) -> list:
         """Returns deletions of what the store no longer has.
 
         Args:
@@ -268,8 +278,8 @@
         present = {each.path for each in objects}
         return [
             stores.Object(path=path, version=revision, value=None)
-            for shelf in self.shelves
-            for path, record in shelf.items()
+            for bucket_records in self.records
+            for path, record in bucket_records.items()
             if record.packed is not None
             and path not in present
             and record.version <= revision
@@ -284,21 +294,21 @@
         old = [p for p, v in self._tombstones.items() if v <= self.floor]
         for path in old:
             del self._tombstones[path]
-            del self.shelves[bucket_of(path)][path]
+            del self.records[bucket_of(path)][path]
 
     def clear_bucket(self, number: int) -> None:
         """Forgets one bucket; for a node that only keeps some of them."""
-        for path, record in list(self.shelves[number].items()):
+        for path, record in list(self.records[number].items()):
             gone = stores.Object(
                 path=path, version=record.version + 1, value=None
             )
             self.apply([gone])
             self._tombstones.pop(path, None)
-            del self.shelves[number][path]
+            del self.records[number][path]
 
     def newest(self, path: str) -> stores.Object | None:
         """Returns the newest object at a path, also a deleted one."""
-        record = self.shelves[bucket_of(path)].get(path)
+        record = self.records[bucket_of(path)].get(path)
         return None if record is None else _object(path, record)
 
     def in_force(self, path: str) -> stores.Object | None:
@@ -370,18 +380,18 @@
             for path, each in self._fallbacks.items()
             if bucket_of(path) == number
         ]
-        shelf = self.shelves[number]
-        return fallbacks + [_object(*each) for each in shelf.items()]
+        bucket_records = self.records[number]
+        return fallbacks + [_object(*each) for each in bucket_records.items()]
 
-    def _take(self, stored: stores.Object) -> list[str]:
+    def _apply_object(self, stored: stores.Object) -> list[str]:
         self.version = max(self.version, stored.version)
         if declarations.kind_of(stored.path) is None:
             return []
         before = self.in_force(stored.path)
-        path = self._shelve(stored)
+        path = self._store_record(stored)
         if stored.value is None:
             self._accept(path, before, None)
-            self._bury(path, stored.version)
+            self._add_tombstone(path, stored.version)
             return [] if before is None else [path]
         match decode(path, stored):
             case result.Success(declaration):
@@ -391,17 +401,17 @@
                 self._reject(path, stored.version, before, error)
         return []
 
-    def _shelve(self, stored: stores.Object) -> str:
+    def _store_record(self, stored: stores.Object) -> str:
         path = stored.path
         number = bucket_of(path)
-        shelf = self.shelves[number]
-        old = shelf.get(path)
+        bucket_records = self.records[number]
+        old = bucket_records.get(path)
         packed = None if stored.value is None else _pack(stored.value)
         new = ObjectRecord(version=stored.version, packed=packed)
         change = _live_fingerprint(path, old) ^ _live_fingerprint(path, new)
         self.buckets[number] ^= change
         self.root ^= change
-        shelf[path] = new
+        bucket_records[path] = new
         return path
 
     def _reject(
@@ -439,14 +449,14 @@
         if before is not None and declaration is None:
             self.paths.remove(path)
 
-    def _bury(self, path: str, version: int) -> None:
+    def _add_tombstone(self, path: str, version: int) -> None:
         self._tombstones[path] = version
-        if len(self._tombstones) <= MOST_TOMBSTONES:
+        if len(self._tombstones) <= MAX_TOMBSTONES:
             return
         path = next(iter(self._tombstones))
         version = self._tombstones.pop(path)
-        self._doubt = max(self._doubt, version)
-        del self.shelves[bucket_of(path)][path]
+        self._unproven_floor = max(self._unproven_floor, version)
+        del self.records[bucket_of(path)][path]
 
     def _index(self, path: str, declaration: declarations.Declaration) -> None:
         match declaration:
--- a/pimentoledge/decisions/distribution.py
+++ b/pimentoledge/decisions/distribution.py
@@ -44,16 +44,16 @@
 JOIN_SECONDS = 1.0
 LATE_JOIN_SECONDS = 4.0
 LATE_JOIN_SPREAD_SECONDS = 4.0
-NEAR = 2
-FAR = 1
+ANNOUNCE_NEAR = 2
+ANNOUNCE_FAR = 1
 # More changes than this at one time are left to the digests.
-MOST_TOLD = watching.MOST_FRESH - 1
+MAX_ANNOUNCED = watching.MAX_FRESH - 1
 # How long an entry that starts, and has everything from one entry, waits for
 # a newer version that another one has told of.
 NEWER_SECONDS = 2.0
 # Objects in an answer after which memory is given back.
 LARGE_ANSWER = 2000
-LONG_AGO = 1e6
+MAX_AGE_SECONDS = 1e6
 
 
 @attrs.define(kw_only=True)
@@ -106,7 +106,7 @@
             seed=seed,
         )
         self.watching = watching.Watching(view=view, seed=seed + 1)
-        self.exchange = bucket_repairs.BucketRepairs(view=view)
+        self.repairs = bucket_repairs.BucketRepairs(view=view)
         self.agents = agent_subscriptions.AgentSubscriptions(
             address=address, view=view
         )
@@ -117,16 +117,16 @@
             seed=seed + 2,
         )
         self.joining = joining.Joining()
-        self.told: dict[str, PeerStatus] = {}
+        self.peer_statuses: dict[str, PeerStatus] = {}
         self._random = random.Random(seed)
         self._watched = float("-inf")
         self._started: float | None = None
-        self._late = self._random.uniform(0, LATE_JOIN_SPREAD_SECONDS)
+        self._scan_jitter = self._random.uniform(0, LATE_JOIN_SPREAD_SECONDS)
         self._next_digest = float("-inf")
-        self._asked = float("-inf")
-        self._heard_version = 0
-        self._has_all: float | None = None
-        self._on_duty = False
+        self._last_request = float("-inf")
+        self._newest_announced = 0
+        self._complete_since: float | None = None
+        self._is_watcher = False
         self._sweeper = False
 
     @property
@@ -144,16 +144,18 @@
         """Takes a message, an answer of the store, or a fault of a peer."""
         match event:
             case events.FromNode():
-                todo = self._message(event, now) + self._behind(event, now)
+                todo = self._on_message(event, now) + self._request_if_behind(
+                    event, now
+                )
                 self._finish_join(now)
                 return todo
             case stores.StoreAnswer():
-                return self._answer(event, now)
+                return self._on_store_answer(event, now)
             case events.Unreachable(address=address):
                 self.peers.unreachable(address, now)
-                self.exchange.drop(address)
+                self.repairs.abandon(address)
                 # With nobody left to ask it scans at once.
-                self._on_duty = self._duty(now)
+                self._is_watcher = self._should_watch(now)
             case events.Drain():
                 return self.registration.retire()
         return []
@@ -163,18 +165,18 @@
         if self._started is None:
             self._started = now
         self._finish_join(now)
-        self._on_duty = self._duty(now)
+        self._is_watcher = self._should_watch(now)
         self._sweeper = self.peers.rank(now, everywhere=True) == 0
-        todo = self.watching.turn(
-            now, duty=self._on_duty, sweeper=self._sweeper
+        todo = self.watching.due_calls(
+            now, duty=self._is_watcher, sweeper=self._sweeper
         )
-        todo += self.registration.turn(self.address, now)
+        todo += self.registration.write_if_due(self.address, now)
         todo += self.agents.introduce(now)
         if self.configuration.is_whole():
-            told = self.joining.tell(now)
-            todo += [self._digest(mailbox, now) for mailbox in told]
+            batch = self.joining.next_batch(now)
+            todo += [self._send_digest(mailbox, now) for mailbox in batch]
         if now >= self._next_digest:
-            todo += self._compare(now)
+            todo += self._compare_digests(now)
         return todo
 
     def next_wake(self) -> float | None:
@@ -182,11 +184,11 @@
         if self._started is None:
             return float("-inf")
         follow = self.watching.next_wake(
-            duty=self._on_duty, sweeper=self._sweeper
+            duty=self._is_watcher, sweeper=self._sweeper
         )
         times = [self._next_digest, follow]
         if self.configuration.is_whole():
-            times.append(self.joining.next_tell())
+            times.append(self.joining.next_batch_time())
         return min(each for each in times if each is not None)
 
     def publish(self, objects: list[stores.Object], now: float) -> Actions:
@@ -196,14 +198,16 @@
         this process and then every other entry is lost while the store is
         down, they are the only ones that have what was accepted here.
         """
-        kept = self.agents.notify_keepers(objects)
-        return self._take(objects, now) + kept
+        keepers = self.agents.notify_keepers(objects)
+        return self._apply(objects, now) + keepers
 
     def ask_status(self, now: float) -> Actions:
         """Asks every other entry what is in force there."""
         usable = self.peers.usable(now)
         mailboxes = {peer.mailbox for peer in usable}
-        self.told = {m: t for m, t in self.told.items() if m in mailboxes}
+        self.peer_statuses = {
+            m: t for m, t in self.peer_statuses.items() if m in mailboxes
+        }
         ask = messages.StatusAsk()
         return [
             actions.Send(address=peer.mailbox, message=ask) for peer in usable
@@ -219,36 +223,36 @@
             version=view.version,
             known=view.known,
             root=view.root,
-            rejected=sorted(view.rejections)[: agent_subscriptions.MOST_NAMED],
+            rejected=sorted(view.rejections)[: agent_subscriptions.MAX_NAMED],
             agents=count,
             behind=behind,
         )
 
-    def _message(self, event: events.FromNode, now: float) -> Actions:
+    def _on_message(self, event: events.FromNode, now: float) -> Actions:
         sender = event.sender
         match event.message:
             case messages.Changes() as changes:
-                return self._changes(changes, sender, now)
+                return self._on_changes(changes, sender, now)
             case messages.Digest() as digest:
-                self._heard(digest, event, now)
-                return self._compared(digest, sender, now)
+                self._note_peer(digest, event, now)
+                return self._on_digest(digest, sender, now)
             case messages.Summary() as summary:
-                self._heard(summary, event, now)
-                self._answered(summary, now)
-                return self.exchange.repair(summary, sender, now)
+                self._note_peer(summary, event, now)
+                self._on_incomplete_summary(summary, now)
+                return self.repairs.start(summary, sender, now)
             case messages.Fetch() as fetch:
-                return self.exchange.give(fetch, sender)
+                return self.repairs.answer_fetch(fetch, sender)
             case messages.Poll() as poll:
-                offered = self.exchange.offered(poll.held, sender)
-                return offered + self.agents.polled(poll, sender, now)
+                offered = self.repairs.fetch_from_agent(poll.held, sender)
+                return offered + self.agents.on_poll(poll, sender, now)
             case messages.StatusAsk():
                 tell = self.status(now)
                 return [actions.Send(address=sender, message=tell)]
             case messages.StatusTell() as tell:
-                self.told[sender] = PeerStatus(tell=tell, at=now)
+                self.peer_statuses[sender] = PeerStatus(tell=tell, at=now)
         return []
 
-    def _compared(
+    def _on_digest(
         self, digest: messages.Digest, sender: str, now: float
     ) -> Actions:
         view = self.configuration
@@ -256,34 +260,38 @@
         if complete and not view.is_whole():
             # Its snapshot is asked for; to a summary it would answer by
             # asking for what is here.
-            if self.exchange.snapshots(now):
+            if self.repairs.snapshots(now):
                 return []
-            return [self._digest(sender, now)]
-        self.exchange.compare(digest)
-        summary = self.exchange.summary(digest, self._about_me(now))
+            return [self._send_digest(sender, now)]
+        self.repairs.compare(digest)
+        summary = self.repairs.summary(digest, self._own_state(now))
         if not (complete or view.is_whole()):
-            self.joining.asked(sender)
+            self.joining.add_waiting(sender)
             if self.address in self.peers.first_seeds(now):
                 summary.scan = self.joining.grant(
                     sender, digest.data_centre, now
                 )
         return [actions.Send(address=sender, message=summary)]
 
-    def _answered(self, summary: messages.Summary, now: float) -> None:
+    def _on_incomplete_summary(
+        self, summary: messages.Summary, now: float
+    ) -> None:
         if summary.known >= 0 or self.configuration.is_whole():
             return
-        self.joining.answered(summary.scan)
-        self._on_duty = self._duty(now)
+        self.joining.on_summary(summary.scan)
+        self._is_watcher = self._should_watch(now)
 
-    def _behind(self, event: events.FromNode, now: float) -> Actions:
+    def _request_if_behind(self, event: events.FromNode, now: float) -> Actions:
         newer = event.configuration > self.configuration.version
-        if not newer or self.agents.knows(event.sender):
+        if not newer or self.agents.is_agent(event.sender):
             return []
-        self._heard_version = max(self._heard_version, event.configuration)
-        if now < self._asked + BEHIND_SECONDS:
+        self._newest_announced = max(
+            self._newest_announced, event.configuration
+        )
+        if now < self._last_request + BEHIND_SECONDS:
             return []
-        self._asked = now
-        return [self._digest(event.sender, now)]
+        self._last_request = now
+        return [self._send_digest(event.sender, now)]
 
     def _finish_join(self, now: float) -> None:
         """Makes a starting entry complete, once it has all that it can get.
@@ -293,41 +301,45 @@
         waits for the newest version that any other entry told of; but not
         for ever, since that entry may be gone.
         """
-        if self.configuration.is_whole() or not self.exchange.has_all():
+        if self.configuration.is_whole() or not self.repairs.all_complete():
             return
-        if self._has_all is None:
-            self._has_all = now
-        up_to_date = self.configuration.version >= self._heard_version
-        if up_to_date or now >= self._has_all + NEWER_SECONDS:
-            self.exchange.finish()
-
-    def _answer(self, answer: stores.StoreAnswer, now: float) -> Actions:
+        if self._complete_since is None:
+            self._complete_since = now
+        up_to_date = self.configuration.version >= self._newest_announced
+        if up_to_date or now >= self._complete_since + NEWER_SECONDS:
+            self.repairs.finish()
+
+    def _on_store_answer(
+        self, answer: stores.StoreAnswer, now: float
+    ) -> Actions:
         large = len(answer.objects) >= LARGE_ANSWER
-        joins = not self.configuration.is_whole()
+        starting = not self.configuration.is_whole()
         fresh = self.watching.handle(answer, now)
         if fresh is not None:
-            todo = self._tell(fresh, now)
-            if joins:
-                self.joining.scanned(self._near(now))
+            todo = self._announce(fresh, now)
+            if starting:
+                self.joining.put_first(self._near_entries(now))
             return todo + ([actions.ReleaseMemory()] if large else [])
-        return self._take(self.registration.handle(answer, now), now)
+        return self._apply(self.registration.handle(answer, now), now)
 
-    def _changes(
+    def _on_changes(
         self, changes: messages.Changes, sender: str, now: float
     ) -> Actions:
         view = self.configuration
         # An agent's copy may be old. It helps an entry that has nothing; to
         # one that is complete it could only bring back what was deleted.
-        if view.is_whole() and self.agents.knows(sender):
+        if view.is_whole() and self.agents.is_agent(sender):
             return []
-        gone = view.refuted(changes.objects) if view.is_whole() else []
-        todo = self._take(changes.objects, now, sender=sender)
-        if gone:
-            refuted = messages.Changes(objects=gone)
-            todo.append(actions.Send(address=sender, message=refuted))
-        return todo + self.exchange.told(changes, sender, now)
-
-    def _take(
+        deletions = (
+            view.known_deletions(changes.objects) if view.is_whole() else []
+        )
+        todo = self._apply(changes.objects, now, sender=sender)
+        if deletions:
+            reply = messages.Changes(objects=deletions)
+            todo.append(actions.Send(address=sender, message=reply))
+        return todo + self.repairs.on_changes(changes, sender, now)
+
+    def _apply(
         self,
         objects: list[stores.Object],
         now: float,
@@ -337,9 +349,9 @@
         view = self.configuration
         fresh = [o for o in objects if view.is_newer(o, from_store=False)]
         view.apply(fresh, from_store=False)
-        return self._tell(fresh, now, sender=sender)
+        return self._announce(fresh, now, sender=sender)
 
-    def _tell(
+    def _announce(
         self,
         fresh: list[stores.Object],
         now: float,
@@ -348,7 +360,7 @@
     ) -> Actions:
         if not fresh:
             return []
-        many = len(fresh) > MOST_TOLD
+        many = len(fresh) > MAX_ANNOUNCED
         if many or any(_is_entry(each) for each in fresh):
             self.peers.declare(self.configuration.entries())
         if many or any(_is_server(each) for each in fresh):
@@ -358,20 +370,24 @@
         # repaired by digests at the other entries.
         if many or not self.configuration.is_whole():
             return []
-        todo = [self._rejected(each) for each in fresh if self._is_bad(each)]
+        todo = [
+            self._log_rejection(each)
+            for each in fresh
+            if self._is_rejected(each)
+        ]
         todo += self.agents.notify_agents(fresh)
         changes = messages.Changes(objects=fresh)
-        chosen = self.peers.choose(now, near=NEAR, far=FAR)
+        chosen = self.peers.choose(now, near=ANNOUNCE_NEAR, far=ANNOUNCE_FAR)
         return todo + [
             actions.Send(address=mailbox, message=changes)
             for mailbox in chosen
             if mailbox != sender
         ]
 
-    def _is_bad(self, stored: stores.Object) -> bool:
+    def _is_rejected(self, stored: stores.Object) -> bool:
         return stored.path in self.configuration.rejections
 
-    def _rejected(self, stored: stores.Object) -> actions.LogDecision:
+    def _log_rejection(self, stored: stores.Object) -> actions.LogDecision:
         rejection = self.configuration.rejections[stored.path]
         fields = {
             "path": stored.path,
@@ -381,14 +397,14 @@
         }
         return actions.LogDecision(kind="reject_declaration", fields=fields)
 
-    def _heard(
+    def _note_peer(
         self,
         message: messages.Digest | messages.Summary,
         event: events.FromNode,
         now: float,
     ) -> None:
         sender = event.sender
-        self.peers.hear(sender, message.name, message.data_centre, now)
+        self.peers.seen(sender, message.name, message.data_centre, now)
         if message.data_centre == self.data_centre:
             self._watched = max(self._watched, now - message.watched)
         view = self.configuration
@@ -398,53 +414,53 @@
             # it would take itself for behind for ever.
             view.version = max(view.version, event.configuration)
 
-    def _compare(self, now: float) -> Actions:
+    def _compare_digests(self, now: float) -> Actions:
         self.agents.declare(
             [each.mailbox for each in self.peers.usable(now) if each.declared]
         )
-        joins = not self.configuration.is_whole()
-        pause = joining.RETRY_SECONDS if joins else DIGEST_SECONDS
+        starting = not self.configuration.is_whole()
+        pause = joining.RETRY_SECONDS if starting else DIGEST_SECONDS
         self._next_digest = now + pause * self._random.uniform(0.8, 1.2)
         near = self._random.randrange(2)
         chosen = self.peers.choose(now, near=near, far=1 - near)
-        if joins:
+        if starting:
             return self._ask_to_join(now)
-        todo = [self._digest(mailbox, now) for mailbox in chosen[:2]]
-        return todo + (self._clean(now) if self._sweeper else [])
+        todo = [self._send_digest(mailbox, now) for mailbox in chosen[:2]]
+        return todo + (self._probe_declared(now) if self._sweeper else [])
 
     def _ask_to_join(self, now: float) -> Actions:
-        if self.exchange.snapshots(now) >= bucket_repairs.SNAPSHOTS:
+        if self.repairs.snapshots(now) >= bucket_repairs.MAX_SNAPSHOTS:
             return []
         asked = self.peers.choose(now, near=1, far=1)[:2]
         asked += self.peers.first_seeds(now)
         return [
-            self._digest(mailbox, now)
+            self._send_digest(mailbox, now)
             for mailbox in dict.fromkeys(asked)
             if mailbox != self.address
         ]
 
-    def _near(self, now: float) -> list[str]:
+    def _near_entries(self, now: float) -> list[str]:
         return [
             peer.mailbox
             for peer in self.peers.usable(now)
             if peer.data_centre == self.data_centre
         ]
 
-    def _clean(self, now: float) -> Actions:
+    def _probe_declared(self, now: float) -> Actions:
         """Tries each declared entry in turn, and forgets the dead ones."""
         todo: Actions = []
         mailbox = self.peers.next_declared(now)
         if mailbox is not None:
-            todo.append(self._digest(mailbox, now))
+            todo.append(self._send_digest(mailbox, now))
         for name in self.peers.dead()[:1]:
             todo += self.registration.forget(name)
         return todo
 
-    def _digest(self, mailbox: str, now: float) -> actions.Send:
-        digest = messages.Digest(**self._about_me(now))
+    def _send_digest(self, mailbox: str, now: float) -> actions.Send:
+        digest = messages.Digest(**self._own_state(now))
         return actions.Send(address=mailbox, message=digest)
 
-    def _about_me(self, now: float) -> dict[str, object]:
+    def _own_state(self, now: float) -> dict[str, object]:
         watched = max(self._watched, self.watching.attempted)
         if self.watching.busy():
             watched = now
@@ -453,29 +469,29 @@
             "known": self.configuration.known,
             "name": self.name,
             "data_centre": self.data_centre,
-            "watched": min(now - watched, LONG_AGO),
+            "watched": min(now - watched, MAX_AGE_SECONDS),
             "floor": self.configuration.floor,
         }
 
-    def _duty(self, now: float) -> bool:
+    def _should_watch(self, now: float) -> bool:
         """Tells whether this entry shall call the store for changes."""
         rank = self.peers.rank(now)
         if not self.configuration.is_whole():
-            return self._scans(rank, now)
+            return self._should_scan(rank, now)
         if rank < WATCHERS:
             return True
         watched = max(self._watched, self.watching.attempted)
         late = (rank - WATCHERS) * TAKEOVER_STEP_SECONDS
         return now - watched > TAKEOVER_SECONDS + late
 
-    def _scans(self, rank: int, now: float) -> bool:
-        if self._started is None or self.exchange.busy(now):
+    def _should_scan(self, rank: int, now: float) -> bool:
+        if self._started is None or self.repairs.busy(now):
             return False
         if self.joining.granted or not self.peers.usable(now):
             return True
         wait = JOIN_SECONDS
         if rank >= WATCHERS or self.joining.refused:
-            wait = LATE_JOIN_SECONDS + self._late
+            wait = LATE_JOIN_SECONDS + self._scan_jitter
         return now >= self._started + wait
 
 
--- a/pimentoledge/decisions/joining.py
+++ b/pimentoledge/decisions/joining.py
@@ -15,9 +15,9 @@
 RETRY_SECONDS = 0.25
 # Entries told together that this one is complete. Each takes a snapshot, so
 # more at one time would only wait for each other.
-TOLD_TOGETHER = 16
-TELL_SECONDS = 0.1
-MOST_WAITING = peers.MOST_HEARD
+ANNOUNCED_TOGETHER = 16
+ANNOUNCE_SECONDS = 0.1
+MAX_WAITING = peers.MAX_PEERS
 
 
 class Joining:
@@ -34,11 +34,11 @@
         self.refused = False
         self.waiting: list[str] = []
         self._holders: dict[str, tuple[str, float]] = {}
-        self._next_tell = float("-inf")
+        self._next_batch = float("-inf")
 
-    def asked(self, mailbox: str) -> None:
+    def add_waiting(self, mailbox: str) -> None:
         """Notes an entry that asked before this one was complete."""
-        if mailbox in self.waiting or len(self.waiting) >= MOST_WAITING:
+        if mailbox in self.waiting or len(self.waiting) >= MAX_WAITING:
             return
         self.waiting.append(mailbox)
 
@@ -53,25 +53,25 @@
             self._holders[data_centre] = (mailbox, now + GRANT_SECONDS)
         return True
 
-    def answered(self, scan: bool) -> None:
+    def on_summary(self, scan: bool) -> None:
         """Takes the word of an entry that is not complete."""
         self.granted = self.granted or scan
         self.refused = True
 
-    def scanned(self, near: list[str]) -> None:
+    def put_first(self, near: list[str]) -> None:
         """Has those of its data centre told first, after a scan."""
         rest = [each for each in self.waiting if each not in near]
         self.waiting = near + rest
 
-    def tell(self, now: float) -> list[str]:
+    def next_batch(self, now: float) -> list[str]:
         """Returns the entries to tell now."""
-        if not self.waiting or now < self._next_tell:
+        if not self.waiting or now < self._next_batch:
             return []
-        self._next_tell = now + TELL_SECONDS
-        told = self.waiting[:TOLD_TOGETHER]
-        self.waiting = self.waiting[TOLD_TOGETHER:]
-        return told
+        self._next_batch = now + ANNOUNCE_SECONDS
+        batch = self.waiting[:ANNOUNCED_TOGETHER]
+        self.waiting = self.waiting[ANNOUNCED_TOGETHER:]
+        return batch
 
-    def next_tell(self) -> float:
+    def next_batch_time(self) -> float:
         """Returns when `tell` is due next."""
-        return self._next_tell if self.waiting else float("inf")
+        return self._next_batch if self.waiting else float("inf")
--- a/pimentoledge/decisions/peers.py
+++ b/pimentoledge/decisions/peers.py
@@ -8,19 +8,19 @@
 from pimentoledge.decisions import rings
 
 # An entry that was heard of, but is not declared, is forgotten after this.
-HEARD_SECONDS = 60.0
+UNDECLARED_PEER_SECONDS = 60.0
 # One that can't be reached is left out of every choice for so long, and for
 # twice as long each time after it.
-SHORTEST_SILENCE_SECONDS = 10.0
-LONGEST_SILENCE_SECONDS = 640.0
-MOST_HEARD = 1024
+MIN_BACKOFF_SECONDS = 10.0
+MAX_BACKOFF_SECONDS = 640.0
+MAX_PEERS = 1024
 # Messages go to so many near and far entries only, chosen anew now and then:
 # a connection costs about 30 KB, so that one to each entry would take a third
 # of what a node may spend, and a few at random connect all as well.
 VIEW_SIZE = 8
 VIEW_SECONDS = 60.0
 # Seeds that let entries that start read the store.
-GRANTERS = 2
+MAX_GRANTING_SEEDS = 2
 NEVER = float("-inf")
 
 
@@ -42,9 +42,9 @@
     name: str = ""
     data_centre: str = ""
     declared: bool = False
-    heard: float = NEVER
-    silent_until: float = NEVER
-    silence: float = 0.0
+    last_seen: float = NEVER
+    retry_at: float = NEVER
+    backoff: float = 0.0
 
 
 class PeerDirectory:
@@ -67,7 +67,7 @@
         self._random = random.Random(seed)
         self._view: set[str] = set()
         self._view_ends = NEVER
-        self._turn = ""
+        self._last_declared = ""
 
     def declare(self, entries: list[declarations.EntryNode]) -> None:
         """Takes the declared entries."""
@@ -83,37 +83,37 @@
             peer.name = entry.name
             peer.data_centre = entry.data_centre
 
-    def hear(
+    def seen(
         self, mailbox: str, name: str, data_centre: str, now: float
     ) -> None:
         """Notes that an entry was heard."""
         if mailbox == self.address:
             return
         if mailbox not in self.table:
-            self._make_room(now)
+            self._evict_unknown(now)
         peer = self.table.setdefault(mailbox, Peer(mailbox=mailbox))
         peer.name = name
         peer.data_centre = data_centre
-        peer.heard = now
-        peer.silent_until = NEVER
-        peer.silence = 0.0
+        peer.last_seen = now
+        peer.retry_at = NEVER
+        peer.backoff = 0.0
 
     def unreachable(self, mailbox: str, now: float) -> None:
         """Notes that an entry can't be reached."""
         if mailbox in self.seeds or mailbox in self.table:
             peer = self.table.setdefault(mailbox, Peer(mailbox=mailbox))
-            if peer.silent_until > now:
+            if peer.retry_at > now:
                 return
-            longer = max(2 * peer.silence, SHORTEST_SILENCE_SECONDS)
-            peer.silence = min(longer, LONGEST_SILENCE_SECONDS)
-            peer.silent_until = now + peer.silence
+            longer = max(2 * peer.backoff, MIN_BACKOFF_SECONDS)
+            peer.backoff = min(longer, MAX_BACKOFF_SECONDS)
+            peer.retry_at = now + peer.backoff
 
     def usable(self, now: float) -> list[Peer]:
         """Returns the entries to talk to."""
         found = [
             peer
             for peer in self.table.values()
-            if self._counts(peer, now) and peer.silent_until <= now
+            if self._is_known(peer, now) and peer.retry_at <= now
         ]
         for seed in self.seeds:
             if seed not in self.table and seed != self.address:
@@ -125,9 +125,9 @@
         usable = [
             seed
             for seed in sorted(self.seeds)
-            if seed not in self.table or self.table[seed].silent_until <= now
+            if seed not in self.table or self.table[seed].retry_at <= now
         ]
-        return usable[:GRANTERS]
+        return usable[:MAX_GRANTING_SEEDS]
 
     def choose(self, now: float, *, near: int, far: int) -> list[str]:
         """Returns some entries at random.
@@ -147,18 +147,18 @@
         found = sorted(
             mailbox
             for mailbox, peer in self.table.items()
-            if peer.declared and peer.silent_until <= now
+            if peer.declared and peer.retry_at <= now
         )
-        later = [mailbox for mailbox in found if mailbox > self._turn]
-        self._turn = (later or found or [""])[0]
-        return self._turn or None
+        later = [mailbox for mailbox in found if mailbox > self._last_declared]
+        self._last_declared = (later or found or [""])[0]
+        return self._last_declared or None
 
     def dead(self) -> list[str]:
         """Returns names of declared entries unreachable at many tries."""
         return [
             peer.name
             for peer in self.table.values()
-            if peer.declared and peer.silence >= LONGEST_SILENCE_SECONDS
+            if peer.declared and peer.backoff >= MAX_BACKOFF_SECONDS
         ]
 
     def rank(self, now: float, *, everywhere: bool = False) -> int:
@@ -197,13 +197,13 @@
             rest = [p for p in usable if p not in chosen]
         return chosen + self._random.sample(rest, min(far, len(rest)))
 
-    def _counts(self, peer: Peer, now: float) -> bool:
-        lately = now - peer.heard < HEARD_SECONDS
-        return peer.declared or lately or peer.mailbox in self.seeds
+    def _is_known(self, peer: Peer, now: float) -> bool:
+        recently = now - peer.last_seen < UNDECLARED_PEER_SECONDS
+        return peer.declared or recently or peer.mailbox in self.seeds
 
-    def _make_room(self, now: float) -> None:
-        if len(self.table) < MOST_HEARD:
+    def _evict_unknown(self, now: float) -> None:
+        if len(self.table) < MAX_PEERS:
             return
-        old = [m for m, p in self.table.items() if not self._counts(p, now)]
+        old = [m for m, p in self.table.items() if not self._is_known(p, now)]
         for mailbox in old:
             del self.table[mailbox]
--- a/pimentoledge/decisions/registration.py
+++ b/pimentoledge/decisions/registration.py
@@ -14,8 +14,8 @@
 
 # Two processes with one name would take the declaration from each other for
 # ever; each waits twice as long before its next write.
-SHORTEST_PAUSE_SECONDS = 5.0
-LONGEST_PAUSE_SECONDS = 320.0
+MIN_PAUSE_SECONDS = 5.0
+MAX_PAUSE_SECONDS = 320.0
 
 
 class Registration:
@@ -43,17 +43,17 @@
         self._random = random.Random(seed)
         self._write: stores.Write | None = None
         self._retry = float("-inf")
-        self._pause = SHORTEST_PAUSE_SECONDS
+        self._pause = MIN_PAUSE_SECONDS
 
-    def turn(self, address: str, now: float) -> list[actions.Action]:
+    def write_if_due(self, address: str, now: float) -> list[actions.Action]:
         """Writes the declaration when it is due.
 
         Args:
             address: the entry's mailbox.
             now: the time.
         """
-        waits = self._write is not None or now < self._retry
-        if self.retired or waits or not self.configuration.is_whole():
+        waiting = self._write is not None or now < self._retry
+        if self.retired or waiting or not self.configuration.is_whole():
             return []
         wanted = declarations.EntryNode(
             name=self.name, mailbox=address, data_centre=self.data_centre
@@ -64,7 +64,7 @@
         if found == wanted:
             return []
         self._retry = now + self._pause
-        self._pause = min(self._pause * 2, LONGEST_PAUSE_SECONDS)
+        self._pause = min(self._pause * 2, MAX_PAUSE_SECONDS)
         return self._call(self.name, declarations.encode(wanted))
 
     def forget(self, name: str) -> list[actions.Action]:
@@ -99,7 +99,7 @@
             case _:
                 # Down or lost; a lost one that took effect comes by the
                 # watch, before the next try.
-                pause = self._random.uniform(1, 2) * SHORTEST_PAUSE_SECONDS
+                pause = self._random.uniform(1, 2) * MIN_PAUSE_SECONDS
                 self._retry = now + pause
         return []
 
--- a/pimentoledge/decisions/subscription.py
+++ b/pimentoledge/decisions/subscription.py
@@ -13,8 +13,8 @@
 POLL_SECONDS = 4.0
 # Until an entry that is complete has answered.
 FIRST_POLL_SECONDS = 0.5
-SILENT_SECONDS = 10.0
-MOST_ENTRIES = 16
+UNREACHABLE_SECONDS = 10.0
+MAX_ENTRIES = 16
 
 Actions = list[actions.Action]
 
@@ -45,8 +45,8 @@
         self.entries = list(seeds)
         self.runners = 0
         self._seeds = seeds
-        self._numbers: dict[int, int] = {}
-        self._silent: dict[str, float] = {}
+        self._complete_to: dict[int, int] = {}
+        self._unreachable_until: dict[str, float] = {}
         self._random = random.Random(seed)
         self._next_poll = float("-inf")
         self._complete = False
@@ -55,18 +55,20 @@
         """Takes a message of an entry, or that one can't be reached."""
         match event:
             case events.FromNode(message=messages.Changes() as changes):
-                self._take(changes)
-                self._meet(event.sender, now)
+                self._apply_changes(changes)
+                self._add_entry(event.sender, now)
             case events.FromNode(message=messages.PollAnswer() as answer):
-                return self._answered(answer, event.sender)
+                return self._on_poll_answer(answer, event.sender)
             case events.FromNode(message=messages.Fetch() as fetch):
-                return self._give(fetch, event.sender)
+                return self._answer_fetch(fetch, event.sender)
             case events.Unreachable(address=address):
-                self._silent[address] = now + SILENT_SECONDS
+                self._unreachable_until[address] = now + UNREACHABLE_SECONDS
                 # Another one is asked at once, but only while one is left
                 # that was not found dead: to ask the dead ones in turn would
                 # be hundreds of messages a second during an outage.
-                if any(each not in self._silent for each in self.entries):
+                if any(
+                    each not in self._unreachable_until for each in self.entries
+                ):
                     self._next_poll = now
         return []
 
@@ -87,39 +89,43 @@
         """Returns when `wake` is due next."""
         return self._next_poll
 
-    def _meet(self, entry: str, now: float) -> None:
+    def _add_entry(self, entry: str, now: float) -> None:
         """Polls an entry that wrote by itself, when no other one answers."""
         if self._complete or entry in self.entries:
             return
-        self.entries = [entry, *self.entries][:MOST_ENTRIES]
+        self.entries = [entry, *self.entries][:MAX_ENTRIES]
         self._next_poll = now
 
     def _usable(self, now: float) -> list[str]:
-        self._silent = {m: t for m, t in self._silent.items() if t > now}
+        self._unreachable_until = {
+            m: t for m, t in self._unreachable_until.items() if t > now
+        }
         known = list(dict.fromkeys(self.entries + self._seeds))
-        return [each for each in known if each not in self._silent] or known
+        return [
+            each for each in known if each not in self._unreachable_until
+        ] or known
 
     def _poll(self) -> messages.Poll:
         versions = [
             (path, record.version)
-            for shelf in self.configuration.shelves
-            for path, record in shelf.items()
+            for bucket_records in self.configuration.records
+            for path, record in bucket_records.items()
         ]
         held = [
             messages.Held(
                 number=number, digest=self.kept.buckets[number], known=known
             )
-            for number, known in self._numbers.items()
+            for number, known in self._complete_to.items()
         ]
         return messages.Poll(server=self.name, versions=versions, held=held)
 
-    def _take(self, changes: messages.Changes) -> None:
+    def _apply_changes(self, changes: messages.Changes) -> None:
         objects = changes.objects
         self.kept.apply(
             [
                 each
                 for each in objects
-                if configuration.bucket_of(each.path) in self._numbers
+                if configuration.bucket_of(each.path) in self._complete_to
             ],
             from_store=False,
         )
@@ -132,7 +138,7 @@
         self.configuration.apply(
             [each for each in objects if each.path in wanted], from_store=False
         )
-        self._mark(changes.done)
+        self._mark_complete(changes.done)
         # All that the entry has of a bucket is here, and yet it differs: the
         # entry knows of a deletion that left no tombstone. What is kept is
         # only a copy, so it is fetched anew.
@@ -140,20 +146,22 @@
             if self.kept.buckets[each.number] != each.digest:
                 self.kept.clear_bucket(each.number)
 
-    def _answered(self, answer: messages.PollAnswer, sender: str) -> Actions:
+    def _on_poll_answer(
+        self, answer: messages.PollAnswer, sender: str
+    ) -> Actions:
         if answer.known < 0:
             # An entry that has just started knows nothing to be asked for.
             return []
         self._complete = True
-        self.entries = answer.entries[:MOST_ENTRIES]
+        self.entries = answer.entries[:MAX_ENTRIES]
         self.runners = answer.runners
         wanted = {each.number for each in answer.held}
-        for number in self._numbers.keys() - wanted:
+        for number in self._complete_to.keys() - wanted:
             self.kept.clear_bucket(number)
-            del self._numbers[number]
+            del self._complete_to[number]
         for each in answer.held:
-            self._numbers.setdefault(each.number, configuration.UNKNOWN)
-        self._mark(answer.held)
+            self._complete_to.setdefault(each.number, configuration.UNKNOWN)
+        self._mark_complete(answer.held)
         differ = [
             each.number
             for each in answer.held
@@ -168,18 +176,20 @@
         fetch = messages.Fetch(buckets=buckets, answer=False)
         return [actions.Send(address=sender, message=fetch)]
 
-    def _mark(self, held: list[messages.Held]) -> None:
+    def _mark_complete(self, held: list[messages.Held]) -> None:
         for each in held:
             same = self.kept.buckets[each.number] == each.digest
-            if each.number in self._numbers and same:
-                known = max(self._numbers[each.number], each.known)
-                self._numbers[each.number] = known
+            if each.number in self._complete_to and same:
+                known = max(self._complete_to[each.number], each.known)
+                self._complete_to[each.number] = known
 
-    def _give(self, fetch: messages.Fetch, sender: str) -> Actions:
-        fetch.buckets = [b for b in fetch.buckets if b.number in self._numbers]
+    def _answer_fetch(self, fetch: messages.Fetch, sender: str) -> Actions:
+        fetch.buckets = [
+            b for b in fetch.buckets if b.number in self._complete_to
+        ]
         if not fetch.buckets:
             return []
-        known = min(self._numbers[b.number] for b in fetch.buckets)
+        known = min(self._complete_to[b.number] for b in fetch.buckets)
         return [
             actions.Send(address=sender, message=part)
             for part in bucket_repairs.answers(self.kept, fetch, known=known)
--- a/pimentoledge/decisions/updates.py
+++ b/pimentoledge/decisions/updates.py
@@ -31,8 +31,8 @@
 from pimentoledge.decisions import stores
 from pimentoledge.decisions import validation
 
-MOST_RUNNING = 64
-LIMIT_SECONDS = 8.0
+MAX_RUNNING = 64
+UPDATE_TIMEOUT_SECONDS = 8.0
 RETRY_SECONDS = 0.25
 
 
@@ -123,7 +123,7 @@
         if event.expected is None:
             code = results.Code.PRECONDITION_NEEDED
             return [refusal(event.request, results.Error(code=code))]
-        if len(self.running) >= MOST_RUNNING:
+        if len(self.running) >= MAX_RUNNING:
             code = results.Code.OVERLOADED
             return [refusal(event.request, results.Error(code=code))]
         kind = documents.KINDS[event.kind]
@@ -133,10 +133,10 @@
             kind=kind,
             path=declarations.PREFIXES[kind] + event.name,
             write_id=f"{self.name}.{self._random.getrandbits(128):032x}",
-            ends=now + LIMIT_SECONDS,
+            ends=now + UPDATE_TIMEOUT_SECONDS,
         )
         known = self.configuration.newest(update.path)
-        if known is not None and _excludes(known, event.expected):
+        if known is not None and _rules_out(known, event.expected):
             return [_conflict(update, known)]
         if event.method == "PUT":
             match documents.read_body(event.body).bind(
@@ -166,7 +166,7 @@
             case Step.READ_BACK:
                 return self._on_read_back(update, answer, now)
             case Step.READ_BACK_HISTORY:
-                return self._on_history_back(update, answer, now)
+                return self._on_history_read_back(update, answer, now)
         return []
 
     def wake(self, now: float) -> list[actions.Action]:
@@ -225,7 +225,7 @@
     ) -> result.Result[declarations.Declaration, list[validation.Fault]]:
         match documents.parse(update.kind, update.event.name, fields):
             case result.Success(declaration):
-                faults = self._taken_keys(declaration)
+                faults = self._duplicate_keys(declaration)
             case failure:
                 return failure
         if faults:
@@ -234,7 +234,7 @@
         update.value = declarations.encode(declaration, change)
         return result.Success(declaration)
 
-    def _taken_keys(
+    def _duplicate_keys(
         self, declaration: declarations.Declaration
     ) -> list[validation.Fault]:
         if not isinstance(declaration, declarations.Contract):
@@ -354,8 +354,8 @@
         update.current = _live(answer)
         if update.current_version() == update.event.expected:
             return self._write(update)
-        gone = update.value is None and update.current is None
-        if gone and update.uncertain:
+        deleted = update.value is None and update.current is None
+        if deleted and update.uncertain:
             # Deleted, by this update or by another one at the same time.
             version = 0 if stored is None else stored.version
             return self._accept(update, version, now)
@@ -364,7 +364,7 @@
         path = histories.path_of(update.path)
         return self._read(update, Step.READ_BACK_HISTORY, path)
 
-    def _on_history_back(
+    def _on_history_read_back(
         self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         if not _was_read(answer):
@@ -375,8 +375,8 @@
             if former.write_id == update.write_id:
                 return self._accept(update, former.version, now)
         # A deletion leaves no former version, so its trace is not there.
-        traced = update.value is not None
-        if traced and history.reaches(update.event.expected):
+        in_history = update.value is not None
+        if in_history and history.reaches(update.event.expected):
             return self._end(update, _conflict(update, update.current))
         return self._fail(update, results.Code.UNCONFIRMED)
 
@@ -388,8 +388,8 @@
         )
         # This entry tells the others by itself, and so an accepted update
         # spreads though the store goes down or its watch drops the entry.
-        told = self.distributor.publish([accepted], now) if version else []
-        return told + self._end(update, _accepted(update, version))
+        announced = self.distributor.publish([accepted], now) if version else []
+        return announced + self._end(update, _accepted(update, version))
 
     def _retry_later(self, update: Update, now: float) -> list[actions.Action]:
         update.step = Step.RETRY
@@ -461,7 +461,7 @@
     return reply
 
 
-def _excludes(known: stores.Object, expected: int) -> bool:
+def _rules_out(known: stores.Object, expected: int) -> bool:
     """Tells whether a known version makes the condition surely false."""
     if expected:
         return known.version > expected
--- a/pimentoledge/decisions/watching.py
+++ b/pimentoledge/decisions/watching.py
@@ -18,7 +18,7 @@
 SHORTEST_SWEEP_SECONDS = 10.0
 SWEEP_OBJECTS_PER_SECOND = 20.0
 # New objects of one answer that are returned; the rest is applied and dropped.
-MOST_FRESH = 65
+MAX_FRESH = 65
 
 
 class Watching:
@@ -49,7 +49,7 @@
         """Returns whether a scan or watch is waiting for its answer."""
         return bool(self._call)
 
-    def turn(
+    def due_calls(
         self, now: float, *, duty: bool, sweeper: bool
     ) -> list[actions.Action]:
         """Makes the calls that are due.
@@ -64,7 +64,7 @@
         calls: list[stores.Call] = []
         if duty and not self.busy() and now >= self._retry:
             self.attempted = now
-            calls.append(self._follow())
+            calls.append(self._next_call())
         if duty and sweeper and self._sweep_due(now):
             self._sweep = self._new_id("sweep")
             calls.append(
@@ -88,7 +88,7 @@
         """
         if answer.call == self._sweep:
             self._sweep = ""
-            self._plan_sweep(now)
+            self._schedule_sweep(now)
             return self._scanned(answer) if _read(answer) else None
         if answer.call != self._call:
             return None
@@ -102,7 +102,7 @@
         return self._scanned(answer) if scanned else self._watched(answer)
 
     def next_wake(self, *, duty: bool, sweeper: bool) -> float | None:
-        """Returns when `turn` is due next."""
+        """Returns when `due_calls` is due next."""
         times = []
         if duty and not self.busy():
             times.append(self._retry)
@@ -110,7 +110,7 @@
             times.append(self._next_sweep)
         return min(times, default=None)
 
-    def _follow(self) -> stores.Call:
+    def _next_call(self) -> stores.Call:
         if not self.configuration.is_whole():
             self._call = self._new_id("scan")
             return stores.Scan(call=self._call, prefix=declarations.ROOT)
@@ -135,7 +135,7 @@
         up_to_date = answer.version >= view.floor
         # A watch that dropped a deletion shows here: the store no longer has
         # an object that is still in force.
-        gone = view.absent(answer.objects, answer.version)
+        gone = view.missed_deletions(answer.objects, answer.version)
         fresh = self._apply(answer.objects, from_store=up_to_date)
         fresh += self._apply(gone, from_store=False)
         view.raise_floor(answer.version)
@@ -155,7 +155,7 @@
             if not view.is_newer(each, from_store=from_store):
                 continue
             view.apply([each], from_store=from_store)
-            if len(fresh) < MOST_FRESH:
+            if len(fresh) < MAX_FRESH:
                 fresh.append(each)
         return fresh
 
@@ -169,10 +169,10 @@
         if self._sweep:
             return False
         if self._next_sweep is None:
-            self._plan_sweep(now)
+            self._schedule_sweep(now)
         return now >= self._next_sweep
 
-    def _plan_sweep(self, now: float) -> None:
+    def _schedule_sweep(self, now: float) -> None:
         size = len(self.configuration.paths) / SWEEP_OBJECTS_PER_SECOND
         self._next_sweep = now + max(SHORTEST_SWEEP_SECONDS, size)
 
--- a/pimentoledge/tests/fuzz/mutations.py
+++ b/pimentoledge/tests/fuzz/mutations.py
@@ -535,7 +535,7 @@
 
 def keep_copies(monkeypatch):
     """Makes agents give nobody the declarations that they have."""
-    monkeypatch.setattr(subscription.Subscriber, "_give", lambda *_: [])
+    monkeypatch.setattr(subscription.Subscriber, "_answer_fetch", lambda *_: [])
 
 
 def all_restart(driver):
--- a/pimentoledge/tests/test_configuration.py
+++ b/pimentoledge/tests/test_configuration.py
@@ -89,7 +89,7 @@
     The deletion's tombstone is dropped for want of room; then a node that
     was cut off since before the deletion tells of the contract it still has.
     """
-    monkeypatch.setattr(configuration, "MOST_TOMBSTONES", 2)
+    monkeypatch.setattr(configuration, "MAX_TOMBSTONES", 2)
     view = configuration.Configuration()
     view.apply([stored(contract(), 3), deleted(PATH, 4)])
     for version in range(5, 9):
--- a/pimentoledge/tests/test_outages.py
+++ b/pimentoledge/tests/test_outages.py
@@ -267,5 +267,5 @@
 
 
 def paths_kept(core):
-    shelves = core.subscriber.kept.shelves
-    return {path for shelf in shelves for path in shelf}
+    records = core.subscriber.kept.records
+    return {path for shelf in records for path in shelf}
