--- a/pimentoledge/decisions/bucket_repairs.py
+++ b/pimentoledge/decisions/bucket_repairs.py
@@ -1,4 +1,4 @@
-"""Repairing the difference between two nodes, bucket by bucket."""
+"""Anti-entropy: repairs differences between two nodes bucket by bucket."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 from pimentoledge.decisions import stores
 from pimentoledge.nodes import configuration_messages as messages
 
-# Buckets asked for in one message.
+# Buckets requested in one message.
 FETCHED_TOGETHER = 16
-# Bytes of values in one message.
+# Bytes of paths and values after which an answer continues in another message.
 MESSAGE_BYTES = 200_000
-# A node that answered nothing for so long is not waited for.
+# A repair ends when the other node has not answered for this long.
 REPAIR_TIMEOUT_SECONDS = 2.0
-# Snapshots that an entry that starts takes at one time.
+# Concurrent snapshots that a starting entry fetches.
 MAX_SNAPSHOTS = 2
 
 Actions = list[actions.Action]
@@ -22,7 +22,7 @@
 def bucket_fingerprints(
     view: configuration.Configuration, number: int
 ) -> messages.Bucket:
-    """Returns what a node has in a bucket, as fingerprints."""
+    """Returns the fingerprints of a node's objects in a bucket."""
     bucket_records = view.records[number]
     fingerprints = [
         configuration.fingerprint(path, record.version)
@@ -34,7 +34,7 @@
 def missing(
     view: configuration.Configuration, bucket: messages.Bucket
 ) -> list[stores.Object]:
-    """Returns what another node lacks of a bucket."""
+    """Returns the objects of a bucket that another node does not have."""
     theirs = set(bucket.fingerprints)
     return [
         each
@@ -49,12 +49,12 @@
     *,
     known: int,
 ) -> list[messages.Changes]:
-    """Returns the answer to a fetch, in messages of a bounded size.
+    """Returns the answer to a fetch, split into messages of bounded size.
 
     Args:
-        view: where the objects are.
-        fetch: what is asked for.
-        known: revision up to which those buckets are complete.
+        view: the configuration that the objects are read from.
+        fetch: the requested buckets, with the requester's fingerprints.
+        known: revision up to which the requested buckets are complete.
     """
     parts = [messages.Changes(objects=[])]
     size = 0
@@ -81,10 +81,10 @@
     """Buckets that are being fetched from another node.
 
     Attributes:
-        left: bucket numbers still to ask for.
+        left: numbers of the buckets that are not requested yet.
         floor: the other node's floor.
-        full: whether every bucket is fetched, with all deletions.
-        ends: when it counts as broken off.
+        full: whether this is a snapshot: every bucket, with all deletions.
+        ends: time at which the repair has timed out.
     """
 
     left: list[int]
@@ -94,13 +94,13 @@
 
 
 class BucketRepairs:
-    """The repairs of one entry.
+    """The running repairs of one entry.
 
     Attributes:
-        configuration: what is in force here.
+        configuration: this entry's configuration.
         repairs: Repair by the other node's mailbox.
-        whole: while this entry is not complete itself, the revision up to
-            which a bucket is, by its number.
+        whole: while this entry is not complete, the revision up to which a
+            bucket is complete, by bucket number.
     """
 
     def __init__(self, *, view: configuration.Configuration):
@@ -109,15 +109,15 @@
         self.whole: dict[int, int] = {}
 
     def busy(self, now: float) -> bool:
-        """Returns whether a repair makes progress."""
+        """Returns whether any repair has not timed out."""
         return any(now < each.ends for each in self.repairs.values())
 
     def snapshots(self, now: float) -> int:
-        """Returns how many snapshots make progress."""
+        """Returns the number of snapshots that have not timed out."""
         return sum(r.full and now < r.ends for r in self.repairs.values())
 
     def abandon(self, mailbox: str) -> None:
-        """Gives up a repair with a node that can't be reached."""
+        """Abandons the repair with a node that is unreachable."""
         self.repairs.pop(mailbox, None)
 
     def summary(
@@ -133,17 +133,18 @@
         return summary
 
     def compare(self, digest: messages.Digest | messages.Summary) -> None:
-        """Learns how far it is complete from a node that has the same."""
+        """Adopts `known` and the floor of a node with the same objects."""
         view = self.configuration
         if view.is_whole() and view.root == digest.root:
             view.known = max(view.known, digest.known)
-            # What is in neither of the two is gone, as the other one knows.
+            # An object that neither node has was deleted, up to the other
+            # node's floor.
             view.raise_floor(digest.floor)
 
     def start(
         self, summary: messages.Summary, sender: str, now: float
     ) -> Actions:
-        """Fetches what differs from a node, after its summary."""
+        """Fetches the buckets that differ from a node's summary."""
         self.compare(summary)
         view = self.configuration
         running = self.repairs.get(sender)
@@ -158,7 +159,8 @@
         if full and self.snapshots(now) >= MAX_SNAPSHOTS:
             return []
         if full:
-            # The digests cover what is live; deletions are wanted too.
+            # The digests cover only live objects; a snapshot also needs the
+            # deletions.
             numbers += [
                 number
                 for number in range(configuration.BUCKETS)
@@ -176,17 +178,17 @@
     def on_changes(
         self, changes: messages.Changes, sender: str, now: float
     ) -> Actions:
-        """Goes on after the answer to a fetch has been applied."""
+        """Continues a repair after the answer to a fetch was applied."""
         if not changes.done:
             return []
         self.mark_complete(changes.done)
         repair = self.repairs.get(sender)
         if repair is None:
             return []
-        # The other node has restarted since its summary, and now gives what
-        # it has, which may be nothing. To raise the floor after that would
-        # make all objects count as deleted here, so that no other node's were
-        # taken and this entry never became complete.
+        # The other node has restarted since its summary and may have sent
+        # nothing. Raising the floor would mark all objects as deleted here,
+        # so that this entry would accept none from other nodes and never
+        # become complete.
         if repair.full and any(each.known < 0 for each in changes.done):
             del self.repairs[sender]
             return []
@@ -198,7 +200,7 @@
         return []
 
     def answer_fetch(self, fetch: messages.Fetch, sender: str) -> Actions:
-        """Answers a fetch, and asks back for what is missing here."""
+        """Answers a fetch, and fetches the objects that are missing here."""
         view = self.configuration
         todo: Actions = [
             actions.Send(address=sender, message=part)
@@ -214,7 +216,7 @@
     def fetch_from_agent(
         self, held: list[messages.Held], sender: str
     ) -> Actions:
-        """Takes from an agent's buckets while this entry is not complete."""
+        """Fetches an agent's buckets while this entry is not complete."""
         view = self.configuration
         if view.is_whole():
             return []
@@ -229,12 +231,12 @@
         return [self.fetch(sender, differ, answer=False)]
 
     def mark_complete(self, held: list[messages.Held]) -> None:
-        """Notes the buckets that are complete here since another's are."""
+        """Records buckets that equal a complete copy at another node."""
         view = self.configuration
         if view.is_whole():
             return
-        # The digest is compared, as a message with a part of the bucket may
-        # have been lost on the way.
+        # The digest is compared because a message with part of the bucket
+        # may have been lost.
         for each in held:
             if each.known >= 0 and view.buckets[each.number] == each.digest:
                 self.whole[each.number] = each.known
@@ -244,14 +246,14 @@
         return len(self.whole) == configuration.BUCKETS
 
     def finish(self) -> None:
-        """Makes the configuration complete, once every bucket is."""
+        """Marks the configuration complete; every bucket must be."""
         self.configuration.known = min(self.whole.values())
         self.whole.clear()
 
     def fetch(
         self, mailbox: str, numbers: list[int], *, answer: bool
     ) -> actions.Send:
-        """Returns a fetch of some buckets."""
+        """Returns the message that fetches some buckets."""
         view = self.configuration
         own = [bucket_fingerprints(view, number) for number in numbers]
         fetch = messages.Fetch(buckets=own, answer=answer)
--- a/pimentoledge/decisions/configuration.py
+++ b/pimentoledge/decisions/configuration.py
@@ -1,11 +1,11 @@
-"""What is in force at one node: the newest version of every declaration.
+"""The configuration of one node: the newest version of every declaration.
 
-A node may hear of the changes in any order, twice, and from several others.
-It keeps the highest version per object and a tombstone for each deletion, so
-nothing that was in force ever comes back by an older message.
+A node may receive changes in any order, more than once and from several
+nodes. It keeps the highest version per object and a tombstone for each
+deletion, so an older message never reverts a change.
 
-Values are kept compressed, as they were stored. Contracts, of which there are
-many, are decoded when they are asked for; the few hot ones stay decoded.
+Values are kept compressed. Contracts, of which there are many, are decoded on
+access; recently decoded ones are cached.
 """
 
 from collections import abc
@@ -23,15 +23,15 @@
 from pimentoledge.decisions import validation
 
 BUCKETS = 256
-# A revision that stands for "not complete up to any".
+# Value of `known` while the node is not complete up to any revision.
 UNKNOWN = -1
 MAX_DECODED = 2048
 MAX_TOMBSTONES = 20_000
 _CONTRACTS = declarations.PREFIXES[declarations.Contract]
 
 
-# Text that most values contain, so that even a short one shrinks; it is never
-# sent or stored, so a release may change it.
+# Preset dictionary of text that most values contain, so that even short values
+# compress. It is never sent or stored, so a release may change it.
 _ZLIB_DICTIONARY = b"".join(
     declarations.encode(each)
     for each in (
@@ -59,11 +59,11 @@
 
 @attrs.frozen(kw_only=True, weakref_slot=False)
 class ObjectRecord:
-    """What is kept of one object.
+    """The newest version of one object, with its value compressed.
 
     Attributes:
-        version: its version.
-        packed: its value, compressed; None for a deletion.
+        version: the object's version.
+        packed: the compressed value; None for a deletion.
     """
 
     version: int
@@ -71,7 +71,7 @@
 
 
 def bucket_of(path: str) -> int:
-    """Returns the number of the digest bucket that a path falls in."""
+    """Returns the number of the digest bucket that a path belongs to."""
     return xxhash.xxh3_64_intdigest(path.encode()) % BUCKETS
 
 
@@ -98,7 +98,7 @@
 def decode(
     path: str, stored: stores.Object
 ) -> result.Result[declarations.Declaration, results.Error]:
-    """Reads a stored declaration and checks its values."""
+    """Decodes a stored declaration and validates its values."""
     match declarations.decode(path, stored):
         case result.Success(declaration):
             faults = validation.faults(declaration)
@@ -113,12 +113,12 @@
 
 @attrs.define(kw_only=True)
 class Rejection:
-    """A newest version that could not be taken into force.
+    """A newest version that is invalid and therefore not in force.
 
     Attributes:
         path: the object's path.
         version: the version that was rejected.
-        error: why.
+        error: the reason.
     """
 
     path: str
@@ -127,12 +127,12 @@
 
 
 class Contracts(abc.Mapping):
-    """The contracts in force by organisation, decoded on use.
+    """The contracts in force by organisation, decoded on access.
 
     Attributes:
-        configuration: where they come from.
-        decoded: those that were asked for lately.
-        count: how many there are.
+        configuration: the configuration that stores the contracts.
+        decoded: cache of decoded contracts by organisation.
+        count: number of contracts.
     """
 
     def __init__(self, *, configuration: "Configuration"):
@@ -172,18 +172,19 @@
     """The newest version of every declaration, with indexes.
 
     Attributes:
-        version: highest version seen, of any object.
-        known: revision of the store up to which every object was once seen
-            whole, from a scan or from a node that had; UNKNOWN while this
-            node may lack objects.
-        paths: the paths that are in force.
+        version: highest version received, of any object.
+        known: revision of the store up to which this node is complete, from
+            a scan or from a complete node; UNKNOWN while objects may be
+            missing.
+        paths: paths of the declarations in force.
         contracts: Contract by organisation.
-        rejections: by path, what was too bad to be taken into force.
+        rejections: Rejection by path.
         buckets: digest of each bucket's live objects and their versions.
-        root: digest of them all.
-        floor: up to this version an object that is not here was deleted;
-            proven by a scan, here or at a node that had the same.
-        shelves: newest ObjectRecord by path, in each bucket.
+        root: digest of all buckets.
+        floor: an object that is not here and whose version is at most this
+            was deleted; proven by a scan, here or at a node with the same
+            objects.
+        records: for each bucket, the newest ObjectRecord by path.
     """
 
     def __init__(self):
@@ -210,23 +211,24 @@
         self._operators = key_indexes.KeyIndex()
         self._tombstones: dict[str, int] = {}
         self.floor = 0
-        # As the floor, but without a scan that proves it: an object below is
-        # not taken from another node, and not called deleted either.
+        # Like the floor, but not proven by a scan: an absent object at or
+        # below it is not accepted from another node, and not reported as
+        # deleted either.
         self._unproven_floor = 0
 
     def is_whole(self) -> bool:
-        """Returns whether this node lacks nothing up to some revision."""
+        """Returns whether this node is complete up to some revision."""
         return self.known != UNKNOWN
 
     def apply(
         self, objects: list[stores.Object], *, from_store: bool = True
     ) -> list[str]:
-        """Takes objects into force where they are newer.
+        """Applies the objects that are newer than the local ones.
 
         Args:
             objects: objects of the store; a value of None is a deletion.
             from_store: whether they were just read by a scan of the store,
-                which never gives what was deleted before.
+                which never returns objects that were deleted before it.
 
         Returns:
             The paths whose declaration in force changed.
@@ -238,13 +240,13 @@
         return changed
 
     def is_newer(self, stored: stores.Object, *, from_store: bool) -> bool:
-        """Returns whether an object is newer than what is here."""
+        """Returns whether an object is newer than the local version."""
         old = self.records[bucket_of(stored.path)].get(stored.path)
         if old is not None:
             return stored.version > old.version
-        # Its deletion may have been forgotten here. A node that was cut off
-        # meanwhile still has the object and would bring it back into force;
-        # the store would not.
+        # The tombstone of its deletion may have been dropped here. A node
+        # that was partitioned meanwhile still has the object and would bring
+        # it back into force; the store would not.
         return from_store or stored.version > max(
             self.floor, self._unproven_floor
         )
@@ -252,11 +254,12 @@
     def known_deletions(
         self, objects: list[stores.Object]
     ) -> list[stores.Object]:
-        """Returns deletions of objects that are known to be gone.
+        """Returns deletions for those objects that are known to be deleted.
 
-        What is not here, and not newer than the floor, was not in the store
-        when that was scanned. The node that still has it may never hear of
-        the deletion otherwise: the scan left no tombstone of it anywhere.
+        An object that is absent here and not newer than the floor was absent
+        from the store when it was scanned. A node that still has it may
+        never receive the deletion otherwise, since a scan creates no
+        tombstone.
         """
         return [
             stores.Object(path=each.path, version=self.floor, value=None)
@@ -269,11 +272,11 @@
     def missed_deletions(
         self, objects: list[stores.Object], revision: int
     ) -> list:
-        """Returns deletions of what the store no longer has.
+        """Returns deletions of local objects that the store no longer has.
 
         Args:
             objects: all objects of the store.
-            revision: the store's revision when it gave them.
+            revision: the store's revision when it returned them.
         """
         present = {each.path for each in objects}
         return [
@@ -286,9 +289,9 @@
         ]
 
     def raise_floor(self, revision: int) -> None:
-        """Notes that nothing is missing here up to a revision.
+        """Records that nothing is missing here up to a revision.
 
-        Tombstones up to there need not be kept any more.
+        Tombstones up to that revision are dropped.
         """
         self.floor = max(self.floor, revision)
         old = [p for p, v in self._tombstones.items() if v <= self.floor]
@@ -297,7 +300,7 @@
             del self.records[bucket_of(path)][path]
 
     def clear_bucket(self, number: int) -> None:
-        """Forgets one bucket; for a node that only keeps some of them."""
+        """Drops one bucket, at a node that keeps only some of them."""
         for path, record in list(self.records[number].items()):
             gone = stores.Object(
                 path=path, version=record.version + 1, value=None
@@ -307,7 +310,7 @@
             del self.records[number][path]
 
     def newest(self, path: str) -> stores.Object | None:
-        """Returns the newest object at a path, also a deleted one."""
+        """Returns the newest object at a path, including a deletion."""
         record = self.records[bucket_of(path)].get(path)
         return None if record is None else _object(path, record)
 
@@ -325,7 +328,7 @@
         return self._others[kind].get(name)
 
     def page(self, kind: type, *, after: str, limit: int | None) -> list[str]:
-        """Returns names of a kind, in order, that come behind a name."""
+        """Returns the sorted names of a kind that follow the name `after`."""
         prefix = declarations.PREFIXES[kind]
         behind = prefix + after if after else ""
         paths = self.paths.below(prefix, after=behind, limit=limit)
@@ -366,14 +369,14 @@
         return self._others[declarations.Service].get(name)
 
     def entries(self) -> list[declarations.EntryNode]:
-        """Returns the declared entry processes."""
+        """Returns the declared entries."""
         return list(self._others[declarations.EntryNode].values())
 
     def bucket(self, number: int) -> list[stores.Object]:
-        """Returns all that a node needs to hold one bucket as this one does.
+        """Returns all objects that another node needs to copy one bucket.
 
-        Where the newest version was rejected this gives the older one, that
-        is in force, too.
+        Where the newest version was rejected, the result also has the older
+        version that is in force.
         """
         fallbacks = [
             each
@@ -421,9 +424,9 @@
         before: stores.Object | None,
         error: results.Error,
     ) -> None:
-        # A value that no release should have written, or one of a newer
-        # release: the node would lose a contract that is in use. The older
-        # valid value stays in force until there is a newer valid one.
+        # The value is invalid, or written by a newer release. Dropping the
+        # older one would lose a contract that is in use, so it stays in force
+        # until a newer valid version arrives.
         self._tombstones.pop(path, None)
         if before is not None:
             self._fallbacks[path] = before
--- a/pimentoledge/decisions/watching.py
+++ b/pimentoledge/decisions/watching.py
@@ -1,4 +1,4 @@
-"""Following the store: which calls a watcher makes, and what they tell."""
+"""Scans and watches of the store by which an entry follows its changes."""
 
 import random
 
@@ -8,26 +8,28 @@
 from pimentoledge.decisions import stores
 
 WATCH_SECONDS = 10.0
-# Changes that come close together are told by one call.
+# Pause between two watches, so that one answer carries changes that follow
+# each other closely.
 PAUSE_SECONDS = 0.1
 SHORTEST_RETRY_SECONDS = 0.25
-# Bounds how late a change is heard of after the store was down.
+# Bounds the delay of a change after the store was down.
 LONGEST_RETRY_SECONDS = 2.0
-# A sweep reads everything again. Its pause grows with what there is to read,
-# so that its bytes per second are bounded.
+# A sweep scans all objects again. Its interval grows with their number, which
+# bounds the bytes read per second.
 SHORTEST_SWEEP_SECONDS = 10.0
 SWEEP_OBJECTS_PER_SECOND = 20.0
-# New objects of one answer that are returned; the rest is applied and dropped.
+# At most this many new objects of one answer are returned; the others are
+# applied only.
 MAX_FRESH = 65
 
 
 class Watching:
-    """The calls of one watcher, one at a time beside a sweep.
+    """Calls the store for changes, one call at a time beside a sweep.
 
     Attributes:
-        configuration: what is known here.
-        attempted: when the store was last called for changes.
-        failures: calls in a row that got no answer.
+        configuration: the configuration that the answers are applied to.
+        attempted: time of the last scan or watch, sweeps excluded.
+        failures: number of consecutive calls that failed.
     """
 
     def __init__(
@@ -50,22 +52,22 @@
         return bool(self._call)
 
     def due_calls(
-        self, now: float, *, duty: bool, sweeper: bool
+        self, now: float, *, watcher: bool, sweeper: bool
     ) -> list[actions.Action]:
-        """Makes the calls that are due.
+        """Returns the calls that are due.
 
         Args:
             now: the time.
-            duty: whether this node is one of the watchers.
-            sweeper: whether it is the one that sweeps.
+            watcher: whether this node watches the store.
+            sweeper: whether this node is the one that sweeps.
         """
         if self.busy():
             self.attempted = now
         calls: list[stores.Call] = []
-        if duty and not self.busy() and now >= self._retry:
+        if watcher and not self.busy() and now >= self._retry:
             self.attempted = now
             calls.append(self._next_call())
-        if duty and sweeper and self._sweep_due(now):
+        if watcher and sweeper and self._sweep_due(now):
             self._sweep = self._new_id("sweep")
             calls.append(
                 stores.Scan(call=self._sweep, prefix=declarations.ROOT)
@@ -75,16 +77,15 @@
     def handle(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[stores.Object] | None:
-        """Takes an answer of the store.
+        """Applies an answer of the store.
 
         Args:
             answer: the answer.
             now: the time.
 
         Returns:
-            The objects that were new here, now applied, at most MOST_FRESH of
-            them; None when the answer is not to a call of this machine or
-            brought nothing.
+            At most MAX_FRESH of the new objects, which are all applied; None
+            when the answer is to another component's call or the call failed.
         """
         if answer.call == self._sweep:
             self._sweep = ""
@@ -101,12 +102,12 @@
         self._retry = now + PAUSE_SECONDS
         return self._scanned(answer) if scanned else self._watched(answer)
 
-    def next_wake(self, *, duty: bool, sweeper: bool) -> float | None:
+    def next_wake(self, *, watcher: bool, sweeper: bool) -> float | None:
         """Returns when `due_calls` is due next."""
         times = []
-        if duty and not self.busy():
+        if watcher and not self.busy():
             times.append(self._retry)
-        if duty and sweeper and not self._sweep and self._next_sweep:
+        if watcher and sweeper and not self._sweep and self._next_sweep:
             times.append(self._next_sweep)
         return min(times, default=None)
 
@@ -123,8 +124,8 @@
         )
 
     def _watched(self, answer: stores.StoreAnswer) -> list[stores.Object]:
-        # Not as from a scan: a watch's answer that comes late, behind one of
-        # a scan, may hold an object that the scan no longer found.
+        # Not treated as a scan: a late watch answer that arrives after a
+        # scan's may contain an object that the scan no longer found.
         fresh = self._apply(answer.objects, from_store=False)
         known = self.configuration.known
         self.configuration.known = max(known, answer.version)
@@ -133,8 +134,8 @@
     def _scanned(self, answer: stores.StoreAnswer) -> list[stores.Object]:
         view = self.configuration
         up_to_date = answer.version >= view.floor
-        # A watch that dropped a deletion shows here: the store no longer has
-        # an object that is still in force.
+        # Detects deletions that a watch dropped: objects that are still in
+        # force here and no longer in the store.
         gone = view.missed_deletions(answer.objects, answer.version)
         fresh = self._apply(answer.objects, from_store=up_to_date)
         fresh += self._apply(gone, from_store=False)
@@ -147,9 +148,9 @@
     ) -> list[stores.Object]:
         view = self.configuration
         fresh = []
-        # Taken from the end one by one, so that what is kept of an object
-        # goes where the ones before it were: a scan of 36,000 would otherwise
-        # leave its own size in unused memory behind.
+        # Popped one by one, so that the records reuse the memory of objects
+        # that are already applied. Otherwise a scan of 36,000 objects leaves
+        # as much unused memory as the scan itself takes.
         while objects:
             each = objects.pop()
             if not view.is_newer(each, from_store=from_store):
