--- a/pimentoledge/decisions/distribution.py
+++ b/pimentoledge/decisions/distribution.py
@@ -1,15 +1,15 @@
-"""How one entry gets every change of the configuration, and passes it on.
+"""Distribution of configuration changes between entries, by gossip.
 
 A few entries of each data centre watch the store; more than the intended
-few are harmless. An entry that learns something new tells a few others, who
-do the same, so a change reaches nearly all in a few hops. Every second each
-entry compares digests with another one, which repairs what was lost on the
-way, and every message between processes carries its sender's newest version,
-so that one that is behind learns it at once.
-
-An entry that starts takes everything from another entry, and only when there
-is none that has it, from the store. Agents keep a few buckets each, so that
-entries that all restart while the store is down find it again.
+few are harmless. An entry sends each new change to a few others, which do the
+same, so it reaches nearly all entries in a few hops. Every second each entry
+compares digests with another one to repair lost messages, and every message
+between processes carries its sender's newest version, so that an entry that
+lags detects it at once.
+
+A starting entry copies the configuration from another entry, or scans the
+store if no entry has it. Agents keep a few buckets each, from which the
+entries recover when all of them restart while the store is down.
 """
 
 import random
@@ -32,37 +32,39 @@
 Actions = list[actions.Action]
 
 WATCHERS = 2
-# When the store was not called for changes from this data centre for so long,
-# the next entries by rank begin, one after the other.
+# When no entry of this data centre has called the store for changes for this
+# long, the entries of the next ranks begin to, one after the other.
 TAKEOVER_SECONDS = 15.0
 TAKEOVER_STEP_SECONDS = 1.0
 DIGEST_SECONDS = 1.0
-# Least time between two questions to an entry that turned out to be ahead.
+# Minimum time between two digests sent because an entry turned out to be ahead.
 BEHIND_SECONDS = 0.2
-# How long an entry that starts waits for an answer of any other one; one of a
-# lower rank, or that was told that others scan, waits longer.
+# A starting entry scans the store after this time without a repair from another
+# entry. One of a lower rank, or with an answer from an incomplete entry, waits
+# longer, since others scan.
 JOIN_SECONDS = 1.0
 LATE_JOIN_SECONDS = 4.0
 LATE_JOIN_SPREAD_SECONDS = 4.0
 ANNOUNCE_NEAR = 2
 ANNOUNCE_FAR = 1
-# More changes than this at one time are left to the digests.
+# More changes than this at a time are left to the comparison of digests.
 MAX_ANNOUNCED = watching.MAX_FRESH - 1
-# How long an entry that starts, and has everything from one entry, waits for
-# a newer version that another one has told of.
+# How long a starting entry that has a complete copy waits for a newer version
+# that another entry has announced.
 NEWER_SECONDS = 2.0
-# Objects in an answer after which memory is given back.
+# Store answers with at least this many objects are followed by a release of
+# unused memory to the operating system.
 LARGE_ANSWER = 2000
 MAX_AGE_SECONDS = 1e6
 
 
 @attrs.define(kw_only=True)
 class PeerStatus:
-    """What another entry told of itself for the status page.
+    """The last status report of another entry.
 
     Attributes:
-        tell: what it told.
-        at: when.
+        tell: the report.
+        at: time of its arrival.
     """
 
     tell: messages.StatusTell
@@ -70,20 +72,21 @@
 
 
 class Distributor:
-    """One entry's part in the distribution.
+    """Distributes the configuration on behalf of one entry.
 
     Attributes:
         name: this entry's name.
-        address: its mailbox.
-        data_centre: where it stands.
-        configuration: what is in force here; only this machine changes it.
+        address: this entry's mailbox.
+        data_centre: this entry's data centre.
+        configuration: this entry's configuration, changed only by this class
+            and its parts.
         peers: the other entries.
-        watching: its calls to the store.
-        exchange: repairs differences with another entry.
-        agents: the agents that it serves.
-        registration: declares this entry itself.
-        joining: its part in a start of many.
-        told: PeerStatus by mailbox.
+        watching: scans and watches of the store.
+        repairs: repairs of differences with other nodes.
+        agents: the agents that this entry serves.
+        registration: declaration of this entry itself.
+        joining: coordination with other starting entries.
+        peer_statuses: PeerStatus by mailbox.
     """
 
     def __init__(
@@ -136,12 +139,12 @@
 
     @address.setter
     def address(self, address: str) -> None:
-        """Sets the mailbox, once its port is known."""
+        """Sets the mailbox once its port is known."""
         self.peers.address = address
         self.agents.address = address
 
     def handle(self, event: object, now: float) -> Actions:
-        """Takes a message, an answer of the store, or a fault of a peer."""
+        """Handles a message, a store answer, an unreachable peer or a drain."""
         match event:
             case events.FromNode():
                 todo = self._on_message(event, now) + self._request_if_behind(
@@ -154,21 +157,21 @@
             case events.Unreachable(address=address):
                 self.peers.unreachable(address, now)
                 self.repairs.abandon(address)
-                # With nobody left to ask it scans at once.
+                # Without a reachable entry, the store is scanned at once.
                 self._is_watcher = self._should_watch(now)
             case events.Drain():
                 return self.registration.retire()
         return []
 
     def wake(self, now: float) -> Actions:
-        """Does what is due."""
+        """Runs the calls, digests and notifications that are due."""
         if self._started is None:
             self._started = now
         self._finish_join(now)
         self._is_watcher = self._should_watch(now)
         self._sweeper = self.peers.rank(now, everywhere=True) == 0
         todo = self.watching.due_calls(
-            now, duty=self._is_watcher, sweeper=self._sweeper
+            now, watcher=self._is_watcher, sweeper=self._sweeper
         )
         todo += self.registration.write_if_due(self.address, now)
         todo += self.agents.introduce(now)
@@ -184,7 +187,7 @@
         if self._started is None:
             return float("-inf")
         follow = self.watching.next_wake(
-            duty=self._is_watcher, sweeper=self._sweeper
+            watcher=self._is_watcher, sweeper=self._sweeper
         )
         times = [self._next_digest, follow]
         if self.configuration.is_whole():
@@ -192,17 +195,17 @@
         return min(each for each in times if each is not None)
 
     def publish(self, objects: list[stores.Object], now: float) -> Actions:
-        """Takes objects that the store was just seen to hold, and tells all.
+        """Applies and announces objects that the store has just confirmed.
 
-        The agents that keep the objects' buckets are told at once as well: if
-        this process and then every other entry is lost while the store is
-        down, they are the only ones that have what was accepted here.
+        The agents that keep the objects' buckets are notified at once as
+        well. If this process and then every other entry is lost while the
+        store is down, only they have the accepted objects.
         """
         keepers = self.agents.notify_keepers(objects)
         return self._apply(objects, now) + keepers
 
     def ask_status(self, now: float) -> Actions:
-        """Asks every other entry what is in force there."""
+        """Requests a status report from every other entry."""
         usable = self.peers.usable(now)
         mailboxes = {peer.mailbox for peer in usable}
         self.peer_statuses = {
@@ -214,7 +217,7 @@
         ]
 
     def status(self, now: float) -> messages.StatusTell:
-        """Returns what is in force here."""
+        """Returns this entry's status report."""
         view = self.configuration
         count, behind = self.agents.counts(now)
         return messages.StatusTell(
@@ -258,8 +261,8 @@
         view = self.configuration
         complete = digest.known >= 0
         if complete and not view.is_whole():
-            # Its snapshot is asked for; to a summary it would answer by
-            # asking for what is here.
+            # The digest requests a summary, which starts a snapshot. A summary
+            # sent to the complete entry would make it fetch from this one.
             if self.repairs.snapshots(now):
                 return []
             return [self._send_digest(sender, now)]
@@ -294,12 +297,12 @@
         return [self._send_digest(event.sender, now)]
 
     def _finish_join(self, now: float) -> None:
-        """Makes a starting entry complete, once it has all that it can get.
+        """Marks a starting entry complete once it has a complete copy.
 
-        An entry that restarts could take everything from one that is cut off
-        and lags, and then serve from something older than before. So it
-        waits for the newest version that any other entry told of; but not
-        for ever, since that entry may be gone.
+        A restarting entry could copy from a partitioned entry that lags, and
+        then serve an older configuration than before. It therefore waits for
+        the newest version that any other entry has announced, but only for a
+        limited time, since that entry may be gone.
         """
         if self.configuration.is_whole() or not self.repairs.all_complete():
             return
@@ -326,8 +329,8 @@
         self, changes: messages.Changes, sender: str, now: float
     ) -> Actions:
         view = self.configuration
-        # An agent's copy may be old. It helps an entry that has nothing; to
-        # one that is complete it could only bring back what was deleted.
+        # An agent's copy may be stale. It serves an incomplete entry; at a
+        # complete one it could only restore deleted objects.
         if view.is_whole() and self.agents.is_agent(sender):
             return []
         deletions = (
@@ -365,9 +368,9 @@
             self.peers.declare(self.configuration.entries())
         if many or any(_is_server(each) for each in fresh):
             self.agents.servers_changed()
-        # What a starting entry reads is no news; telling it to all agents
-        # would be thousands of messages at one time. And so much is better
-        # repaired by digests at the other entries.
+        # The objects that a starting entry reads are not new; sending them
+        # to all agents would be thousands of messages at once. Between
+        # entries, digests repair so many changes better.
         if many or not self.configuration.is_whole():
             return []
         todo = [
@@ -409,9 +412,10 @@
             self._watched = max(self._watched, now - message.watched)
         view = self.configuration
         if message.root == view.root:
-            # The sender has the same. Its version may be that of a deletion,
-            # which an entry that started later never hears of; without this
-            # it would take itself for behind for ever.
+            # The sender has the same objects. Its version may be that of a
+            # deletion, which an entry that started later never receives;
+            # without its version the entry would consider itself behind for
+            # ever.
             view.version = max(view.version, event.configuration)
 
     def _compare_digests(self, now: float) -> Actions:
@@ -447,7 +451,7 @@
         ]
 
     def _probe_declared(self, now: float) -> Actions:
-        """Tries each declared entry in turn, and forgets the dead ones."""
+        """Contacts each declared entry in rotation, and deletes dead ones."""
         todo: Actions = []
         mailbox = self.peers.next_declared(now)
         if mailbox is not None:
@@ -474,7 +478,7 @@
         }
 
     def _should_watch(self, now: float) -> bool:
-        """Tells whether this entry shall call the store for changes."""
+        """Returns whether this entry has to call the store for changes."""
         rank = self.peers.rank(now)
         if not self.configuration.is_whole():
             return self._should_scan(rank, now)
--- a/pimentoledge/decisions/joining.py
+++ b/pimentoledge/decisions/joining.py
@@ -1,32 +1,33 @@
-"""Which entries that start read the store, and whom they tell once complete.
+"""Selects the starting entries that scan the store, and notifies the others.
 
-When all entries restart there is nobody to take the configuration from, and
-each one knows little more than its seeds. So the first two seeds that can be
-reached, which hear of all, let one entry of each data centre read the store.
-The others take it from those, who tell them as soon as they are complete.
+When all entries restart, none has the configuration, and each has little more
+than its list of seeds. The first two reachable seeds, which every starting
+entry contacts, therefore let one entry per data centre scan the store. The
+others copy from these entries, which notify them once they are complete.
 """
 
 from pimentoledge.decisions import peers
 
-# A seed lets another entry of the same data centre scan after so long, as the
-# first one may be dead or cut off from the store.
+# After this time a seed lets another entry of the same data centre scan, since
+# the first one may be dead or unable to reach the store.
 GRANT_SECONDS = 1.0
-# How soon an entry that is not complete asks again.
+# Mean interval at which an incomplete entry repeats its request.
 RETRY_SECONDS = 0.25
-# Entries told together that this one is complete. Each takes a snapshot, so
-# more at one time would only wait for each other.
+# Entries notified together that this one is complete. Each fetches a snapshot,
+# so more at a time would only wait for each other.
 ANNOUNCED_TOGETHER = 16
 ANNOUNCE_SECONDS = 0.1
 MAX_WAITING = peers.MAX_PEERS
 
 
 class Joining:
-    """One entry's part in a start of many.
+    """State of one entry while many entries start together.
 
     Attributes:
-        granted: whether a seed let this entry scan.
-        refused: whether an entry that is not complete itself did not.
-        waiting: mailboxes of entries to tell once this one is complete.
+        granted: whether a seed allowed this entry to scan the store.
+        refused: whether an incomplete entry has answered this one, with or
+            without a grant.
+        waiting: mailboxes of entries to notify once this one is complete.
     """
 
     def __init__(self):
@@ -37,34 +38,34 @@
         self._next_batch = float("-inf")
 
     def add_waiting(self, mailbox: str) -> None:
-        """Notes an entry that asked before this one was complete."""
+        """Adds an entry that sent a digest while this one was incomplete."""
         if mailbox in self.waiting or len(self.waiting) >= MAX_WAITING:
             return
         self.waiting.append(mailbox)
 
     def grant(self, mailbox: str, data_centre: str, now: float) -> bool:
-        """Returns whether an entry shall scan for its data centre."""
+        """Returns whether an entry may scan for its data centre."""
         holder, ends = self._holders.get(data_centre, ("", now))
         if holder != mailbox and now < ends:
             return False
-        # It keeps the first one's end: one that can't reach the store would
-        # otherwise hold the scan of its data centre for ever.
+        # A repeated request does not extend the grant: an entry that can't
+        # reach the store would otherwise block its data centre for ever.
         if holder != mailbox:
             self._holders[data_centre] = (mailbox, now + GRANT_SECONDS)
         return True
 
     def on_summary(self, scan: bool) -> None:
-        """Takes the word of an entry that is not complete."""
+        """Records the answer of an entry that is not complete."""
         self.granted = self.granted or scan
         self.refused = True
 
     def put_first(self, near: list[str]) -> None:
-        """Has those of its data centre told first, after a scan."""
+        """Puts the entries of this data centre first, after a scan."""
         rest = [each for each in self.waiting if each not in near]
         self.waiting = near + rest
 
     def next_batch(self, now: float) -> list[str]:
-        """Returns the entries to tell now."""
+        """Returns the entries to notify now."""
         if not self.waiting or now < self._next_batch:
             return []
         self._next_batch = now + ANNOUNCE_SECONDS
@@ -73,5 +74,5 @@
         return batch
 
     def next_batch_time(self) -> float:
-        """Returns when `tell` is due next."""
+        """Returns when `next_batch` is due next."""
         return self._next_batch if self.waiting else float("inf")
--- a/pimentoledge/decisions/peers.py
+++ b/pimentoledge/decisions/peers.py
@@ -1,4 +1,4 @@
-"""Who the other entries are, and which of them to talk to."""
+"""The directory of the other entries, and the choice of those to contact."""
 
 import random
 
@@ -7,19 +7,20 @@
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import rings
 
-# An entry that was heard of, but is not declared, is forgotten after this.
+# An undeclared entry counts as known for this long after its last message.
 UNDECLARED_PEER_SECONDS = 60.0
-# One that can't be reached is left out of every choice for so long, and for
-# twice as long each time after it.
+# Backoff during which an unreachable entry is not chosen; it doubles with each
+# further failure.
 MIN_BACKOFF_SECONDS = 10.0
 MAX_BACKOFF_SECONDS = 640.0
 MAX_PEERS = 1024
-# Messages go to so many near and far entries only, chosen anew now and then:
-# a connection costs about 30 KB, so that one to each entry would take a third
-# of what a node may spend, and a few at random connect all as well.
+# Messages go only to this many near and this many far entries, which are
+# resampled regularly. A connection costs about 30 KB, so one to each entry
+# would use a third of a node's memory budget, and a few random ones connect
+# all entries as well.
 VIEW_SIZE = 8
 VIEW_SECONDS = 60.0
-# Seeds that let entries that start read the store.
+# Number of seeds that let starting entries scan the store.
 MAX_GRANTING_SEEDS = 2
 NEVER = float("-inf")
 
@@ -29,13 +30,13 @@
     """Another entry.
 
     Attributes:
-        mailbox: its address.
-        name: its name; empty while not known.
-        data_centre: where it stands; empty while not known.
-        declared: whether the configuration has it.
-        heard: when it was heard last.
-        silent_until: when it may be tried again.
-        silence: how long it was last left out.
+        mailbox: address of its mailbox.
+        name: its name; empty while unknown.
+        data_centre: its data centre; empty while unknown.
+        declared: whether the configuration declares it.
+        last_seen: time of its last digest or summary.
+        retry_at: time from which it may be contacted again.
+        backoff: its last backoff, in seconds.
     """
 
     mailbox: str
@@ -48,11 +49,11 @@
 
 
 class PeerDirectory:
-    """The other entries: declared, heard of, or named in the settings.
+    """The other entries: declared, seen recently, or seeds.
 
     Attributes:
         address: this entry's own mailbox.
-        data_centre: where this entry stands.
+        data_centre: this entry's data centre.
         table: Peer by mailbox.
         seeds: mailboxes from the settings.
     """
@@ -70,7 +71,7 @@
         self._last_declared = ""
 
     def declare(self, entries: list[declarations.EntryNode]) -> None:
-        """Takes the declared entries."""
+        """Replaces the set of declared entries."""
         for peer in self.table.values():
             peer.declared = False
         for entry in entries:
@@ -86,7 +87,7 @@
     def seen(
         self, mailbox: str, name: str, data_centre: str, now: float
     ) -> None:
-        """Notes that an entry was heard."""
+        """Records a message of an entry and resets its backoff."""
         if mailbox == self.address:
             return
         if mailbox not in self.table:
@@ -99,7 +100,7 @@
         peer.backoff = 0.0
 
     def unreachable(self, mailbox: str, now: float) -> None:
-        """Notes that an entry can't be reached."""
+        """Starts or doubles the backoff of an unreachable entry."""
         if mailbox in self.seeds or mailbox in self.table:
             peer = self.table.setdefault(mailbox, Peer(mailbox=mailbox))
             if peer.retry_at > now:
@@ -109,7 +110,7 @@
             peer.retry_at = now + peer.backoff
 
     def usable(self, now: float) -> list[Peer]:
-        """Returns the entries to talk to."""
+        """Returns the known entries that are not in backoff."""
         found = [
             peer
             for peer in self.table.values()
@@ -121,7 +122,10 @@
         return found
 
     def first_seeds(self, now: float) -> list[str]:
-        """Returns the seeds that grant scans; all that know them agree."""
+        """Returns the seeds that grant scans.
+
+        Entries that can reach the same seeds agree on them.
+        """
         usable = [
             seed
             for seed in sorted(self.seeds)
@@ -130,12 +134,13 @@
         return usable[:MAX_GRANTING_SEEDS]
 
     def choose(self, now: float, *, near: int, far: int) -> list[str]:
-        """Returns some entries at random.
+        """Returns randomly chosen mailboxes.
 
         Args:
             now: the time.
-            near: how many of this data centre.
-            far: how many of the others, or of all where there are few.
+            near: number of entries of this data centre.
+            far: number of entries of the other data centres; of all entries
+                when those are too few.
         """
         usable = self._in_view(now)
         if len(usable) <= near + far:
@@ -143,7 +148,7 @@
         return [p.mailbox for p in self._sample(usable, near=near, far=far)]
 
     def next_declared(self, now: float) -> str | None:
-        """Returns the declared entries in turn, one at each call."""
+        """Returns the next reachable declared entry, in rotation."""
         found = sorted(
             mailbox
             for mailbox, peer in self.table.items()
@@ -154,7 +159,7 @@
         return self._last_declared or None
 
     def dead(self) -> list[str]:
-        """Returns names of declared entries unreachable at many tries."""
+        """Returns the declared entries whose backoff reached its maximum."""
         return [
             peer.name
             for peer in self.table.values()
@@ -164,7 +169,7 @@
     def rank(self, now: float, *, everywhere: bool = False) -> int:
         """Returns this entry's rank among those of its data centre.
 
-        All entries that know the same others agree on it, without a message.
+        Entries with the same directory agree on the ranks without a message.
 
         Args:
             now: the time.
--- a/pimentoledge/decisions/registration.py
+++ b/pimentoledge/decisions/registration.py
@@ -1,8 +1,8 @@
-"""The declarations of entries: each writes its own, and one cleans up.
+"""Declarations of entries: each writes its own, and one deletes dead ones.
 
-There are no heartbeats. An entry that crashed for good stays declared until
-the one that sweeps has found it unreachable at every try of about 20 minutes.
-An entry that was only cut off for so long declares itself again.
+There are no heartbeats. An entry that crashed stays declared until the
+sweeping entry has found it unreachable at every attempt for about 20 minutes.
+An entry that was only partitioned for that long declares itself again.
 """
 
 import random
@@ -12,20 +12,20 @@
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import stores
 
-# Two processes with one name would take the declaration from each other for
-# ever; each waits twice as long before its next write.
+# Two processes with the same name would overwrite each other's declaration for
+# ever, so the pause before the next write doubles.
 MIN_PAUSE_SECONDS = 5.0
 MAX_PAUSE_SECONDS = 320.0
 
 
 class Registration:
-    """Declares one entry, by a conditional write and without heartbeats.
+    """Declares one entry by a conditional write.
 
     Attributes:
         name: the entry's name.
-        data_centre: where it stands.
-        configuration: what is in force here.
-        retired: whether the entry is leaving.
+        data_centre: the entry's data centre.
+        configuration: this entry's configuration.
+        retired: whether the entry is shutting down.
     """
 
     def __init__(
@@ -68,14 +68,14 @@
         return self._call(self.name, declarations.encode(wanted))
 
     def forget(self, name: str) -> list[actions.Action]:
-        """Deletes the declaration of another entry, which is dead."""
+        """Deletes the declaration of another entry that is dead."""
         found = self.configuration.get(declarations.EntryNode, name)
         if self._write is not None or found is None or name == self.name:
             return []
         return self._call(name, None)
 
     def retire(self) -> list[actions.Action]:
-        """Deletes the declaration, for the end of the process."""
+        """Deletes this entry's declaration before the process ends."""
         self.retired = True
         if self.configuration.get(declarations.EntryNode, self.name) is None:
             return []
@@ -84,7 +84,7 @@
     def handle(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[stores.Object]:
-        """Takes an answer, and returns what the store holds now."""
+        """Returns the objects that an answer shows to be in the store."""
         if self._write is None or answer.call != self._write.call:
             return []
         write, self._write = self._write, None
@@ -97,8 +97,8 @@
             case stores.Outcome.CONFLICT:
                 return answer.objects
             case _:
-                # Down or lost; a lost one that took effect comes by the
-                # watch, before the next try.
+                # Down or lost. A lost write that took effect arrives by the
+                # watch before the next attempt.
                 pause = self._random.uniform(1, 2) * MIN_PAUSE_SECONDS
                 self._retry = now + pause
         return []
