--- a/pimentoledge/decisions/agent_subscriptions.py
+++ b/pimentoledge/decisions/agent_subscriptions.py
@@ -1,9 +1,10 @@
-"""What an entry does for the agents: their declarations and their buckets.
+"""An entry's service to the agents: their declarations and kept buckets.
 
-An agent costs the store nothing. It polls one of a few entries for its own
-server's declaration and that of the model or service; two entries, chosen by
-a ring, tell it of a change at once. For that it keeps some buckets of the
-whole configuration, so that entries that all restart find it again.
+Agents never call the store. An agent polls one of a few entries for the
+declarations of its own server and of its model or service; two entries, chosen
+by consistent hashing, also notify it of a change at once. In return it keeps
+some buckets of the whole configuration, from which the entries recover when
+they all restart.
 """
 
 import attrs
@@ -17,15 +18,16 @@
 
 # Agents that keep each bucket.
 KEEPERS = 3
-# Entries that tell an agent of a change.
+# Entries that notify an agent of a change.
 NOTIFYING_ENTRIES = 2
-# Entries that an agent is told to poll.
+# Entries that an agent polls.
 POLLED_ENTRIES = 4
 MAX_POLLS = 4096
 SEEN_SECONDS = 15.0
 MAX_NAMED = 20
-# An agent that has not polled for so long may know no entry that lives; the
-# entries that tell it of changes write to it, a few agents at one time.
+# An agent that has not polled for this long may have no address of a running
+# entry. The entries that notify it of changes then send it a message, to a few
+# agents at a time.
 LOST_SECONDS = 60.0
 INTRODUCED_TOGETHER = 20
 INTRODUCE_SECONDS = 1.0
@@ -34,7 +36,7 @@
 
 
 def own_paths(server: declarations.BackendServer) -> list[str]:
-    """Returns the paths of the declarations that a server's agent goes by."""
+    """Returns the paths of the declarations that a server's agent needs."""
     serves = declarations.Model
     if server.kind is declarations.ServerKind.SERVICE:
         serves = declarations.Service
@@ -46,12 +48,12 @@
 
 @attrs.define(kw_only=True)
 class AgentPoll:
-    """An agent that polled this entry.
+    """The last poll of an agent.
 
     Attributes:
-        server: its backend server.
-        at: when it polled last.
-        behind: whether it lacked something then.
+        server: name of the agent's backend server.
+        at: time of the poll.
+        behind: whether the agent lacked a newer version.
     """
 
     server: str
@@ -60,11 +62,11 @@
 
 
 class AgentSubscriptions:
-    """The agents as one entry serves them.
+    """The agents that one entry serves.
 
     Attributes:
         address: this entry's mailbox.
-        configuration: what is in force here.
+        configuration: this entry's configuration.
         seen: AgentPoll by the agent's mailbox.
     """
 
@@ -83,11 +85,11 @@
         self._next_introduction = float("-inf")
 
     def is_agent(self, mailbox: str) -> bool:
-        """Returns whether a mailbox is that of an agent."""
+        """Returns whether a mailbox belongs to an agent that polled."""
         return mailbox in self.seen
 
     def declare(self, mailboxes: list[str]) -> None:
-        """Takes the mailboxes of the declared entries that are reachable."""
+        """Sets the mailboxes of the declared entries that are reachable."""
         if mailboxes == self._declared:
             return
         self._declared = mailboxes
@@ -95,12 +97,12 @@
         self._notified_names = None
 
     def servers_changed(self) -> None:
-        """Notes that declared backend servers have changed."""
+        """Invalidates what was derived from the declared servers."""
         self._servers = None
         self._notified_names = None
 
     def on_poll(self, poll: messages.Poll, sender: str, now: float) -> Actions:
-        """Answers an agent."""
+        """Answers an agent's poll."""
         newer = self._newer(poll)
         self._record_poll(
             sender, AgentPoll(server=poll.server, at=now, behind=bool(newer))
@@ -136,7 +138,7 @@
         return sum(each.state is state for each in like)
 
     def notify_agents(self, objects: list[stores.Object]) -> Actions:
-        """Tells the agents that this entry is to tell of changes."""
+        """Sends changes to the agents that this entry has to notify."""
         todo: Actions = []
         for each in objects:
             for server in self._affected_servers(each.path):
@@ -149,7 +151,7 @@
         return todo
 
     def notify_keepers(self, objects: list[stores.Object]) -> Actions:
-        """Tells the agents that keep the objects' buckets."""
+        """Sends objects to the agents that keep their buckets."""
         ring = self._server_ring()
         todo: Actions = []
         for each in objects:
@@ -162,11 +164,11 @@
         return todo
 
     def introduce(self, now: float) -> Actions:
-        """Writes to agents that poll nobody, so that they know an entry.
+        """Contacts agents that have stopped polling, to show them an address.
 
-        An agent knows the entries' addresses from its settings and from
-        their answers. When all entries were replaced at other addresses, it
-        would poll the dead ones for ever.
+        An agent gets the entries' addresses from its settings and from their
+        answers. If all entries were replaced at other addresses, it would
+        poll the old ones for ever.
         """
         if now < self._next_introduction or not self.configuration.is_whole():
             return []
@@ -194,7 +196,7 @@
         return todo
 
     def counts(self, now: float) -> tuple[int, list[str]]:
-        """Returns how many agents polled recent, and who was behind."""
+        """Returns the number of recent polls and the servers that lag."""
         recent = [
             each for each in self.seen.values() if now - each.at < SEEN_SECONDS
         ]
--- a/pimentoledge/decisions/subscription.py
+++ b/pimentoledge/decisions/subscription.py
@@ -1,4 +1,4 @@
-"""How an agent gets its declarations, and keeps buckets for the entries."""
+"""An agent's part in the distribution: its declarations and kept buckets."""
 
 import random
 
@@ -11,7 +11,7 @@
 from pimentoledge.nodes import configuration_messages as messages
 
 POLL_SECONDS = 4.0
-# Until an entry that is complete has answered.
+# Poll interval until a complete entry has answered.
 FIRST_POLL_SECONDS = 0.5
 UNREACHABLE_SECONDS = 10.0
 MAX_ENTRIES = 16
@@ -20,15 +20,15 @@
 
 
 class Subscriber:
-    """One agent's part in the distribution; it never calls the store.
+    """Polls the entries on behalf of one agent; never calls the store.
 
     Attributes:
         name: the backend server's name.
-        configuration: the declarations that the agent goes by.
-        kept: the buckets that it keeps for entries that restart.
+        configuration: the declarations of the server and of what it serves.
+        kept: copies of the buckets kept for entries that restart.
         entries: mailboxes of the entries to poll.
-        runners: how many runners of its model are declared in; 0 while no
-            entry has told.
+        runners: number of runners of its model in state IN; 0 until an entry
+            has reported it.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._complete = False
 
     def handle(self, event: object, now: float) -> Actions:
-        """Takes a message of an entry, or that one can't be reached."""
+        """Handles a message of an entry, or that an address is unreachable."""
         match event:
             case events.FromNode(message=messages.Changes() as changes):
                 self._apply_changes(changes)
@@ -63,9 +63,10 @@
                 return self._answer_fetch(fetch, event.sender)
             case events.Unreachable(address=address):
                 self._unreachable_until[address] = now + UNREACHABLE_SECONDS
-                # Another one is asked at once, but only while one is left
-                # that was not found dead: to ask the dead ones in turn would
-                # be hundreds of messages a second during an outage.
+                # Polls another entry at once, but only while one is left
+                # that was not found unreachable. Polling the unreachable
+                # ones in turn would send hundreds of messages per second
+                # during an outage.
                 if any(
                     each not in self._unreachable_until for each in self.entries
                 ):
@@ -73,7 +74,7 @@
         return []
 
     def wake(self, now: float) -> Actions:
-        """Polls an entry when it is due."""
+        """Polls an entry when a poll is due."""
         if now < self._next_poll:
             return []
         pause = POLL_SECONDS if self._complete else FIRST_POLL_SECONDS
@@ -90,7 +91,7 @@
         return self._next_poll
 
     def _add_entry(self, entry: str, now: float) -> None:
-        """Polls an entry that wrote by itself, when no other one answers."""
+        """Polls an unknown sender when no complete entry has answered."""
         if self._complete or entry in self.entries:
             return
         self.entries = [entry, *self.entries][:MAX_ENTRIES]
@@ -139,9 +140,9 @@
             [each for each in objects if each.path in wanted], from_store=False
         )
         self._mark_complete(changes.done)
-        # All that the entry has of a bucket is here, and yet it differs: the
-        # entry knows of a deletion that left no tombstone. What is kept is
-        # only a copy, so it is fetched anew.
+        # A bucket that still differs after all of its objects were received
+        # has an object here whose deletion left no tombstone at the entry.
+        # The bucket is only a copy, so it is dropped and fetched again.
         for each in changes.done:
             if self.kept.buckets[each.number] != each.digest:
                 self.kept.clear_bucket(each.number)
@@ -150,7 +151,7 @@
         self, answer: messages.PollAnswer, sender: str
     ) -> Actions:
         if answer.known < 0:
-            # An entry that has just started knows nothing to be asked for.
+            # A starting entry has no complete configuration to copy from.
             return []
         self._complete = True
         self.entries = answer.entries[:MAX_ENTRIES]
