--- a/pimentoledge/decisions/administration.py
+++ b/pimentoledge/decisions/administration.py
@@ -1,8 +1,8 @@
-"""What operators ask of an entry: who may ask, and the answers.
+"""Operators' requests to an entry: authorization and answers.
 
-Reads of one object go to the store, so that an operator sees the version to
-change next; where the store is down, and for lists, the answer is what this
-entry knows, and says so. Changes are handed to updates.
+Reads of one object go to the store, so that an operator gets the version to
+base the next change on. While the store is down, and for lists, the answer is
+this entry's own configuration and is marked so. Changes go to `updates`.
 """
 
 import attrs
@@ -23,14 +23,14 @@
 STATUS = "status"
 MAX_READS = 256
 MAX_LISTED = 1000
-# What other entries have not told by then is shown as silent.
+# Entries that have not reported within this time are shown as silent.
 STATUS_SECONDS = 0.5
 READ_TIMEOUT_SECONDS = 5.0
 FIRST_OPERATOR = "first-operator"
 
 Actions = list[actions.Action]
 
-# The kinds that take an admin to change; the others take an editor.
+# Kinds that only an admin may change; the others need an editor.
 _ADMIN_KINDS = (declarations.Operator, declarations.EntryNode)
 _RANK = {role: rank for rank, role in enumerate(declarations.Role)}
 
@@ -40,9 +40,9 @@
     """A read that waits for the store.
 
     Attributes:
-        event: what the operator asks for.
+        event: the operator's request.
         path: path of the declaration.
-        ends: when it is answered with what is known.
+        ends: time at which it is answered without the store.
     """
 
     event: events.OperatorRequest
@@ -54,13 +54,13 @@
     """Answers the operators of one entry; each answer is a ReplyOperator.
 
     Attributes:
-        configuration: what is in force here.
-        distributor: tells and asks the other entries.
-        updates: the changes that run.
-        first_key: digest of the key that is valid before any operator is
-            declared; empty for none.
-        readings: PendingRead by the id of its call.
-        asked: when the answer to each request for the status is due.
+        configuration: this entry's configuration.
+        distributor: collects the status of the other entries.
+        updates: the running updates.
+        first_key: digest of a key with the role of an admin, so that the
+            first operators can be declared; empty for none.
+        readings: PendingRead by the id of its store call.
+        status_due: time at which each status request is answered, by request.
     """
 
     def __init__(
@@ -82,7 +82,7 @@
         self.status_due: dict[str, float] = {}
 
     def handle(self, event: object, now: float) -> Actions:
-        """Takes a request of an operator, or an answer of the store."""
+        """Handles a request of an operator or an answer of the store."""
         match event:
             case events.OperatorRequest():
                 return self._on_request(event, now)
@@ -93,7 +93,7 @@
         return []
 
     def wake(self, now: float) -> Actions:
-        """Does what is due."""
+        """Answers the status requests and reads that are due."""
         todo = self.updates.wake(now)
         for request, due in list(self.status_due.items()):
             if due <= now:
--- a/pimentoledge/decisions/updates.py
+++ b/pimentoledge/decisions/updates.py
@@ -1,17 +1,17 @@
-"""One operator's update of one declaration, through lost answers.
+"""Operators' updates of declarations, safe against lost answers.
 
-An update reads the object, puts the version that it replaces into the
-history, and writes on condition of the version that the operator read. Of
-two updates of one version the store takes one; the other is answered with a
-conflict that shows the newer version.
+An update reads the object, adds the version that it replaces to the history,
+and makes a conditional write on the version that the operator read. Of two
+updates of one version the store accepts one; the other gets a conflict with
+the newer version.
 
-"Accepted" is answered only when the store was seen to hold the update, and
-"not accepted" only when it surely does not and never will. The answer of a
+"Accepted" is answered only when the store is confirmed to have the update, and
+"not accepted" only when it does not have it and never will. The answer of a
 write can be lost after the write has taken effect, and a write can take
-effect long after its sender gave up. So after a lost answer the object is
-read back. Where it is unchanged the same write is made again: whichever of
-the two comes first makes the other one fail its condition. Where it has
-changed, the history tells whether this update was among the versions.
+effect long after its sender gave up. After a lost answer the object is
+therefore read back. If it is unchanged, the same write is repeated: whichever
+of the two takes effect first makes the other one fail its condition. If it
+has changed, the history shows whether this update was among the versions.
 """
 
 import enum
@@ -37,7 +37,7 @@
 
 
 class Step(enum.StrEnum):
-    """What an update waits for."""
+    """The operation that an update waits for."""
 
     READ = "read"
     READ_HISTORY = "read_history"
@@ -53,17 +53,18 @@
     """A running update.
 
     Attributes:
-        event: what the operator asks for.
+        event: the operator's request.
         by: the operator's name.
         kind: kind of the declaration.
         path: path of the object.
-        write_id: id of its write, the same at each try.
-        step: what it waits for.
-        call: id of the call that it waits for.
-        ends: time at which it is given up.
-        retry: time of the next try, in step RETRY.
-        uncertain: whether a write of it may have taken effect or may yet.
-        current: the object as it was read; None when absent.
+        write_id: id of its write, the same for each attempt.
+        step: the operation that it waits for.
+        call: id of the store call that it waits for.
+        ends: time at which it is abandoned.
+        retry: time of the next attempt, in step RETRY.
+        uncertain: whether one of its writes may have taken effect or may
+            still do so.
+        current: the object as last read; None when absent.
         value: the new value; None to delete the object.
     """
 
@@ -86,12 +87,12 @@
 
 
 class Updates:
-    """The updates that run at one entry.
+    """The running updates of one entry.
 
     Attributes:
-        name: this entry's name, part of the ids that it makes.
-        configuration: what is in force here.
-        distributor: tells the other nodes of an accepted update.
+        name: this entry's name, the prefix of its write ids.
+        configuration: this entry's configuration.
+        distributor: sends accepted updates to the other nodes.
         running: Update by request id.
     """
 
@@ -113,7 +114,7 @@
     def start(
         self, event: events.OperatorRequest, by: str, now: float
     ) -> list[actions.Action]:
-        """Starts an update; the answer is a ReplyOperator.
+        """Starts an update that ends with a ReplyOperator.
 
         Args:
             event: a PUT, PATCH or DELETE of an object.
@@ -150,7 +151,7 @@
     def handle(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
-        """Takes an answer of the store; one to another's call is ignored."""
+        """Handles a store answer; ignores those to other components' calls."""
         update = self._calls.pop(answer.call, None)
         if update is None:
             return []
@@ -170,7 +171,7 @@
         return []
 
     def wake(self, now: float) -> list[actions.Action]:
-        """Makes the tries that are due, and gives up what is too late."""
+        """Makes the attempts that are due and ends updates that timed out."""
         done = []
         for update in list(self.running.values()):
             if now >= update.ends:
@@ -180,7 +181,7 @@
         return done
 
     def next_wake(self) -> float | None:
-        """Returns when wake is due next."""
+        """Returns when `wake` is due next."""
         return min(
             (
                 each.retry if each.step is Step.RETRY else each.ends
@@ -310,8 +311,8 @@
                 return self._write(update)
             case stores.Outcome.DOWN:
                 return self._fail(update, results.Code.NOT_ACCEPTED)
-        # Lost, or another update of the same object was faster: begin again
-        # by reading, since the object itself may have changed as well.
+        # Lost, or another update of the same object was faster. The update
+        # restarts with a read, since the object may have changed as well.
         return self._retry_later(update, now)
 
     def _write(self, update: Update) -> list[actions.Action]:
@@ -343,8 +344,8 @@
         self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         if not _was_read(answer):
-            # The write failed its condition: it surely did not take effect
-            # now, but a former try of it may have.
+            # The write failed its condition, so this attempt did not take
+            # effect, but an earlier one may have.
             if update.uncertain:
                 return self._retry_later(update, now)
             return self._end(update, _conflict(update, None))
@@ -374,7 +375,7 @@
         for former in history.formers:
             if former.write_id == update.write_id:
                 return self._accept(update, former.version, now)
-        # A deletion leaves no former version, so its trace is not there.
+        # A deletion is not a former version, so the history does not show it.
         in_history = update.value is not None
         if in_history and history.reaches(update.event.expected):
             return self._end(update, _conflict(update, update.current))
@@ -386,8 +387,8 @@
         accepted = stores.Object(
             path=update.path, version=version, value=update.value
         )
-        # This entry tells the others by itself, and so an accepted update
-        # spreads though the store goes down or its watch drops the entry.
+        # This entry announces the update itself, so that an accepted update
+        # spreads even if the store goes down or a watch misses it.
         announced = self.distributor.publish([accepted], now) if version else []
         return announced + self._end(update, _accepted(update, version))
 
@@ -410,7 +411,7 @@
 def refusal(
     request: str, error: results.Error, **further: object
 ) -> actions.ReplyOperator:
-    """Returns the answer of a request that ends with an error."""
+    """Returns the answer to a request that ends with an error."""
     fields = {**error.fields(), **further}
     return actions.ReplyOperator(
         request=request, status=error.status(), fields={"error": fields}
@@ -420,7 +421,7 @@
 def invalid(
     request: str, faults: list[validation.Fault]
 ) -> actions.ReplyOperator:
-    """Returns the answer to a declaration that is not valid."""
+    """Returns the answer to an invalid declaration."""
     first = faults[0]
     error = results.Error(
         code=results.Code.INVALID_DECLARATION,
@@ -462,7 +463,7 @@
 
 
 def _rules_out(known: stores.Object, expected: int) -> bool:
-    """Tells whether a known version makes the condition surely false."""
+    """Returns whether a known version makes the condition false."""
     if expected:
         return known.version > expected
     return known.value is not None
