--- a/pimentoledge/tests/test_admin_api.py
+++ b/pimentoledge/tests/test_admin_api.py
@@ -1,4 +1,4 @@
-"""The administration API over HTTP, and the commands that use it."""
+"""Tests of the administration API over HTTP and of its commands."""
 
 import json
 import threading
@@ -20,11 +20,11 @@
 
 
 class Served:
-    """An admin server before one entry's administration and a store."""
+    """An admin server in front of one entry's administration and a store."""
 
     def __init__(self):
-        self.desk = test_updates.Desk(network.Store())
-        self.desk.core.first_key = declarations.key_digest(KEY)
+        self.harness = test_updates.AdminHarness(network.Store())
+        self.harness.core.first_key = declarations.key_digest(KEY)
         self.lock = threading.Lock()
         self.server = servers.AdminServer(
             listen="127.0.0.1:0",
@@ -37,9 +37,9 @@
 
     def submit(self, event):
         with self.lock:
-            desk = self.desk
-            desk.take(desk.core.handle(event, desk.now))
-            return desk.settle(event.request)
+            harness = self.harness
+            harness.perform(harness.core.handle(event, harness.now))
+            return harness.wait_for_reply(event.request)
 
 
 @pytest.fixture
@@ -78,9 +78,9 @@
     assert client.read(f"{path}/history").unwrap().fields["former"]
 
 
-def test_store_down_shows_what_is_known(served, client):
+def test_store_down_shows_the_local_configuration(served, client):
     client.write("PUT", "models/m", fields={"weights": "v1"}, expected=0)
-    served.desk.store.down = True
+    served.harness.store.down = True
     answer = client.read("models/m").unwrap()
     assert answer.known and answer.fields["weights"] == "v1"
     refused = client.write(
@@ -89,7 +89,7 @@
     assert refused.unwrap().fields["error"]["number"] == 6003
 
 
-def test_requests_that_are_wrong(served):
+def test_invalid_requests(served):
     pool = urllib3.PoolManager(retries=False)
     url = f"http://{served.server.address}"
 
--- a/pimentoledge/tests/test_configuration.py
+++ b/pimentoledge/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""What is in force at one node."""
+"""Tests of the configuration of one node."""
 
 import hypothesis
 from hypothesis import strategies
@@ -50,10 +50,10 @@
 
 
 def test_undecodable_value_leaves_the_older_one_in_force():
-    """A contract that works is suddenly unknown.
+    """An unreadable value makes a contract in use unknown.
 
-    Another program writes a value that this release can't read; a node that
-    dropped the old one would refuse the organisation's callers.
+    Another program writes a value that this release can't decode. A node that
+    dropped the older value would refuse the organisation's clients.
     """
     view = configuration.Configuration()
     view.apply([stored(contract(burst=7), 3)])
@@ -70,7 +70,7 @@
     assert not view.rejections
 
 
-def test_object_inside_names_another_path():
+def test_object_with_another_path_in_its_value_is_rejected():
     wrong = stored(contract("other"), 2)
     wrong.path = PATH
     view = configuration.Configuration()
@@ -81,13 +81,13 @@
     )
 
 
-def test_forgotten_deletion_is_not_undone_by_a_node_that_was_cut_off(
+def test_dropped_tombstone_does_not_restore_a_deleted_contract(
     monkeypatch,
 ):
-    """A deleted contract works again days later.
+    """A deleted contract comes back into force.
 
-    The deletion's tombstone is dropped for want of room; then a node that
-    was cut off since before the deletion tells of the contract it still has.
+    The deletion's tombstone is evicted, and then a node that was partitioned
+    since before the deletion sends the contract that it still has.
     """
     monkeypatch.setattr(configuration, "MAX_TOMBSTONES", 2)
     view = configuration.Configuration()
@@ -99,7 +99,7 @@
     assert "acme" not in view.contracts
 
 
-def test_every_node_picks_the_same_owner_of_a_doubled_key():
+def test_every_node_picks_the_same_owner_of_a_duplicate_key():
     one = stored(contract("one", key_digests=[KEY]), 2)
     two = stored(contract("two", key_digests=[KEY]), 3)
     for order in ([one, two], [two, one]):
@@ -139,13 +139,13 @@
 @hypothesis.settings(derandomize=True, deadline=None)
 @hypothesis.given(CHANGES, strategies.randoms(use_true_random=False))
 def test_any_order_of_the_changes_never_reverts(changes, random):
-    """An old setting is back in force after a message came late."""
+    """A message that arrives late brings an older version back into force."""
     objects = history(changes)
-    heard = objects * 2
-    random.shuffle(heard)
+    received = objects * 2
+    random.shuffle(received)
     view = configuration.Configuration()
     newest: dict[str, int] = {}
-    for each in heard:
+    for each in received:
         view.apply([each], from_store=False)
         newest[each.path] = max(newest.get(each.path, 0), each.version)
         for path, version in newest.items():
--- a/pimentoledge/tests/test_configured_path.py
+++ b/pimentoledge/tests/test_configured_path.py
@@ -1,4 +1,4 @@
-"""Configuration through real entries and agents, on loopback."""
+"""Tests of the configuration with real entries and agents, on loopback."""
 
 import pytest
 
@@ -27,7 +27,7 @@
     return made
 
 
-def test_operator_declares_and_every_node_goes_by_it(emulator):
+def test_declarations_reach_every_node(emulator):
     runner = emulator.add_runner("r1", "m")
     first = emulator.add_entry("entry-1", operator_key_digest=DIGEST)
     second = emulator.add_entry("entry-2", operator_key_digest=DIGEST)
@@ -51,7 +51,7 @@
 
 
 def test_entry_that_starts_while_the_store_is_down_serves(emulator):
-    """Callers are refused as unknown after an entry was replaced.
+    """Clients are refused as unknown after an entry was replaced.
 
     The store is down, so the new entry can't read the contracts from it.
     """
--- a/pimentoledge/tests/test_distribution.py
+++ b/pimentoledge/tests/test_distribution.py
@@ -1,4 +1,4 @@
-"""How changes of the configuration reach every node."""
+"""Tests of the distribution of configuration changes to every node."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 def started(count, *, agents=0, contracts=20):
-    """Returns a network that has come to rest."""
+    """Returns a network in which all entries are started and declared."""
     net = network.Network(seeds=["tcp://10.0.0.1:7000", "tcp://10.0.0.2:7000"])
     for number in range(contracts):
         net.declare(contract(f"org-{number}"))
@@ -65,7 +65,7 @@
     assert calls[24] <= calls[6] + 2
 
 
-def test_memory_of_a_large_scan_is_given_back(monkeypatch):
+def test_memory_of_a_large_scan_is_released(monkeypatch):
     monkeypatch.setattr(distribution, "LARGE_ANSWER", 10)
     net = started(1)
     scans = [c for c in net.store.calls if isinstance(c, stores.Scan)]
@@ -74,10 +74,9 @@
 
 
 def test_digests_repair_lost_messages():
-    """One entry goes on with the old limits of a contract.
+    """An entry keeps the old limits of a contract.
 
-    The message that told it of the change was lost on the way, and nobody
-    sends it again by itself.
+    The message with the change was lost, and no entry repeats it.
     """
     net = started(8)
     net.cut = lambda sender, receiver: True
@@ -89,13 +88,13 @@
 
 
 def test_sweep_finds_what_every_watch_dropped():
-    """A deleted contract's key goes on working.
+    """The key of a deleted contract stays valid.
 
     The store's watch drops the deletion for every watcher, and no further
-    change of that object comes.
+    change of that object follows.
     """
     net = started(3)
-    # A sweep has just begun; the next one is 10 s off.
+    # A sweep has just begun; the next one starts in 10 s.
     net.run(3)
     net.store.dropped.add(net.store.revision + 1)
     net.store.put("declared/contracts/org-3", None)
@@ -108,7 +107,7 @@
     )
 
 
-def test_entry_that_restarts_while_the_store_is_down_takes_from_others():
+def test_entry_that_restarts_while_the_store_is_down_copies_from_others():
     net = started(3)
     net.store.down = True
     net.store.calls.clear()
@@ -120,11 +119,11 @@
     )
 
 
-def test_entry_that_restarts_does_not_stop_at_one_that_lags():
-    """An entry serves with old limits again after its restart.
+def test_entry_that_restarts_waits_for_the_newest_version():
+    """An entry reverts to old limits after its restart.
 
-    It takes the configuration from the only entry that missed a change,
-    while another one that has it is there as well.
+    It copies the configuration from the only entry that missed a change,
+    although another entry has the change.
     """
     net = started(3)
     lagging = net.entries()[0].address
@@ -145,11 +144,11 @@
     assert late.configuration.newest(stored.path).version == stored.version
 
 
-def test_deletion_leaves_no_entry_asking():
-    """Entries compare digests five times as often, for days.
+def test_deletion_leaves_no_entry_behind():
+    """Entries permanently compare digests five times as often.
 
-    The newest change was a deletion; an entry that started after it never
-    hears of its version and takes itself for behind.
+    The newest change was a deletion. An entry that started after it never
+    receives its version and considers itself behind.
     """
     net = started(2)
     net.store.put("declared/contracts/org-3", None)
@@ -157,16 +156,16 @@
     net.seeds = []
     net.entry(1, "east")
     net.run(10)
-    asked = net.entries()[0].configuration.version
-    told = net.entries()[1].configuration.version
-    assert asked == told
+    older_version = net.entries()[0].configuration.version
+    newer_version = net.entries()[1].configuration.version
+    assert older_version == newer_version
 
 
 def test_all_entries_restart_while_the_store_is_down():
-    """Every caller is refused as unknown until the store is back.
+    """Every client is refused as unknown until the store is back.
 
-    A bad release restarts all entries within seconds, during an outage of
-    the store; no entry has the configuration any more.
+    A bad release restarts all entries within seconds during an outage of the
+    store, so that no entry has the configuration any more.
     """
     net = started(4, agents=6)
     net.run(10)
@@ -190,12 +189,12 @@
 
 
 def test_all_entries_restart_and_few_read_the_store():
-    """Every caller is refused as unknown for seconds after a release.
+    """Every client is refused as unknown for seconds after a release.
 
-    All entries restart together with the store up. Each waits a fixed time
-    for another one to be complete before it reads the store, and the others
-    hear only by their next digest that one is. One begins to take a snapshot
-    from another one just before that restarts, which then gives it nothing.
+    All entries restart together while the store is up. Each waits a fixed
+    time for a complete entry before it scans the store, and the others learn
+    only by their next digest that one is complete. One entry starts a snapshot
+    from another just before that one restarts and then has nothing to send.
     """
     count = 60
     net = started(count)
@@ -208,7 +207,7 @@
     )
     scans = [c for c in net.store.calls if isinstance(c, stores.Scan)]
     assert joined
-    # Each of the two seeds lets one entry of each data centre read it.
+    # Each of the two seeds lets one entry per data centre scan the store.
     assert 3 <= len(scans) <= 2 * 3
 
 
@@ -218,7 +217,7 @@
     net.run(300)
     net.store.calls.clear()
     net.run(60)
-    # Two watchers per data centre, each every 1 to 2 s; nobody else joins in.
+    # Two watchers per data centre call it, each every 1 to 2 s, and no others.
     assert len(net.store.calls) <= 6 * 65
     net.store.down = False
     stored = net.declare(contract("org-2", burst=5))
@@ -228,8 +227,8 @@
 def test_others_take_over_from_dead_watchers():
     """Changes stop reaching one data centre, and then all.
 
-    Both watchers of each data centre died; the others believe that somebody
-    still watches.
+    Both watchers of each data centre died, and the other entries do not
+    notice that none watches any more.
     """
     net = started(12)
     for entry in net.entries():
@@ -241,11 +240,11 @@
     assert net.run(IN_FORCE_SECONDS, until=everywhere(net, stored))
 
 
-def test_half_that_was_cut_off_brings_nothing_deleted_back():
-    """A contract that was deleted during a partition works again.
+def test_partition_does_not_restore_a_deleted_contract():
+    """A contract that was deleted during a partition comes back into force.
 
-    The half that was cut off still has the contract. An entry that started
-    after the deletion has never heard of either, and takes it from there.
+    The partitioned half still has the contract. An entry that started after
+    the deletion has received neither and copies the contract from that half.
     """
     net = started(6)
     old = net.declare(contract("old"))
@@ -268,11 +267,11 @@
 
 
 def test_deletion_without_a_tombstone_reaches_all():
-    """A deleted contract goes on working at some entries, for good.
+    """A deleted contract stays in force at some entries permanently.
 
-    The watch drops the deletion. An entry that starts then reads the store,
-    where the contract is no more: nobody has a tombstone of it. That entry
-    is also the one that sweeps, and finds nothing missing.
+    The watch drops the deletion. An entry that starts afterwards scans the
+    store, which no longer has the contract, so no node has a tombstone. That
+    entry is also the sweeper, and its sweeps find no difference.
     """
     net = started(3, agents=3)
     first = min(
@@ -297,20 +296,20 @@
             assert node.kept.in_force(path) is None
 
 
-def test_old_copy_of_an_agent_undoes_nothing():
-    """A deleted contract works again after an agent comes back.
+def test_stale_copy_of_an_agent_does_not_restore_a_contract():
+    """A deleted contract comes back into force when an agent resumes.
 
-    The agent was paused since before the deletion and still keeps it.
+    The agent was paused since before the deletion and still has the contract.
     """
     net = started(2)
     entry = net.entries()[0]
     agent = "tcp://10.0.1.1:7000"
     poll = messages.Poll(server="r1", versions=[], held=[])
     entry.handle(events.FromNode(sender=agent, message=poll), net.now)
-    ghost = stores.Object(
+    stale_object = stores.Object(
         path=OLD, version=1, value=declarations.encode(contract("old"))
     )
-    changes = messages.Changes(objects=[ghost])
+    changes = messages.Changes(objects=[stale_object])
     entry.configuration.floor = 0
     entry.handle(events.FromNode(sender=agent, message=changes), net.now)
     assert "old" not in entry.configuration.contracts
@@ -332,11 +331,11 @@
     assert count <= 3
 
 
-def test_entries_that_moved_are_found_by_the_agents():
-    """Agents go by old declarations though the store is long back.
+def test_agents_find_entries_at_new_addresses():
+    """Agents keep old declarations although the store is available again.
 
-    All entries were replaced at other addresses during an outage; what the
-    agents know, from settings and answers, are dead addresses.
+    All entries were replaced at other addresses during an outage. The agents
+    have only the old addresses, from their settings and from answers.
     """
     net = started(2, agents=3)
     for entry in net.entries():
@@ -354,10 +353,10 @@
         assert agent.configuration.model("assistant").weights == "v2"
 
 
-def test_dead_entry_is_forgotten_and_a_cut_off_one_comes_back():
-    """Entries waste messages on thousands of dead ones after a year.
+def test_dead_entry_is_deleted_and_a_partitioned_one_declares_itself():
+    """Entries waste messages on dead entries, which accumulate over time.
 
-    A VM that fails can't take its entry's declaration back.
+    A VM that fails can't delete the declaration of its entry.
     """
     net = started(3)
     gone = net.nodes.pop(net.entries()[1].address)
@@ -374,7 +373,7 @@
     assert all(len(e.configuration.entries()) == 2 for e in net.entries())
 
 
-def test_two_processes_with_one_name_do_not_write_for_ever():
+def test_two_processes_with_one_name_back_off():
     net = started(1)
     twin = net.entry(9)
     twin.registration.name = "entry-1"
@@ -388,7 +387,11 @@
 
 
 class Faults(stateful.RuleBasedStateMachine):
-    """Changes, partitions, outages and restarts, against the store itself."""
+    """Applies random changes, partitions, outages and restarts.
+
+    No entry may revert to an older version, and after the faults end all
+    entries must match the store.
+    """
 
     def __init__(self):
         super().__init__()
