--- a/pimentoledge/decisions/agent_subscriptions.py
+++ b/pimentoledge/decisions/agent_subscriptions.py
@@ -196,7 +196,7 @@
         return todo
 
     def counts(self, now: float) -> tuple[int, list[str]]:
-        """Returns the number of recent polls and the servers that lag."""
+        """Returns how many agents polled recently, and which of them lag."""
         recent = [
             each for each in self.seen.values() if now - each.at < SEEN_SECONDS
         ]
--- a/pimentoledge/decisions/peers.py
+++ b/pimentoledge/decisions/peers.py
@@ -159,7 +159,7 @@
         return self._last_declared or None
 
     def dead(self) -> list[str]:
-        """Returns the declared entries whose backoff reached its maximum."""
+        """Returns the names of declared entries at the maximum backoff."""
         return [
             peer.name
             for peer in self.table.values()
