--- a/pimentoledge/decisions/agent_subscriptions.py
+++ b/pimentoledge/decisions/agent_subscriptions.py
@@ -1,9 +1,10 @@
-"""What an entry does for the agents: their declarations and their buckets.
+"""An entry's service to the agents: their declarations and kept buckets.
 
-An agent costs the store nothing. It polls one of a few entries for its own
-server's declaration and that of the model or service; two entries, chosen by
-a ring, tell it of a change at once. For that it keeps some buckets of the
-whole configuration, so that entries that all restart find it again.
+Agents never call the store. An agent polls one of a few entries for the
+declarations of its own server and of its model or service; two entries, chosen
+by consistent hashing, also notify it of a change at once. In return it keeps
+some buckets of the whole configuration, from which the entries recover when
+they all restart.
 """
 
 import attrs
@@ -17,15 +18,16 @@
 
 # Agents that keep each bucket.
 KEEPERS = 3
-# Entries that tell an agent of a change.
-TELLERS = 2
-# Entries that an agent is told to poll.
-POLLED = 4
-MOST_SEEN = 4096
+# Entries that notify an agent of a change.
+NOTIFYING_ENTRIES = 2
+# Entries that an agent polls.
+POLLED_ENTRIES = 4
+MAX_POLLS = 4096
 SEEN_SECONDS = 15.0
-MOST_NAMED = 20
-# An agent that has not polled for so long may know no entry that lives; the
-# entries that tell it of changes write to it, a few agents at one time.
+MAX_NAMED = 20
+# An agent that has not polled for this long may have no address of a running
+# entry. The entries that notify it of changes then send it a message, to a few
+# agents at a time.
 LOST_SECONDS = 60.0
 INTRODUCED_TOGETHER = 20
 INTRODUCE_SECONDS = 1.0
@@ -34,7 +36,7 @@
 
 
 def own_paths(server: declarations.BackendServer) -> list[str]:
-    """Returns the paths of the declarations that a server's agent goes by."""
+    """Returns the paths of the declarations that a server's agent needs."""
     serves = declarations.Model
     if server.kind is declarations.ServerKind.SERVICE:
         serves = declarations.Service
@@ -46,12 +48,12 @@
 
 @attrs.define(kw_only=True)
 class AgentPoll:
-    """An agent that polled this entry.
+    """The last poll of an agent.
 
     Attributes:
-        server: its backend server.
-        at: when it polled last.
-        behind: whether it lacked something then.
+        server: name of the agent's backend server.
+        at: time of the poll.
+        behind: whether the agent lacked a newer version.
     """
 
     server: str
@@ -60,11 +62,11 @@
 
 
 class AgentSubscriptions:
-    """The agents as one entry serves them.
+    """The agents that one entry serves.
 
     Attributes:
         address: this entry's mailbox.
-        configuration: what is in force here.
+        configuration: this entry's configuration.
         seen: AgentPoll by the agent's mailbox.
     """
 
@@ -75,34 +77,34 @@
         self._declared: list[str] = []
         self._entries: rings.Ring | None = None
         self._servers: rings.Ring | None = None
-        self._held: dict[str, list[int]] = {}
-        self._mine: list[str] | None = None
+        self._kept_buckets: dict[str, list[int]] = {}
+        self._notified_names: list[str] | None = None
         self._counted: dict[str, int] = {}
         self._counted_at = -1
-        self._written: dict[str, float] = {}
+        self._introduced_at: dict[str, float] = {}
         self._next_introduction = float("-inf")
 
-    def knows(self, mailbox: str) -> bool:
-        """Returns whether a mailbox is that of an agent."""
+    def is_agent(self, mailbox: str) -> bool:
+        """Returns whether a mailbox belongs to an agent that polled."""
         return mailbox in self.seen
 
     def declare(self, mailboxes: list[str]) -> None:
-        """Takes the mailboxes of the declared entries that are reachable."""
+        """Sets the mailboxes of the declared entries that are reachable."""
         if mailboxes == self._declared:
             return
         self._declared = mailboxes
         self._entries = None
-        self._mine = None
+        self._notified_names = None
 
     def servers_changed(self) -> None:
-        """Notes that declared backend servers have changed."""
+        """Invalidates what was derived from the declared servers."""
         self._servers = None
-        self._mine = None
+        self._notified_names = None
 
-    def polled(self, poll: messages.Poll, sender: str, now: float) -> Actions:
-        """Answers an agent."""
+    def on_poll(self, poll: messages.Poll, sender: str, now: float) -> Actions:
+        """Answers an agent's poll."""
         newer = self._newer(poll)
-        self._see(
+        self._record_poll(
             sender, AgentPoll(server=poll.server, at=now, behind=bool(newer))
         )
         todo: Actions = []
@@ -111,14 +113,14 @@
             todo.append(actions.Send(address=sender, message=changes))
         answer = messages.PollAnswer(
             known=self.configuration.known,
-            entries=self._entries_of(poll.server, POLLED),
+            entries=self._entries_of(poll.server, POLLED_ENTRIES),
             held=self._held_by(poll.server),
-            runners=self._runners_like(poll.server),
+            runners=self._runner_count(poll.server),
         )
         todo.append(actions.Send(address=sender, message=answer))
         return todo
 
-    def _runners_like(self, name: str) -> int:
+    def _runner_count(self, name: str) -> int:
         server = self.configuration.server(name)
         if server is None:
             return 0
@@ -136,23 +138,25 @@
         return sum(each.state is state for each in like)
 
     def notify_agents(self, objects: list[stores.Object]) -> Actions:
-        """Tells the agents that this entry is to tell of changes."""
+        """Sends changes to the agents that this entry has to notify."""
         todo: Actions = []
         for each in objects:
-            for server in self._concerned(each.path):
-                if self.address in self._entries_of(server.name, TELLERS):
+            for server in self._affected_servers(each.path):
+                if self.address in self._entries_of(
+                    server.name, NOTIFYING_ENTRIES
+                ):
                     changes = messages.Changes(objects=[each])
                     send = actions.Send(address=server.agent, message=changes)
                     todo.append(send)
         return todo
 
     def notify_keepers(self, objects: list[stores.Object]) -> Actions:
-        """Tells the agents that keep the objects' buckets."""
+        """Sends objects to the agents that keep their buckets."""
         ring = self._server_ring()
         todo: Actions = []
         for each in objects:
             number = configuration.bucket_of(each.path)
-            for name in ring.successors(_place(number), KEEPERS):
+            for name in ring.successors(_bucket_point(number), KEEPERS):
                 server = self.configuration.server(name)
                 changes = messages.Changes(objects=[each])
                 send = actions.Send(address=server.agent, message=changes)
@@ -160,11 +164,11 @@
         return todo
 
     def introduce(self, now: float) -> Actions:
-        """Writes to agents that poll nobody, so that they know an entry.
+        """Contacts agents that have stopped polling, to show them an address.
 
-        An agent knows the entries' addresses from its settings and from
-        their answers. When all entries were replaced at other addresses, it
-        would poll the dead ones for ever.
+        An agent gets the entries' addresses from its settings and from their
+        answers. If all entries were replaced at other addresses, it would
+        poll the old ones for ever.
         """
         if now < self._next_introduction or not self.configuration.is_whole():
             return []
@@ -176,13 +180,14 @@
         }
         lost = [
             name
-            for name in self._told_by_me()
+            for name in self._notified_by_me()
             if name not in polled
-            and now - self._written.get(name, float("-inf")) > LOST_SECONDS
+            and now - self._introduced_at.get(name, float("-inf"))
+            > LOST_SECONDS
         ]
         todo: Actions = []
         for name in lost[:INTRODUCED_TOGETHER]:
-            self._written[name] = now
+            self._introduced_at[name] = now
             server = self.configuration.server(name)
             path = declarations.path_of(server)
             found = self.configuration.in_force(path)
@@ -191,24 +196,24 @@
         return todo
 
     def counts(self, now: float) -> tuple[int, list[str]]:
-        """Returns how many agents polled lately, and who was behind."""
-        lately = [
+        """Returns how many agents polled recently, and which of them lag."""
+        recent = [
             each for each in self.seen.values() if now - each.at < SEEN_SECONDS
         ]
-        behind = sorted(each.server for each in lately if each.behind)
-        return len(lately), behind[:MOST_NAMED]
+        behind = sorted(each.server for each in recent if each.behind)
+        return len(recent), behind[:MAX_NAMED]
 
     def _newer(self, poll: messages.Poll) -> list[stores.Object]:
         server = self.configuration.server(poll.server)
-        given = dict(poll.versions)
+        polled = dict(poll.versions)
         if server is None:
-            paths = list(given)
+            paths = list(polled)
         else:
             paths = own_paths(server)
         newer = []
         for path in paths:
             found = self.configuration.newest(path)
-            if found is not None and found.version > given.get(path, -1):
+            if found is not None and found.version > polled.get(path, -1):
                 newer += [
                     each
                     for each in (self.configuration.in_force(path), found)
@@ -216,13 +221,13 @@
                 ]
         return newer
 
-    def _see(self, mailbox: str, seen: AgentPoll) -> None:
+    def _record_poll(self, mailbox: str, seen: AgentPoll) -> None:
         self.seen.pop(mailbox, None)
         self.seen[mailbox] = seen
-        if len(self.seen) > MOST_SEEN:
+        if len(self.seen) > MAX_POLLS:
             del self.seen[next(iter(self.seen))]
 
-    def _concerned(self, path: str) -> list[declarations.BackendServer]:
+    def _affected_servers(self, path: str) -> list[declarations.BackendServer]:
         kind = declarations.kind_of(path)
         name = path.removeprefix(declarations.PREFIXES.get(kind, ""))
         of_kind = declarations.ServerKind
@@ -243,30 +248,32 @@
             self._entries = rings.Ring(names=names)
         return self._entries.successors(rings.point(server), count)
 
-    def _told_by_me(self) -> list[str]:
-        if self._mine is None:
+    def _notified_by_me(self) -> list[str]:
+        if self._notified_names is None:
             kind = declarations.BackendServer
-            self._mine = [
+            self._notified_names = [
                 name
                 for name in self.configuration.page(kind, after="", limit=None)
-                if self.address in self._entries_of(name, TELLERS)
+                if self.address in self._entries_of(name, NOTIFYING_ENTRIES)
             ]
-            mine = set(self._mine)
-            self._written = {
-                name: at for name, at in self._written.items() if name in mine
+            mine = set(self._notified_names)
+            self._introduced_at = {
+                name: at
+                for name, at in self._introduced_at.items()
+                if name in mine
             }
-        return self._mine
+        return self._notified_names
 
     def _server_ring(self) -> rings.Ring:
         if self._servers is None:
             kind = declarations.BackendServer
             names = self.configuration.page(kind, after="", limit=None)
             self._servers = rings.Ring(names=names)
-            self._held = {}
+            self._kept_buckets = {}
             for number in range(configuration.BUCKETS):
-                place = _place(number)
+                place = _bucket_point(number)
                 for name in self._servers.successors(place, KEEPERS):
-                    self._held.setdefault(name, []).append(number)
+                    self._kept_buckets.setdefault(name, []).append(number)
         return self._servers
 
     def _held_by(self, server: str) -> list[messages.Held]:
@@ -276,9 +283,9 @@
             messages.Held(
                 number=number, digest=view.buckets[number], known=view.known
             )
-            for number in self._held.get(server, ())
+            for number in self._kept_buckets.get(server, ())
         ]
 
 
-def _place(number: int) -> int:
+def _bucket_point(number: int) -> int:
     return rings.point(f"bucket {number}")
--- a/pimentoledge/decisions/configuration.py
+++ b/pimentoledge/decisions/configuration.py
@@ -1,11 +1,11 @@
-"""What is in force at one node: the newest version of every declaration.
+"""The configuration of one node: the newest version of every declaration.
 
-A node may hear of the changes in any order, twice, and from several others.
-It keeps the highest version per object and a tombstone for each deletion, so
-nothing that was in force ever comes back by an older message.
+A node may receive changes in any order, more than once and from several
+nodes. It keeps the highest version per object and a tombstone for each
+deletion, so an older message never reverts a change.
 
-Values are kept compressed, as they were stored. Contracts, of which there are
-many, are decoded when they are asked for; the few hot ones stay decoded.
+Values are kept compressed. Contracts, of which there are many, are decoded on
+access; recently decoded ones are cached.
 """
 
 from collections import abc
@@ -23,16 +23,16 @@
 from pimentoledge.decisions import validation
 
 BUCKETS = 256
-# A revision that stands for "not complete up to any".
+# Value of `known` while the node is not complete up to any revision.
 UNKNOWN = -1
-MOST_DECODED = 2048
-MOST_TOMBSTONES = 20_000
+MAX_DECODED = 2048
+MAX_TOMBSTONES = 20_000
 _CONTRACTS = declarations.PREFIXES[declarations.Contract]
 
 
-# Text that most values contain, so that even a short one shrinks; it is never
-# sent or stored, so a release may change it.
-_COMMON = b"".join(
+# Preset dictionary of text that most values contain, so that even short values
+# compress. It is never sent or stored, so a release may change it.
+_ZLIB_DICTIONARY = b"".join(
     declarations.encode(each)
     for each in (
         declarations.EntryNode(name="", mailbox="tcp://10."),
@@ -45,21 +45,25 @@
 
 
 def _pack(value: bytes) -> bytes:
-    packer = zlib.compressobj(level=1, wbits=-12, memLevel=4, zdict=_COMMON)
+    packer = zlib.compressobj(
+        level=1, wbits=-12, memLevel=4, zdict=_ZLIB_DICTIONARY
+    )
     return packer.compress(value) + packer.flush()
 
 
 def _unpack(packed: bytes) -> bytes:
-    return zlib.decompressobj(wbits=-12, zdict=_COMMON).decompress(packed)
+    return zlib.decompressobj(wbits=-12, zdict=_ZLIB_DICTIONARY).decompress(
+        packed
+    )
 
 
 @attrs.frozen(kw_only=True, weakref_slot=False)
 class ObjectRecord:
-    """What is kept of one object.
+    """The newest version of one object, with its value compressed.
 
     Attributes:
-        version: its version.
-        packed: its value, compressed; None for a deletion.
+        version: the object's version.
+        packed: the compressed value; None for a deletion.
     """
 
     version: int
@@ -67,7 +71,7 @@
 
 
 def bucket_of(path: str) -> int:
-    """Returns the number of the digest bucket that a path falls in."""
+    """Returns the number of the digest bucket that a path belongs to."""
     return xxhash.xxh3_64_intdigest(path.encode()) % BUCKETS
 
 
@@ -94,7 +98,7 @@
 def decode(
     path: str, stored: stores.Object
 ) -> result.Result[declarations.Declaration, results.Error]:
-    """Reads a stored declaration and checks its values."""
+    """Decodes a stored declaration and validates its values."""
     match declarations.decode(path, stored):
         case result.Success(declaration):
             faults = validation.faults(declaration)
@@ -109,12 +113,12 @@
 
 @attrs.define(kw_only=True)
 class Rejection:
-    """A newest version that could not be taken into force.
+    """A newest version that is invalid and therefore not in force.
 
     Attributes:
         path: the object's path.
         version: the version that was rejected.
-        error: why.
+        error: the reason.
     """
 
     path: str
@@ -123,12 +127,12 @@
 
 
 class Contracts(abc.Mapping):
-    """The contracts in force by organisation, decoded on use.
+    """The contracts in force by organisation, decoded on access.
 
     Attributes:
-        configuration: where they come from.
-        decoded: those that were asked for lately.
-        count: how many there are.
+        configuration: the configuration that stores the contracts.
+        decoded: cache of decoded contracts by organisation.
+        count: number of contracts.
     """
 
     def __init__(self, *, configuration: "Configuration"):
@@ -145,7 +149,7 @@
         if stored is None:
             raise KeyError(organisation)
         found = declarations.decode(stored.path, stored).unwrap()
-        if len(self.decoded) >= MOST_DECODED:
+        if len(self.decoded) >= MAX_DECODED:
             self.decoded.pop(next(iter(self.decoded)))
         self.decoded[organisation] = found
         return found
@@ -168,18 +172,19 @@
     """The newest version of every declaration, with indexes.
 
     Attributes:
-        version: highest version seen, of any object.
-        known: revision of the store up to which every object was once seen
-            whole, from a scan or from a node that had; UNKNOWN while this
-            node may lack objects.
-        paths: the paths that are in force.
+        version: highest version received, of any object.
+        known: revision of the store up to which this node is complete, from
+            a scan or from a complete node; UNKNOWN while objects may be
+            missing.
+        paths: paths of the declarations in force.
         contracts: Contract by organisation.
-        rejections: by path, what was too bad to be taken into force.
+        rejections: Rejection by path.
         buckets: digest of each bucket's live objects and their versions.
-        root: digest of them all.
-        floor: up to this version an object that is not here was deleted;
-            proven by a scan, here or at a node that had the same.
-        shelves: newest ObjectRecord by path, in each bucket.
+        root: digest of all buckets.
+        floor: an object that is not here and whose version is at most this
+            was deleted; proven by a scan, here or at a node with the same
+            objects.
+        records: for each bucket, the newest ObjectRecord by path.
     """
 
     def __init__(self):
@@ -189,7 +194,7 @@
         self.contracts = Contracts(configuration=self)
         self.rejections: dict[str, Rejection] = {}
         self.buckets = [0] * BUCKETS
-        self.shelves: list[dict[str, ObjectRecord]] = [
+        self.records: list[dict[str, ObjectRecord]] = [
             {} for _ in range(BUCKETS)
         ]
         self.root = 0
@@ -206,23 +211,24 @@
         self._operators = key_indexes.KeyIndex()
         self._tombstones: dict[str, int] = {}
         self.floor = 0
-        # As the floor, but without a scan that proves it: an object below is
-        # not taken from another node, and not called deleted either.
-        self._doubt = 0
+        # Like the floor, but not proven by a scan: an absent object at or
+        # below it is not accepted from another node, and not reported as
+        # deleted either.
+        self._unproven_floor = 0
 
     def is_whole(self) -> bool:
-        """Returns whether this node lacks nothing up to some revision."""
+        """Returns whether this node is complete up to some revision."""
         return self.known != UNKNOWN
 
     def apply(
         self, objects: list[stores.Object], *, from_store: bool = True
     ) -> list[str]:
-        """Takes objects into force where they are newer.
+        """Applies the objects that are newer than the local ones.
 
         Args:
             objects: objects of the store; a value of None is a deletion.
             from_store: whether they were just read by a scan of the store,
-                which never gives what was deleted before.
+                which never returns objects that were deleted before it.
 
         Returns:
             The paths whose declaration in force changed.
@@ -230,25 +236,30 @@
         changed = []
         for stored in objects:
             if self.is_newer(stored, from_store=from_store):
-                changed += self._take(stored)
+                changed += self._apply_object(stored)
         return changed
 
     def is_newer(self, stored: stores.Object, *, from_store: bool) -> bool:
-        """Returns whether an object is newer than what is here."""
-        old = self.shelves[bucket_of(stored.path)].get(stored.path)
+        """Returns whether an object is newer than the local version."""
+        old = self.records[bucket_of(stored.path)].get(stored.path)
         if old is not None:
             return stored.version > old.version
-        # Its deletion may have been forgotten here. A node that was cut off
-        # meanwhile still has the object and would bring it back into force;
-        # the store would not.
-        return from_store or stored.version > max(self.floor, self._doubt)
+        # The tombstone of its deletion may have been dropped here. A node
+        # that was partitioned meanwhile still has the object and would bring
+        # it back into force; the store would not.
+        return from_store or stored.version > max(
+            self.floor, self._unproven_floor
+        )
 
-    def refuted(self, objects: list[stores.Object]) -> list[stores.Object]:
-        """Returns deletions of objects that are known to be gone.
+    def known_deletions(
+        self, objects: list[stores.Object]
+    ) -> list[stores.Object]:
+        """Returns deletions for those objects that are known to be deleted.
 
-        What is not here, and not newer than the floor, was not in the store
-        when that was scanned. The node that still has it may never hear of
-        the deletion otherwise: the scan left no tombstone of it anywhere.
+        An object that is absent here and not newer than the floor was absent
+        from the store when it was scanned. A node that still has it may
+        never receive the deletion otherwise, since a scan creates no
+        tombstone.
         """
         return [
             stores.Object(path=each.path, version=self.floor, value=None)
@@ -258,47 +269,49 @@
             and self.newest(each.path) is None
         ]
 
-    def absent(self, objects: list[stores.Object], revision: int) -> list:
-        """Returns deletions of what the store no longer has.
+    def missed_deletions(
+        self, objects: list[stores.Object], revision: int
+    ) -> list:
+        """Returns deletions of local objects that the store no longer has.
 
         Args:
             objects: all objects of the store.
-            revision: the store's revision when it gave them.
+            revision: the store's revision when it returned them.
         """
         present = {each.path for each in objects}
         return [
             stores.Object(path=path, version=revision, value=None)
-            for shelf in self.shelves
-            for path, record in shelf.items()
+            for bucket_records in self.records
+            for path, record in bucket_records.items()
             if record.packed is not None
             and path not in present
             and record.version <= revision
         ]
 
     def raise_floor(self, revision: int) -> None:
-        """Notes that nothing is missing here up to a revision.
+        """Records that nothing is missing here up to a revision.
 
-        Tombstones up to there need not be kept any more.
+        Tombstones up to that revision are dropped.
         """
         self.floor = max(self.floor, revision)
         old = [p for p, v in self._tombstones.items() if v <= self.floor]
         for path in old:
             del self._tombstones[path]
-            del self.shelves[bucket_of(path)][path]
+            del self.records[bucket_of(path)][path]
 
     def clear_bucket(self, number: int) -> None:
-        """Forgets one bucket; for a node that only keeps some of them."""
-        for path, record in list(self.shelves[number].items()):
+        """Drops one bucket, at a node that keeps only some of them."""
+        for path, record in list(self.records[number].items()):
             gone = stores.Object(
                 path=path, version=record.version + 1, value=None
             )
             self.apply([gone])
             self._tombstones.pop(path, None)
-            del self.shelves[number][path]
+            del self.records[number][path]
 
     def newest(self, path: str) -> stores.Object | None:
-        """Returns the newest object at a path, also a deleted one."""
-        record = self.shelves[bucket_of(path)].get(path)
+        """Returns the newest object at a path, including a deletion."""
+        record = self.records[bucket_of(path)].get(path)
         return None if record is None else _object(path, record)
 
     def in_force(self, path: str) -> stores.Object | None:
@@ -315,7 +328,7 @@
         return self._others[kind].get(name)
 
     def page(self, kind: type, *, after: str, limit: int | None) -> list[str]:
-        """Returns names of a kind, in order, that come behind a name."""
+        """Returns the sorted names of a kind that follow the name `after`."""
         prefix = declarations.PREFIXES[kind]
         behind = prefix + after if after else ""
         paths = self.paths.below(prefix, after=behind, limit=limit)
@@ -356,32 +369,32 @@
         return self._others[declarations.Service].get(name)
 
     def entries(self) -> list[declarations.EntryNode]:
-        """Returns the declared entry processes."""
+        """Returns the declared entries."""
         return list(self._others[declarations.EntryNode].values())
 
     def bucket(self, number: int) -> list[stores.Object]:
-        """Returns all that a node needs to hold one bucket as this one does.
+        """Returns all objects that another node needs to copy one bucket.
 
-        Where the newest version was rejected this gives the older one, that
-        is in force, too.
+        Where the newest version was rejected, the result also has the older
+        version that is in force.
         """
         fallbacks = [
             each
             for path, each in self._fallbacks.items()
             if bucket_of(path) == number
         ]
-        shelf = self.shelves[number]
-        return fallbacks + [_object(*each) for each in shelf.items()]
+        bucket_records = self.records[number]
+        return fallbacks + [_object(*each) for each in bucket_records.items()]
 
-    def _take(self, stored: stores.Object) -> list[str]:
+    def _apply_object(self, stored: stores.Object) -> list[str]:
         self.version = max(self.version, stored.version)
         if declarations.kind_of(stored.path) is None:
             return []
         before = self.in_force(stored.path)
-        path = self._shelve(stored)
+        path = self._store_record(stored)
         if stored.value is None:
             self._accept(path, before, None)
-            self._bury(path, stored.version)
+            self._add_tombstone(path, stored.version)
             return [] if before is None else [path]
         match decode(path, stored):
             case result.Success(declaration):
@@ -391,17 +404,17 @@
                 self._reject(path, stored.version, before, error)
         return []
 
-    def _shelve(self, stored: stores.Object) -> str:
+    def _store_record(self, stored: stores.Object) -> str:
         path = stored.path
         number = bucket_of(path)
-        shelf = self.shelves[number]
-        old = shelf.get(path)
+        bucket_records = self.records[number]
+        old = bucket_records.get(path)
         packed = None if stored.value is None else _pack(stored.value)
         new = ObjectRecord(version=stored.version, packed=packed)
         change = _live_fingerprint(path, old) ^ _live_fingerprint(path, new)
         self.buckets[number] ^= change
         self.root ^= change
-        shelf[path] = new
+        bucket_records[path] = new
         return path
 
     def _reject(
@@ -411,9 +424,9 @@
         before: stores.Object | None,
         error: results.Error,
     ) -> None:
-        # A value that no release should have written, or one of a newer
-        # release: the node would lose a contract that is in use. The older
-        # valid value stays in force until there is a newer valid one.
+        # The value is invalid, or written by a newer release. Dropping the
+        # older one would lose a contract that is in use, so it stays in force
+        # until a newer valid version arrives.
         self._tombstones.pop(path, None)
         if before is not None:
             self._fallbacks[path] = before
@@ -439,14 +452,14 @@
         if before is not None and declaration is None:
             self.paths.remove(path)
 
-    def _bury(self, path: str, version: int) -> None:
+    def _add_tombstone(self, path: str, version: int) -> None:
         self._tombstones[path] = version
-        if len(self._tombstones) <= MOST_TOMBSTONES:
+        if len(self._tombstones) <= MAX_TOMBSTONES:
             return
         path = next(iter(self._tombstones))
         version = self._tombstones.pop(path)
-        self._doubt = max(self._doubt, version)
-        del self.shelves[bucket_of(path)][path]
+        self._unproven_floor = max(self._unproven_floor, version)
+        del self.records[bucket_of(path)][path]
 
     def _index(self, path: str, declaration: declarations.Declaration) -> None:
         match declaration:
--- a/pimentoledge/decisions/distribution.py
+++ b/pimentoledge/decisions/distribution.py
@@ -1,15 +1,15 @@
-"""How one entry gets every change of the configuration, and passes it on.
+"""Distribution of configuration changes between entries, by gossip.
 
 A few entries of each data centre watch the store; more than the intended
-few are harmless. An entry that learns something new tells a few others, who
-do the same, so a change reaches nearly all in a few hops. Every second each
-entry compares digests with another one, which repairs what was lost on the
-way, and every message between processes carries its sender's newest version,
-so that one that is behind learns it at once.
-
-An entry that starts takes everything from another entry, and only when there
-is none that has it, from the store. Agents keep a few buckets each, so that
-entries that all restart while the store is down find it again.
+few are harmless. An entry sends each new change to a few others, which do the
+same, so it reaches nearly all entries in a few hops. Every second each entry
+compares digests with another one to repair lost messages, and every message
+between processes carries its sender's newest version, so that an entry that
+lags detects it at once.
+
+A starting entry copies the configuration from another entry, or scans the
+store if no entry has it. Agents keep a few buckets each, from which the
+entries recover when all of them restart while the store is down.
 """
 
 import random
@@ -32,37 +32,39 @@
 Actions = list[actions.Action]
 
 WATCHERS = 2
-# When the store was not called for changes from this data centre for so long,
-# the next entries by rank begin, one after the other.
+# When no entry of this data centre has called the store for changes for this
+# long, the entries of the next ranks begin to, one after the other.
 TAKEOVER_SECONDS = 15.0
 TAKEOVER_STEP_SECONDS = 1.0
 DIGEST_SECONDS = 1.0
-# Least time between two questions to an entry that turned out to be ahead.
+# Minimum time between two digests sent because an entry turned out to be ahead.
 BEHIND_SECONDS = 0.2
-# How long an entry that starts waits for an answer of any other one; one of a
-# lower rank, or that was told that others scan, waits longer.
+# A starting entry scans the store after this time without a repair from another
+# entry. One of a lower rank, or with an answer from an incomplete entry, waits
+# longer, since others scan.
 JOIN_SECONDS = 1.0
 LATE_JOIN_SECONDS = 4.0
 LATE_JOIN_SPREAD_SECONDS = 4.0
-NEAR = 2
-FAR = 1
-# More changes than this at one time are left to the digests.
-MOST_TOLD = watching.MOST_FRESH - 1
-# How long an entry that starts, and has everything from one entry, waits for
-# a newer version that another one has told of.
+ANNOUNCE_NEAR = 2
+ANNOUNCE_FAR = 1
+# More changes than this at a time are left to the comparison of digests.
+MAX_ANNOUNCED = watching.MAX_FRESH - 1
+# How long a starting entry that has a complete copy waits for a newer version
+# that another entry has announced.
 NEWER_SECONDS = 2.0
-# Objects in an answer after which memory is given back.
+# Store answers with at least this many objects are followed by a release of
+# unused memory to the operating system.
 LARGE_ANSWER = 2000
-LONG_AGO = 1e6
+MAX_AGE_SECONDS = 1e6
 
 
 @attrs.define(kw_only=True)
 class PeerStatus:
-    """What another entry told of itself for the status page.
+    """The last status report of another entry.
 
     Attributes:
-        tell: what it told.
-        at: when.
+        tell: the report.
+        at: time of its arrival.
     """
 
     tell: messages.StatusTell
@@ -70,20 +72,21 @@
 
 
 class Distributor:
-    """One entry's part in the distribution.
+    """Distributes the configuration on behalf of one entry.
 
     Attributes:
         name: this entry's name.
-        address: its mailbox.
-        data_centre: where it stands.
-        configuration: what is in force here; only this machine changes it.
+        address: this entry's mailbox.
+        data_centre: this entry's data centre.
+        configuration: this entry's configuration, changed only by this class
+            and its parts.
         peers: the other entries.
-        watching: its calls to the store.
-        exchange: repairs differences with another entry.
-        agents: the agents that it serves.
-        registration: declares this entry itself.
-        joining: its part in a start of many.
-        told: PeerStatus by mailbox.
+        watching: scans and watches of the store.
+        repairs: repairs of differences with other nodes.
+        agents: the agents that this entry serves.
+        registration: declaration of this entry itself.
+        joining: coordination with other starting entries.
+        peer_statuses: PeerStatus by mailbox.
     """
 
     def __init__(
@@ -106,7 +109,7 @@
             seed=seed,
         )
         self.watching = watching.Watching(view=view, seed=seed + 1)
-        self.exchange = bucket_repairs.BucketRepairs(view=view)
+        self.repairs = bucket_repairs.BucketRepairs(view=view)
         self.agents = agent_subscriptions.AgentSubscriptions(
             address=address, view=view
         )
@@ -117,16 +120,16 @@
             seed=seed + 2,
         )
         self.joining = joining.Joining()
-        self.told: dict[str, PeerStatus] = {}
+        self.peer_statuses: dict[str, PeerStatus] = {}
         self._random = random.Random(seed)
         self._watched = float("-inf")
         self._started: float | None = None
-        self._late = self._random.uniform(0, LATE_JOIN_SPREAD_SECONDS)
+        self._scan_jitter = self._random.uniform(0, LATE_JOIN_SPREAD_SECONDS)
         self._next_digest = float("-inf")
-        self._asked = float("-inf")
-        self._heard_version = 0
-        self._has_all: float | None = None
-        self._on_duty = False
+        self._last_request = float("-inf")
+        self._newest_announced = 0
+        self._complete_since: float | None = None
+        self._is_watcher = False
         self._sweeper = False
 
     @property
@@ -136,45 +139,47 @@
 
     @address.setter
     def address(self, address: str) -> None:
-        """Sets the mailbox, once its port is known."""
+        """Sets the mailbox once its port is known."""
         self.peers.address = address
         self.agents.address = address
 
     def handle(self, event: object, now: float) -> Actions:
-        """Takes a message, an answer of the store, or a fault of a peer."""
+        """Handles a message, a store answer, an unreachable peer or a drain."""
         match event:
             case events.FromNode():
-                todo = self._message(event, now) + self._behind(event, now)
+                todo = self._on_message(event, now) + self._request_if_behind(
+                    event, now
+                )
                 self._finish_join(now)
                 return todo
             case stores.StoreAnswer():
-                return self._answer(event, now)
+                return self._on_store_answer(event, now)
             case events.Unreachable(address=address):
                 self.peers.unreachable(address, now)
-                self.exchange.drop(address)
-                # With nobody left to ask it scans at once.
-                self._on_duty = self._duty(now)
+                self.repairs.abandon(address)
+                # Without a reachable entry, the store is scanned at once.
+                self._is_watcher = self._should_watch(now)
             case events.Drain():
                 return self.registration.retire()
         return []
 
     def wake(self, now: float) -> Actions:
-        """Does what is due."""
+        """Runs the calls, digests and notifications that are due."""
         if self._started is None:
             self._started = now
         self._finish_join(now)
-        self._on_duty = self._duty(now)
+        self._is_watcher = self._should_watch(now)
         self._sweeper = self.peers.rank(now, everywhere=True) == 0
-        todo = self.watching.turn(
-            now, duty=self._on_duty, sweeper=self._sweeper
+        todo = self.watching.due_calls(
+            now, watcher=self._is_watcher, sweeper=self._sweeper
         )
-        todo += self.registration.turn(self.address, now)
+        todo += self.registration.write_if_due(self.address, now)
         todo += self.agents.introduce(now)
         if self.configuration.is_whole():
-            told = self.joining.tell(now)
-            todo += [self._digest(mailbox, now) for mailbox in told]
+            batch = self.joining.next_batch(now)
+            todo += [self._send_digest(mailbox, now) for mailbox in batch]
         if now >= self._next_digest:
-            todo += self._compare(now)
+            todo += self._compare_digests(now)
         return todo
 
     def next_wake(self) -> float | None:
@@ -182,35 +187,37 @@
         if self._started is None:
             return float("-inf")
         follow = self.watching.next_wake(
-            duty=self._on_duty, sweeper=self._sweeper
+            watcher=self._is_watcher, sweeper=self._sweeper
         )
         times = [self._next_digest, follow]
         if self.configuration.is_whole():
-            times.append(self.joining.next_tell())
+            times.append(self.joining.next_batch_time())
         return min(each for each in times if each is not None)
 
     def publish(self, objects: list[stores.Object], now: float) -> Actions:
-        """Takes objects that the store was just seen to hold, and tells all.
+        """Applies and announces objects that the store has just confirmed.
 
-        The agents that keep the objects' buckets are told at once as well: if
-        this process and then every other entry is lost while the store is
-        down, they are the only ones that have what was accepted here.
+        The agents that keep the objects' buckets are notified at once as
+        well. If this process and then every other entry is lost while the
+        store is down, only they have the accepted objects.
         """
-        kept = self.agents.notify_keepers(objects)
-        return self._take(objects, now) + kept
+        keepers = self.agents.notify_keepers(objects)
+        return self._apply(objects, now) + keepers
 
     def ask_status(self, now: float) -> Actions:
-        """Asks every other entry what is in force there."""
+        """Requests a status report from every other entry."""
         usable = self.peers.usable(now)
         mailboxes = {peer.mailbox for peer in usable}
-        self.told = {m: t for m, t in self.told.items() if m in mailboxes}
+        self.peer_statuses = {
+            m: t for m, t in self.peer_statuses.items() if m in mailboxes
+        }
         ask = messages.StatusAsk()
         return [
             actions.Send(address=peer.mailbox, message=ask) for peer in usable
         ]
 
     def status(self, now: float) -> messages.StatusTell:
-        """Returns what is in force here."""
+        """Returns this entry's status report."""
         view = self.configuration
         count, behind = self.agents.counts(now)
         return messages.StatusTell(
@@ -219,115 +226,123 @@
             version=view.version,
             known=view.known,
             root=view.root,
-            rejected=sorted(view.rejections)[: agent_subscriptions.MOST_NAMED],
+            rejected=sorted(view.rejections)[: agent_subscriptions.MAX_NAMED],
             agents=count,
             behind=behind,
         )
 
-    def _message(self, event: events.FromNode, now: float) -> Actions:
+    def _on_message(self, event: events.FromNode, now: float) -> Actions:
         sender = event.sender
         match event.message:
             case messages.Changes() as changes:
-                return self._changes(changes, sender, now)
+                return self._on_changes(changes, sender, now)
             case messages.Digest() as digest:
-                self._heard(digest, event, now)
-                return self._compared(digest, sender, now)
+                self._note_peer(digest, event, now)
+                return self._on_digest(digest, sender, now)
             case messages.Summary() as summary:
-                self._heard(summary, event, now)
-                self._answered(summary, now)
-                return self.exchange.repair(summary, sender, now)
+                self._note_peer(summary, event, now)
+                self._on_incomplete_summary(summary, now)
+                return self.repairs.start(summary, sender, now)
             case messages.Fetch() as fetch:
-                return self.exchange.give(fetch, sender)
+                return self.repairs.answer_fetch(fetch, sender)
             case messages.Poll() as poll:
-                offered = self.exchange.offered(poll.held, sender)
-                return offered + self.agents.polled(poll, sender, now)
+                offered = self.repairs.fetch_from_agent(poll.held, sender)
+                return offered + self.agents.on_poll(poll, sender, now)
             case messages.StatusAsk():
                 tell = self.status(now)
                 return [actions.Send(address=sender, message=tell)]
             case messages.StatusTell() as tell:
-                self.told[sender] = PeerStatus(tell=tell, at=now)
+                self.peer_statuses[sender] = PeerStatus(tell=tell, at=now)
         return []
 
-    def _compared(
+    def _on_digest(
         self, digest: messages.Digest, sender: str, now: float
     ) -> Actions:
         view = self.configuration
         complete = digest.known >= 0
         if complete and not view.is_whole():
-            # Its snapshot is asked for; to a summary it would answer by
-            # asking for what is here.
-            if self.exchange.snapshots(now):
+            # The digest requests a summary, which starts a snapshot. A summary
+            # sent to the complete entry would make it fetch from this one.
+            if self.repairs.snapshots(now):
                 return []
-            return [self._digest(sender, now)]
-        self.exchange.compare(digest)
-        summary = self.exchange.summary(digest, self._about_me(now))
+            return [self._send_digest(sender, now)]
+        self.repairs.compare(digest)
+        summary = self.repairs.summary(digest, self._own_state(now))
         if not (complete or view.is_whole()):
-            self.joining.asked(sender)
+            self.joining.add_waiting(sender)
             if self.address in self.peers.first_seeds(now):
                 summary.scan = self.joining.grant(
                     sender, digest.data_centre, now
                 )
         return [actions.Send(address=sender, message=summary)]
 
-    def _answered(self, summary: messages.Summary, now: float) -> None:
+    def _on_incomplete_summary(
+        self, summary: messages.Summary, now: float
+    ) -> None:
         if summary.known >= 0 or self.configuration.is_whole():
             return
-        self.joining.answered(summary.scan)
-        self._on_duty = self._duty(now)
+        self.joining.on_summary(summary.scan)
+        self._is_watcher = self._should_watch(now)
 
-    def _behind(self, event: events.FromNode, now: float) -> Actions:
+    def _request_if_behind(self, event: events.FromNode, now: float) -> Actions:
         newer = event.configuration > self.configuration.version
-        if not newer or self.agents.knows(event.sender):
+        if not newer or self.agents.is_agent(event.sender):
             return []
-        self._heard_version = max(self._heard_version, event.configuration)
-        if now < self._asked + BEHIND_SECONDS:
+        self._newest_announced = max(
+            self._newest_announced, event.configuration
+        )
+        if now < self._last_request + BEHIND_SECONDS:
             return []
-        self._asked = now
-        return [self._digest(event.sender, now)]
+        self._last_request = now
+        return [self._send_digest(event.sender, now)]
 
     def _finish_join(self, now: float) -> None:
-        """Makes a starting entry complete, once it has all that it can get.
+        """Marks a starting entry complete once it has a complete copy.
 
-        An entry that restarts could take everything from one that is cut off
-        and lags, and then serve from something older than before. So it
-        waits for the newest version that any other entry told of; but not
-        for ever, since that entry may be gone.
+        A restarting entry could copy from a partitioned entry that lags, and
+        then serve an older configuration than before. It therefore waits for
+        the newest version that any other entry has announced, but only for a
+        limited time, since that entry may be gone.
         """
-        if self.configuration.is_whole() or not self.exchange.has_all():
+        if self.configuration.is_whole() or not self.repairs.all_complete():
             return
-        if self._has_all is None:
-            self._has_all = now
-        up_to_date = self.configuration.version >= self._heard_version
-        if up_to_date or now >= self._has_all + NEWER_SECONDS:
-            self.exchange.finish()
-
-    def _answer(self, answer: stores.StoreAnswer, now: float) -> Actions:
+        if self._complete_since is None:
+            self._complete_since = now
+        up_to_date = self.configuration.version >= self._newest_announced
+        if up_to_date or now >= self._complete_since + NEWER_SECONDS:
+            self.repairs.finish()
+
+    def _on_store_answer(
+        self, answer: stores.StoreAnswer, now: float
+    ) -> Actions:
         large = len(answer.objects) >= LARGE_ANSWER
-        joins = not self.configuration.is_whole()
+        starting = not self.configuration.is_whole()
         fresh = self.watching.handle(answer, now)
         if fresh is not None:
-            todo = self._tell(fresh, now)
-            if joins:
-                self.joining.scanned(self._near(now))
+            todo = self._announce(fresh, now)
+            if starting:
+                self.joining.put_first(self._near_entries(now))
             return todo + ([actions.ReleaseMemory()] if large else [])
-        return self._take(self.registration.handle(answer, now), now)
+        return self._apply(self.registration.handle(answer, now), now)
 
-    def _changes(
+    def _on_changes(
         self, changes: messages.Changes, sender: str, now: float
     ) -> Actions:
         view = self.configuration
-        # An agent's copy may be old. It helps an entry that has nothing; to
-        # one that is complete it could only bring back what was deleted.
-        if view.is_whole() and self.agents.knows(sender):
+        # An agent's copy may be stale. It serves an incomplete entry; at a
+        # complete one it could only restore deleted objects.
+        if view.is_whole() and self.agents.is_agent(sender):
             return []
-        gone = view.refuted(changes.objects) if view.is_whole() else []
-        todo = self._take(changes.objects, now, sender=sender)
-        if gone:
-            refuted = messages.Changes(objects=gone)
-            todo.append(actions.Send(address=sender, message=refuted))
-        return todo + self.exchange.told(changes, sender, now)
-
-    def _take(
+        deletions = (
+            view.known_deletions(changes.objects) if view.is_whole() else []
+        )
+        todo = self._apply(changes.objects, now, sender=sender)
+        if deletions:
+            reply = messages.Changes(objects=deletions)
+            todo.append(actions.Send(address=sender, message=reply))
+        return todo + self.repairs.on_changes(changes, sender, now)
+
+    def _apply(
         self,
         objects: list[stores.Object],
         now: float,
@@ -337,9 +352,9 @@
         view = self.configuration
         fresh = [o for o in objects if view.is_newer(o, from_store=False)]
         view.apply(fresh, from_store=False)
-        return self._tell(fresh, now, sender=sender)
+        return self._announce(fresh, now, sender=sender)
 
-    def _tell(
+    def _announce(
         self,
         fresh: list[stores.Object],
         now: float,
@@ -348,30 +363,34 @@
     ) -> Actions:
         if not fresh:
             return []
-        many = len(fresh) > MOST_TOLD
+        many = len(fresh) > MAX_ANNOUNCED
         if many or any(_is_entry(each) for each in fresh):
             self.peers.declare(self.configuration.entries())
         if many or any(_is_server(each) for each in fresh):
             self.agents.servers_changed()
-        # What a starting entry reads is no news; telling it to all agents
-        # would be thousands of messages at one time. And so much is better
-        # repaired by digests at the other entries.
+        # The objects that a starting entry reads are not new; sending them
+        # to all agents would be thousands of messages at once. Between
+        # entries, digests repair so many changes better.
         if many or not self.configuration.is_whole():
             return []
-        todo = [self._rejected(each) for each in fresh if self._is_bad(each)]
+        todo = [
+            self._log_rejection(each)
+            for each in fresh
+            if self._is_rejected(each)
+        ]
         todo += self.agents.notify_agents(fresh)
         changes = messages.Changes(objects=fresh)
-        chosen = self.peers.choose(now, near=NEAR, far=FAR)
+        chosen = self.peers.choose(now, near=ANNOUNCE_NEAR, far=ANNOUNCE_FAR)
         return todo + [
             actions.Send(address=mailbox, message=changes)
             for mailbox in chosen
             if mailbox != sender
         ]
 
-    def _is_bad(self, stored: stores.Object) -> bool:
+    def _is_rejected(self, stored: stores.Object) -> bool:
         return stored.path in self.configuration.rejections
 
-    def _rejected(self, stored: stores.Object) -> actions.LogDecision:
+    def _log_rejection(self, stored: stores.Object) -> actions.LogDecision:
         rejection = self.configuration.rejections[stored.path]
         fields = {
             "path": stored.path,
@@ -381,70 +400,71 @@
         }
         return actions.LogDecision(kind="reject_declaration", fields=fields)
 
-    def _heard(
+    def _note_peer(
         self,
         message: messages.Digest | messages.Summary,
         event: events.FromNode,
         now: float,
     ) -> None:
         sender = event.sender
-        self.peers.hear(sender, message.name, message.data_centre, now)
+        self.peers.seen(sender, message.name, message.data_centre, now)
         if message.data_centre == self.data_centre:
             self._watched = max(self._watched, now - message.watched)
         view = self.configuration
         if message.root == view.root:
-            # The sender has the same. Its version may be that of a deletion,
-            # which an entry that started later never hears of; without this
-            # it would take itself for behind for ever.
+            # The sender has the same objects. Its version may be that of a
+            # deletion, which an entry that started later never receives;
+            # without its version the entry would consider itself behind for
+            # ever.
             view.version = max(view.version, event.configuration)
 
-    def _compare(self, now: float) -> Actions:
+    def _compare_digests(self, now: float) -> Actions:
         self.agents.declare(
             [each.mailbox for each in self.peers.usable(now) if each.declared]
         )
-        joins = not self.configuration.is_whole()
-        pause = joining.RETRY_SECONDS if joins else DIGEST_SECONDS
+        starting = not self.configuration.is_whole()
+        pause = joining.RETRY_SECONDS if starting else DIGEST_SECONDS
         self._next_digest = now + pause * self._random.uniform(0.8, 1.2)
         near = self._random.randrange(2)
         chosen = self.peers.choose(now, near=near, far=1 - near)
-        if joins:
+        if starting:
             return self._ask_to_join(now)
-        todo = [self._digest(mailbox, now) for mailbox in chosen[:2]]
-        return todo + (self._clean(now) if self._sweeper else [])
+        todo = [self._send_digest(mailbox, now) for mailbox in chosen[:2]]
+        return todo + (self._probe_declared(now) if self._sweeper else [])
 
     def _ask_to_join(self, now: float) -> Actions:
-        if self.exchange.snapshots(now) >= bucket_repairs.SNAPSHOTS:
+        if self.repairs.snapshots(now) >= bucket_repairs.MAX_SNAPSHOTS:
             return []
         asked = self.peers.choose(now, near=1, far=1)[:2]
         asked += self.peers.first_seeds(now)
         return [
-            self._digest(mailbox, now)
+            self._send_digest(mailbox, now)
             for mailbox in dict.fromkeys(asked)
             if mailbox != self.address
         ]
 
-    def _near(self, now: float) -> list[str]:
+    def _near_entries(self, now: float) -> list[str]:
         return [
             peer.mailbox
             for peer in self.peers.usable(now)
             if peer.data_centre == self.data_centre
         ]
 
-    def _clean(self, now: float) -> Actions:
-        """Tries each declared entry in turn, and forgets the dead ones."""
+    def _probe_declared(self, now: float) -> Actions:
+        """Contacts each declared entry in rotation, and deletes dead ones."""
         todo: Actions = []
         mailbox = self.peers.next_declared(now)
         if mailbox is not None:
-            todo.append(self._digest(mailbox, now))
+            todo.append(self._send_digest(mailbox, now))
         for name in self.peers.dead()[:1]:
             todo += self.registration.forget(name)
         return todo
 
-    def _digest(self, mailbox: str, now: float) -> actions.Send:
-        digest = messages.Digest(**self._about_me(now))
+    def _send_digest(self, mailbox: str, now: float) -> actions.Send:
+        digest = messages.Digest(**self._own_state(now))
         return actions.Send(address=mailbox, message=digest)
 
-    def _about_me(self, now: float) -> dict[str, object]:
+    def _own_state(self, now: float) -> dict[str, object]:
         watched = max(self._watched, self.watching.attempted)
         if self.watching.busy():
             watched = now
@@ -453,29 +473,29 @@
             "known": self.configuration.known,
             "name": self.name,
             "data_centre": self.data_centre,
-            "watched": min(now - watched, LONG_AGO),
+            "watched": min(now - watched, MAX_AGE_SECONDS),
             "floor": self.configuration.floor,
         }
 
-    def _duty(self, now: float) -> bool:
-        """Tells whether this entry shall call the store for changes."""
+    def _should_watch(self, now: float) -> bool:
+        """Returns whether this entry has to call the store for changes."""
         rank = self.peers.rank(now)
         if not self.configuration.is_whole():
-            return self._scans(rank, now)
+            return self._should_scan(rank, now)
         if rank < WATCHERS:
             return True
         watched = max(self._watched, self.watching.attempted)
         late = (rank - WATCHERS) * TAKEOVER_STEP_SECONDS
         return now - watched > TAKEOVER_SECONDS + late
 
-    def _scans(self, rank: int, now: float) -> bool:
-        if self._started is None or self.exchange.busy(now):
+    def _should_scan(self, rank: int, now: float) -> bool:
+        if self._started is None or self.repairs.busy(now):
             return False
         if self.joining.granted or not self.peers.usable(now):
             return True
         wait = JOIN_SECONDS
         if rank >= WATCHERS or self.joining.refused:
-            wait = LATE_JOIN_SECONDS + self._late
+            wait = LATE_JOIN_SECONDS + self._scan_jitter
         return now >= self._started + wait
 
 
--- a/pimentoledge/decisions/registration.py
+++ b/pimentoledge/decisions/registration.py
@@ -1,8 +1,8 @@
-"""The declarations of entries: each writes its own, and one cleans up.
+"""Declarations of entries: each writes its own, and one deletes dead ones.
 
-There are no heartbeats. An entry that crashed for good stays declared until
-the one that sweeps has found it unreachable at every try of about 20 minutes.
-An entry that was only cut off for so long declares itself again.
+There are no heartbeats. An entry that crashed stays declared until the
+sweeping entry has found it unreachable at every attempt for about 20 minutes.
+An entry that was only partitioned for that long declares itself again.
 """
 
 import random
@@ -12,20 +12,20 @@
 from pimentoledge.decisions import declarations
 from pimentoledge.decisions import stores
 
-# Two processes with one name would take the declaration from each other for
-# ever; each waits twice as long before its next write.
-SHORTEST_PAUSE_SECONDS = 5.0
-LONGEST_PAUSE_SECONDS = 320.0
+# Two processes with the same name would overwrite each other's declaration for
+# ever, so the pause before the next write doubles.
+MIN_PAUSE_SECONDS = 5.0
+MAX_PAUSE_SECONDS = 320.0
 
 
 class Registration:
-    """Declares one entry, by a conditional write and without heartbeats.
+    """Declares one entry by a conditional write.
 
     Attributes:
         name: the entry's name.
-        data_centre: where it stands.
-        configuration: what is in force here.
-        retired: whether the entry is leaving.
+        data_centre: the entry's data centre.
+        configuration: this entry's configuration.
+        retired: whether the entry is shutting down.
     """
 
     def __init__(
@@ -43,17 +43,17 @@
         self._random = random.Random(seed)
         self._write: stores.Write | None = None
         self._retry = float("-inf")
-        self._pause = SHORTEST_PAUSE_SECONDS
+        self._pause = MIN_PAUSE_SECONDS
 
-    def turn(self, address: str, now: float) -> list[actions.Action]:
+    def write_if_due(self, address: str, now: float) -> list[actions.Action]:
         """Writes the declaration when it is due.
 
         Args:
             address: the entry's mailbox.
             now: the time.
         """
-        waits = self._write is not None or now < self._retry
-        if self.retired or waits or not self.configuration.is_whole():
+        waiting = self._write is not None or now < self._retry
+        if self.retired or waiting or not self.configuration.is_whole():
             return []
         wanted = declarations.EntryNode(
             name=self.name, mailbox=address, data_centre=self.data_centre
@@ -64,18 +64,18 @@
         if found == wanted:
             return []
         self._retry = now + self._pause
-        self._pause = min(self._pause * 2, LONGEST_PAUSE_SECONDS)
+        self._pause = min(self._pause * 2, MAX_PAUSE_SECONDS)
         return self._call(self.name, declarations.encode(wanted))
 
     def forget(self, name: str) -> list[actions.Action]:
-        """Deletes the declaration of another entry, which is dead."""
+        """Deletes the declaration of another entry that is dead."""
         found = self.configuration.get(declarations.EntryNode, name)
         if self._write is not None or found is None or name == self.name:
             return []
         return self._call(name, None)
 
     def retire(self) -> list[actions.Action]:
-        """Deletes the declaration, for the end of the process."""
+        """Deletes this entry's declaration before the process ends."""
         self.retired = True
         if self.configuration.get(declarations.EntryNode, self.name) is None:
             return []
@@ -84,7 +84,7 @@
     def handle(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[stores.Object]:
-        """Takes an answer, and returns what the store holds now."""
+        """Returns the objects that an answer shows to be in the store."""
         if self._write is None or answer.call != self._write.call:
             return []
         write, self._write = self._write, None
@@ -97,9 +97,9 @@
             case stores.Outcome.CONFLICT:
                 return answer.objects
             case _:
-                # Down or lost; a lost one that took effect comes by the
-                # watch, before the next try.
-                pause = self._random.uniform(1, 2) * SHORTEST_PAUSE_SECONDS
+                # Down or lost. A lost write that took effect arrives by the
+                # watch before the next attempt.
+                pause = self._random.uniform(1, 2) * MIN_PAUSE_SECONDS
                 self._retry = now + pause
         return []
 
--- a/pimentoledge/decisions/subscription.py
+++ b/pimentoledge/decisions/subscription.py
@@ -1,4 +1,4 @@
-"""How an agent gets its declarations, and keeps buckets for the entries."""
+"""An agent's part in the distribution: its declarations and kept buckets."""
 
 import random
 
@@ -11,24 +11,24 @@
 from pimentoledge.nodes import configuration_messages as messages
 
 POLL_SECONDS = 4.0
-# Until an entry that is complete has answered.
+# Poll interval until a complete entry has answered.
 FIRST_POLL_SECONDS = 0.5
-SILENT_SECONDS = 10.0
-MOST_ENTRIES = 16
+UNREACHABLE_SECONDS = 10.0
+MAX_ENTRIES = 16
 
 Actions = list[actions.Action]
 
 
 class Subscriber:
-    """One agent's part in the distribution; it never calls the store.
+    """Polls the entries on behalf of one agent; never calls the store.
 
     Attributes:
         name: the backend server's name.
-        configuration: the declarations that the agent goes by.
-        kept: the buckets that it keeps for entries that restart.
+        configuration: the declarations of the server and of what it serves.
+        kept: copies of the buckets kept for entries that restart.
         entries: mailboxes of the entries to poll.
-        runners: how many runners of its model are declared in; 0 while no
-            entry has told.
+        runners: number of runners of its model in state IN; 0 until an entry
+            has reported it.
     """
 
     def __init__(
@@ -45,33 +45,36 @@
         self.entries = list(seeds)
         self.runners = 0
         self._seeds = seeds
-        self._numbers: dict[int, int] = {}
-        self._silent: dict[str, float] = {}
+        self._complete_to: dict[int, int] = {}
+        self._unreachable_until: dict[str, float] = {}
         self._random = random.Random(seed)
         self._next_poll = float("-inf")
         self._complete = False
 
     def handle(self, event: object, now: float) -> Actions:
-        """Takes a message of an entry, or that one can't be reached."""
+        """Handles a message of an entry, or that an address is unreachable."""
         match event:
             case events.FromNode(message=messages.Changes() as changes):
-                self._take(changes)
-                self._meet(event.sender, now)
+                self._apply_changes(changes)
+                self._add_entry(event.sender, now)
             case events.FromNode(message=messages.PollAnswer() as answer):
-                return self._answered(answer, event.sender)
+                return self._on_poll_answer(answer, event.sender)
             case events.FromNode(message=messages.Fetch() as fetch):
-                return self._give(fetch, event.sender)
+                return self._answer_fetch(fetch, event.sender)
             case events.Unreachable(address=address):
-                self._silent[address] = now + SILENT_SECONDS
-                # Another one is asked at once, but only while one is left
-                # that was not found dead: to ask the dead ones in turn would
-                # be hundreds of messages a second during an outage.
-                if any(each not in self._silent for each in self.entries):
+                self._unreachable_until[address] = now + UNREACHABLE_SECONDS
+                # Polls another entry at once, but only while one is left
+                # that was not found unreachable. Polling the unreachable
+                # ones in turn would send hundreds of messages per second
+                # during an outage.
+                if any(
+                    each not in self._unreachable_until for each in self.entries
+                ):
                     self._next_poll = now
         return []
 
     def wake(self, now: float) -> Actions:
-        """Polls an entry when it is due."""
+        """Polls an entry when a poll is due."""
         if now < self._next_poll:
             return []
         pause = POLL_SECONDS if self._complete else FIRST_POLL_SECONDS
@@ -87,39 +90,43 @@
         """Returns when `wake` is due next."""
         return self._next_poll
 
-    def _meet(self, entry: str, now: float) -> None:
-        """Polls an entry that wrote by itself, when no other one answers."""
+    def _add_entry(self, entry: str, now: float) -> None:
+        """Polls an unknown sender when no complete entry has answered."""
         if self._complete or entry in self.entries:
             return
-        self.entries = [entry, *self.entries][:MOST_ENTRIES]
+        self.entries = [entry, *self.entries][:MAX_ENTRIES]
         self._next_poll = now
 
     def _usable(self, now: float) -> list[str]:
-        self._silent = {m: t for m, t in self._silent.items() if t > now}
+        self._unreachable_until = {
+            m: t for m, t in self._unreachable_until.items() if t > now
+        }
         known = list(dict.fromkeys(self.entries + self._seeds))
-        return [each for each in known if each not in self._silent] or known
+        return [
+            each for each in known if each not in self._unreachable_until
+        ] or known
 
     def _poll(self) -> messages.Poll:
         versions = [
             (path, record.version)
-            for shelf in self.configuration.shelves
-            for path, record in shelf.items()
+            for bucket_records in self.configuration.records
+            for path, record in bucket_records.items()
         ]
         held = [
             messages.Held(
                 number=number, digest=self.kept.buckets[number], known=known
             )
-            for number, known in self._numbers.items()
+            for number, known in self._complete_to.items()
         ]
         return messages.Poll(server=self.name, versions=versions, held=held)
 
-    def _take(self, changes: messages.Changes) -> None:
+    def _apply_changes(self, changes: messages.Changes) -> None:
         objects = changes.objects
         self.kept.apply(
             [
                 each
                 for each in objects
-                if configuration.bucket_of(each.path) in self._numbers
+                if configuration.bucket_of(each.path) in self._complete_to
             ],
             from_store=False,
         )
@@ -132,28 +139,30 @@
         self.configuration.apply(
             [each for each in objects if each.path in wanted], from_store=False
         )
-        self._mark(changes.done)
-        # All that the entry has of a bucket is here, and yet it differs: the
-        # entry knows of a deletion that left no tombstone. What is kept is
-        # only a copy, so it is fetched anew.
+        self._mark_complete(changes.done)
+        # A bucket that still differs after all of its objects were received
+        # has an object here whose deletion left no tombstone at the entry.
+        # The bucket is only a copy, so it is dropped and fetched again.
         for each in changes.done:
             if self.kept.buckets[each.number] != each.digest:
                 self.kept.clear_bucket(each.number)
 
-    def _answered(self, answer: messages.PollAnswer, sender: str) -> Actions:
+    def _on_poll_answer(
+        self, answer: messages.PollAnswer, sender: str
+    ) -> Actions:
         if answer.known < 0:
-            # An entry that has just started knows nothing to be asked for.
+            # A starting entry has no complete configuration to copy from.
             return []
         self._complete = True
-        self.entries = answer.entries[:MOST_ENTRIES]
+        self.entries = answer.entries[:MAX_ENTRIES]
         self.runners = answer.runners
         wanted = {each.number for each in answer.held}
-        for number in self._numbers.keys() - wanted:
+        for number in self._complete_to.keys() - wanted:
             self.kept.clear_bucket(number)
-            del self._numbers[number]
+            del self._complete_to[number]
         for each in answer.held:
-            self._numbers.setdefault(each.number, configuration.UNKNOWN)
-        self._mark(answer.held)
+            self._complete_to.setdefault(each.number, configuration.UNKNOWN)
+        self._mark_complete(answer.held)
         differ = [
             each.number
             for each in answer.held
@@ -168,18 +177,20 @@
         fetch = messages.Fetch(buckets=buckets, answer=False)
         return [actions.Send(address=sender, message=fetch)]
 
-    def _mark(self, held: list[messages.Held]) -> None:
+    def _mark_complete(self, held: list[messages.Held]) -> None:
         for each in held:
             same = self.kept.buckets[each.number] == each.digest
-            if each.number in self._numbers and same:
-                known = max(self._numbers[each.number], each.known)
-                self._numbers[each.number] = known
+            if each.number in self._complete_to and same:
+                known = max(self._complete_to[each.number], each.known)
+                self._complete_to[each.number] = known
 
-    def _give(self, fetch: messages.Fetch, sender: str) -> Actions:
-        fetch.buckets = [b for b in fetch.buckets if b.number in self._numbers]
+    def _answer_fetch(self, fetch: messages.Fetch, sender: str) -> Actions:
+        fetch.buckets = [
+            b for b in fetch.buckets if b.number in self._complete_to
+        ]
         if not fetch.buckets:
             return []
-        known = min(self._numbers[b.number] for b in fetch.buckets)
+        known = min(self._complete_to[b.number] for b in fetch.buckets)
         return [
             actions.Send(address=sender, message=part)
             for part in bucket_repairs.answers(self.kept, fetch, known=known)
--- a/pimentoledge/decisions/updates.py
+++ b/pimentoledge/decisions/updates.py
@@ -1,17 +1,17 @@
-"""One operator's update of one declaration, through lost answers.
+"""Operators' updates of declarations, safe against lost answers.
 
-An update reads the object, puts the version that it replaces into the
-history, and writes on condition of the version that the operator read. Of
-two updates of one version the store takes one; the other is answered with a
-conflict that shows the newer version.
+An update reads the object, adds the version that it replaces to the history,
+and makes a conditional write on the version that the operator read. Of two
+updates of one version the store accepts one; the other gets a conflict with
+the newer version.
 
-"Accepted" is answered only when the store was seen to hold the update, and
-"not accepted" only when it surely does not and never will. The answer of a
+"Accepted" is answered only when the store is confirmed to have the update, and
+"not accepted" only when it does not have it and never will. The answer of a
 write can be lost after the write has taken effect, and a write can take
-effect long after its sender gave up. So after a lost answer the object is
-read back. Where it is unchanged the same write is made again: whichever of
-the two comes first makes the other one fail its condition. Where it has
-changed, the history tells whether this update was among the versions.
+effect long after its sender gave up. After a lost answer the object is
+therefore read back. If it is unchanged, the same write is repeated: whichever
+of the two takes effect first makes the other one fail its condition. If it
+has changed, the history shows whether this update was among the versions.
 """
 
 import enum
@@ -31,13 +31,13 @@
 from pimentoledge.decisions import stores
 from pimentoledge.decisions import validation
 
-MOST_RUNNING = 64
-LIMIT_SECONDS = 8.0
+MAX_RUNNING = 64
+UPDATE_TIMEOUT_SECONDS = 8.0
 RETRY_SECONDS = 0.25
 
 
 class Step(enum.StrEnum):
-    """What an update waits for."""
+    """The operation that an update waits for."""
 
     READ = "read"
     READ_HISTORY = "read_history"
@@ -53,17 +53,18 @@
     """A running update.
 
     Attributes:
-        event: what the operator asks for.
+        event: the operator's request.
         by: the operator's name.
         kind: kind of the declaration.
         path: path of the object.
-        write_id: id of its write, the same at each try.
-        step: what it waits for.
-        call: id of the call that it waits for.
-        ends: time at which it is given up.
-        retry: time of the next try, in step RETRY.
-        uncertain: whether a write of it may have taken effect or may yet.
-        current: the object as it was read; None when absent.
+        write_id: id of its write, the same for each attempt.
+        step: the operation that it waits for.
+        call: id of the store call that it waits for.
+        ends: time at which it is abandoned.
+        retry: time of the next attempt, in step RETRY.
+        uncertain: whether one of its writes may have taken effect or may
+            still do so.
+        current: the object as last read; None when absent.
         value: the new value; None to delete the object.
     """
 
@@ -86,12 +87,12 @@
 
 
 class Updates:
-    """The updates that run at one entry.
+    """The running updates of one entry.
 
     Attributes:
-        name: this entry's name, part of the ids that it makes.
-        configuration: what is in force here.
-        distributor: tells the other nodes of an accepted update.
+        name: this entry's name, the prefix of its write ids.
+        configuration: this entry's configuration.
+        distributor: sends accepted updates to the other nodes.
         running: Update by request id.
     """
 
@@ -113,7 +114,7 @@
     def start(
         self, event: events.OperatorRequest, by: str, now: float
     ) -> list[actions.Action]:
-        """Starts an update; the answer is a ReplyOperator.
+        """Starts an update that ends with a ReplyOperator.
 
         Args:
             event: a PUT, PATCH or DELETE of an object.
@@ -123,7 +124,7 @@
         if event.expected is None:
             code = results.Code.PRECONDITION_NEEDED
             return [refusal(event.request, results.Error(code=code))]
-        if len(self.running) >= MOST_RUNNING:
+        if len(self.running) >= MAX_RUNNING:
             code = results.Code.OVERLOADED
             return [refusal(event.request, results.Error(code=code))]
         kind = documents.KINDS[event.kind]
@@ -133,10 +134,10 @@
             kind=kind,
             path=declarations.PREFIXES[kind] + event.name,
             write_id=f"{self.name}.{self._random.getrandbits(128):032x}",
-            ends=now + LIMIT_SECONDS,
+            ends=now + UPDATE_TIMEOUT_SECONDS,
         )
         known = self.configuration.newest(update.path)
-        if known is not None and _excludes(known, event.expected):
+        if known is not None and _rules_out(known, event.expected):
             return [_conflict(update, known)]
         if event.method == "PUT":
             match documents.read_body(event.body).bind(
@@ -150,7 +151,7 @@
     def handle(
         self, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
-        """Takes an answer of the store; one to another's call is ignored."""
+        """Handles a store answer; ignores those to other components' calls."""
         update = self._calls.pop(answer.call, None)
         if update is None:
             return []
@@ -166,11 +167,11 @@
             case Step.READ_BACK:
                 return self._on_read_back(update, answer, now)
             case Step.READ_BACK_HISTORY:
-                return self._on_history_back(update, answer, now)
+                return self._on_history_read_back(update, answer, now)
         return []
 
     def wake(self, now: float) -> list[actions.Action]:
-        """Makes the tries that are due, and gives up what is too late."""
+        """Makes the attempts that are due and ends updates that timed out."""
         done = []
         for update in list(self.running.values()):
             if now >= update.ends:
@@ -180,7 +181,7 @@
         return done
 
     def next_wake(self) -> float | None:
-        """Returns when wake is due next."""
+        """Returns when `wake` is due next."""
         return min(
             (
                 each.retry if each.step is Step.RETRY else each.ends
@@ -225,7 +226,7 @@
     ) -> result.Result[declarations.Declaration, list[validation.Fault]]:
         match documents.parse(update.kind, update.event.name, fields):
             case result.Success(declaration):
-                faults = self._taken_keys(declaration)
+                faults = self._duplicate_keys(declaration)
             case failure:
                 return failure
         if faults:
@@ -234,7 +235,7 @@
         update.value = declarations.encode(declaration, change)
         return result.Success(declaration)
 
-    def _taken_keys(
+    def _duplicate_keys(
         self, declaration: declarations.Declaration
     ) -> list[validation.Fault]:
         if not isinstance(declaration, declarations.Contract):
@@ -310,8 +311,8 @@
                 return self._write(update)
             case stores.Outcome.DOWN:
                 return self._fail(update, results.Code.NOT_ACCEPTED)
-        # Lost, or another update of the same object was faster: begin again
-        # by reading, since the object itself may have changed as well.
+        # Lost, or another update of the same object was faster. The update
+        # restarts with a read, since the object may have changed as well.
         return self._retry_later(update, now)
 
     def _write(self, update: Update) -> list[actions.Action]:
@@ -343,8 +344,8 @@
         self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         if not _was_read(answer):
-            # The write failed its condition: it surely did not take effect
-            # now, but a former try of it may have.
+            # The write failed its condition, so this attempt did not take
+            # effect, but an earlier one may have.
             if update.uncertain:
                 return self._retry_later(update, now)
             return self._end(update, _conflict(update, None))
@@ -354,8 +355,8 @@
         update.current = _live(answer)
         if update.current_version() == update.event.expected:
             return self._write(update)
-        gone = update.value is None and update.current is None
-        if gone and update.uncertain:
+        deleted = update.value is None and update.current is None
+        if deleted and update.uncertain:
             # Deleted, by this update or by another one at the same time.
             version = 0 if stored is None else stored.version
             return self._accept(update, version, now)
@@ -364,7 +365,7 @@
         path = histories.path_of(update.path)
         return self._read(update, Step.READ_BACK_HISTORY, path)
 
-    def _on_history_back(
+    def _on_history_read_back(
         self, update: Update, answer: stores.StoreAnswer, now: float
     ) -> list[actions.Action]:
         if not _was_read(answer):
@@ -374,9 +375,9 @@
         for former in history.formers:
             if former.write_id == update.write_id:
                 return self._accept(update, former.version, now)
-        # A deletion leaves no former version, so its trace is not there.
-        traced = update.value is not None
-        if traced and history.reaches(update.event.expected):
+        # A deletion is not a former version, so the history does not show it.
+        in_history = update.value is not None
+        if in_history and history.reaches(update.event.expected):
             return self._end(update, _conflict(update, update.current))
         return self._fail(update, results.Code.UNCONFIRMED)
 
@@ -386,10 +387,10 @@
         accepted = stores.Object(
             path=update.path, version=version, value=update.value
         )
-        # This entry tells the others by itself, and so an accepted update
-        # spreads though the store goes down or its watch drops the entry.
-        told = self.distributor.publish([accepted], now) if version else []
-        return told + self._end(update, _accepted(update, version))
+        # This entry announces the update itself, so that an accepted update
+        # spreads even if the store goes down or a watch misses it.
+        announced = self.distributor.publish([accepted], now) if version else []
+        return announced + self._end(update, _accepted(update, version))
 
     def _retry_later(self, update: Update, now: float) -> list[actions.Action]:
         update.step = Step.RETRY
@@ -410,7 +411,7 @@
 def refusal(
     request: str, error: results.Error, **further: object
 ) -> actions.ReplyOperator:
-    """Returns the answer of a request that ends with an error."""
+    """Returns the answer to a request that ends with an error."""
     fields = {**error.fields(), **further}
     return actions.ReplyOperator(
         request=request, status=error.status(), fields={"error": fields}
@@ -420,7 +421,7 @@
 def invalid(
     request: str, faults: list[validation.Fault]
 ) -> actions.ReplyOperator:
-    """Returns the answer to a declaration that is not valid."""
+    """Returns the answer to an invalid declaration."""
     first = faults[0]
     error = results.Error(
         code=results.Code.INVALID_DECLARATION,
@@ -461,8 +462,8 @@
     return reply
 
 
-def _excludes(known: stores.Object, expected: int) -> bool:
-    """Tells whether a known version makes the condition surely false."""
+def _rules_out(known: stores.Object, expected: int) -> bool:
+    """Returns whether a known version makes the condition false."""
     if expected:
         return known.version > expected
     return known.value is not None
