--- a/benches/claims.py
+++ b/benches/claims.py
@@ -409,7 +409,7 @@
                 rate=50,
                 seconds=20.0 + length,
                 agents=3,
-                limits=claim_shards.ClaimBounds(patience=patience),
+                limits=claim_shards.ClaimBounds(outage_wait=patience),
                 outages=[(10.0, 10.0 + length)],
             )
             measured = run.run()
--- a/pimentoledge/decisions/claim_shards.py
+++ b/pimentoledge/decisions/claim_shards.py
@@ -38,12 +38,12 @@
             only that the call ran; leaves room for claims.
         answer_bytes: largest answer that is kept.
         key_seconds: how long a key is remembered, at least.
-        patience: how long a call waits for a store that fails.
+        outage_wait: how long a call waits for a store that fails.
         write_gap: shortest time between the starts of two writes of a
             shard; it doubles with each call that the store refuses, and
             shrinks again with each that it takes.
-        longest_gap: what it grows to at most.
-        shrink: factor by which it shrinks.
+        max_write_gap: what it grows to at most.
+        write_gap_decay: factor by which it shrinks.
         outcome_delay: how long an outcome waits for a claim to share the
             write with.
         call_seconds: time after which a store call counts as lost.
@@ -55,10 +55,10 @@
     answers_bytes: int = 700_000
     answer_bytes: int = 4096
     key_seconds: float = 86400.0
-    patience: float = 2.0
+    outage_wait: float = 2.0
     write_gap: float = 0.02
-    longest_gap: float = 1.0
-    shrink: float = 0.8
+    max_write_gap: float = 1.0
+    write_gap_decay: float = 0.8
     outcome_delay: float = 0.25
     call_seconds: float = 30.0
 
@@ -157,7 +157,7 @@
         observed: when the base was seen.
         observed_by: number of the store call that showed the base; a claim
             with a smaller token came before that call was made.
-        mine: unsettled claim by key.
+        unsettled: unsettled claim by key.
         call: the store call that is out, or None.
         sent: when it was sent.
         number: its number.
@@ -191,7 +191,7 @@
         self.version = 0
         self.observed = 0.0
         self.observed_by = 0
-        self.mine: dict[bytes, Claim] = {}
+        self.unsettled: dict[bytes, Claim] = {}
         self.call: stores.Read | stores.Write | None = None
         self.sent = 0.0
         self.number = 0
@@ -203,7 +203,7 @@
 
     def idle(self) -> bool:
         """Returns whether it may be dropped from memory."""
-        return not self.mine and self.call is None and self.doubt is None
+        return not self.unsettled and self.call is None and self.doubt is None
 
     def holds(self, request: str) -> bool:
         """Returns whether a request has an unsettled claim here."""
@@ -225,20 +225,20 @@
             token=next(self.counter),
             arrived=now,
             deadline=now + dispatch.seconds_left,
-            give_up=now + min(dispatch.seconds_left, self.limits.patience),
+            give_up=now + min(dispatch.seconds_left, self.limits.outage_wait),
             outcome_seconds=outcome_seconds,
         )
         outputs: list[Output] = []
-        held = self.mine.get(key)
+        held = self.unsettled.get(key)
         if held is not None and held.phase != Phase.ABANDONED:
             return self._meet(claim, held)
         if held is not None:
             if held.tell:
                 outputs.append(held.released())
             claim.unstarted = held.unstarted | {held.token}
-        elif len(self.mine) >= self.limits.claims:
+        elif len(self.unsettled) >= self.limits.claims:
             return [claim.deny(results.Code.OVERLOADED)]
-        self.mine[key] = claim
+        self.unsettled[key] = claim
         outputs += self._settle(now)
         if self._hopeless(now):
             outputs += self._give_up(claim, now)
@@ -274,11 +274,11 @@
                 self._abandon(claim, now)
                 claim.due = now
                 claim.tell = True
-                claim.give_up = now + self.limits.patience
+                claim.give_up = now + self.limits.outage_wait
             case Phase.RUNNING:
                 # Its record stays as it is, claimed and without outcome:
                 # nobody will ever know more, so nobody may run it again.
-                del self.mine[claim.key]
+                del self.unsettled[claim.key]
         return self.step(now)
 
     def answer(self, answer: stores.StoreAnswer, now: float) -> list[Output]:
@@ -292,7 +292,8 @@
                 self._store_failed(call, answer.outcome, now)
             case _ if self._adopt(answer, now):
                 self.gap = max(
-                    self.limits.write_gap, self.gap * self.limits.shrink
+                    self.limits.write_gap,
+                    self.gap * self.limits.write_gap_decay,
                 )
                 self.down_since = None
             case _:
@@ -302,7 +303,7 @@
     def step(self, now: float) -> list[Output]:
         """Settles what can be settled, and makes the next store call."""
         outputs = self._settle(now)
-        for claim in list(self.mine.values()):
+        for claim in list(self.unsettled.values()):
             if now < claim.give_up:
                 continue
             outputs += self._give_up(claim, now)
@@ -325,7 +326,7 @@
         """Returns when `step` is due; None for no need."""
         times = [
             each.give_up
-            for each in self.mine.values()
+            for each in self.unsettled.values()
             if each.phase == Phase.WANTED or each.tell
         ]
         if self.call is not None:
@@ -337,7 +338,7 @@
         return min(times, default=None)
 
     def _claim_of(self, request: str) -> Claim | None:
-        for claim in self.mine.values():
+        for claim in self.unsettled.values():
             if claim.request == request:
                 return claim
         return None
@@ -357,7 +358,7 @@
     def _abandon(self, claim: Claim, now: float) -> None:
         """Gives up a claim that never started and now never will."""
         if not claim.proposed and not claim.unstarted:
-            del self.mine[claim.key]
+            del self.unsettled[claim.key]
             return
         # The store may hold its record, or come to hold it by a write still
         # under way. It is taken out, so that a resend to another agent may
@@ -374,7 +375,7 @@
     def _outage(self, now: float) -> bool:
         if self.down_since is None:
             return False
-        return now - self.down_since >= self.limits.patience
+        return now - self.down_since >= self.limits.outage_wait
 
     def _give_up(self, claim: Claim, now: float) -> list[Output]:
         """Refuses a claim that waits; true whatever becomes of its write.
@@ -383,7 +384,7 @@
         record may take effect later: only this life may run what it names,
         and the phase set here keeps it from ever doing so.
         """
-        if self.mine.get(claim.key) is not claim:
+        if self.unsettled.get(claim.key) is not claim:
             return []
         if claim.phase != Phase.WANTED:
             return []
@@ -421,7 +422,7 @@
         if self.base is None:
             return []
         outputs: list[Output] = []
-        for claim in list(self.mine.values()):
+        for claim in list(self.unsettled.values()):
             match claim.phase:
                 case Phase.WANTED:
                     outputs += self._settle_wanted(claim, now)
@@ -456,7 +457,7 @@
         if elsewhere and self.observed_by < claim.token:
             # Its outcome may have come since: read again first.
             return []
-        del self.mine[claim.key]
+        del self.unsettled[claim.key]
         if record.content != claim.content:
             return [claim.deny(results.Code.KEY_REUSED)]
         match record.state:
@@ -470,7 +471,7 @@
         # Any record but the claim's own ends it: the outcome itself, or,
         # after the key was forgotten, a newer claim that must stay.
         if self._foreign(claim) is not None:
-            del self.mine[claim.key]
+            del self.unsettled[claim.key]
 
     def _settle_abandoned(self, claim: Claim) -> list[Output]:
         certain = self.current and self.doubt is None
@@ -478,7 +479,7 @@
             return []
         if self._is_own(claim, self.base.records.get(claim.key)):
             return []
-        del self.mine[claim.key]
+        del self.unsettled[claim.key]
         return [claim.released()] if claim.tell else []
 
     def _store_failed(
@@ -494,11 +495,11 @@
             self.current = False
         if self.down_since is None:
             self.down_since = self.sent
-        self.gap = min(self.limits.longest_gap, self.gap * 2)
+        self.gap = min(self.limits.max_write_gap, self.gap * 2)
         self.not_before = now + self.gap * self.random.uniform(0.5, 1.0)
         if not self._outage(now):
             return
-        for claim in self.mine.values():
+        for claim in self.unsettled.values():
             if claim.phase == Phase.WANTED or claim.tell:
                 claim.give_up = now
 
@@ -554,7 +555,7 @@
         if self.doubt is not None:
             return self.not_before
         times = []
-        for claim in self.mine.values():
+        for claim in self.unsettled.values():
             match claim.phase:
                 case Phase.WANTED:
                     times.append(claim.arrived)
@@ -576,7 +577,7 @@
         """Returns whether a claim held elsewhere has to be looked at."""
         return any(
             each.phase == Phase.WANTED and self._foreign(each) is not None
-            for each in self.mine.values()
+            for each in self.unsettled.values()
         )
 
     def _call_id(self) -> str:
@@ -589,7 +590,7 @@
         age = self.base.age + max(0.0, now - self.observed)
         shard = claim_records.Shard(age=age, records=self._unexpired(age))
         size = shard.size() + _OBJECT_HEADER_BYTES
-        for claim in list(self.mine.values()):
+        for claim in list(self.unsettled.values()):
             before = shard.records.get(claim.key)
             after = self._desired(claim, before, age, size)
             grown = _length(after) - _length(before)
--- a/pimentoledge/decisions/claims.py
+++ b/pimentoledge/decisions/claims.py
@@ -141,7 +141,7 @@
 
     def held(self) -> int:
         """Returns the claims not settled in the store; 0 before an exit."""
-        return sum(len(shard.mine) for shard in list(self.shards.values()))
+        return sum(len(shard.unsettled) for shard in list(self.shards.values()))
 
     def largest(self) -> int:
         """Returns the size of the largest shard held here, in bytes."""
--- a/pimentoledge/decisions/configuration.py
+++ b/pimentoledge/decisions/configuration.py
@@ -185,7 +185,7 @@
     def __init__(self):
         self.version = 0
         self.known = UNKNOWN
-        self.paths = path_indexes.Paths()
+        self.paths = path_indexes.PathIndex()
         self.contracts = Contracts(configuration=self)
         self.rejections: dict[str, Rejection] = {}
         self.buckets = [0] * BUCKETS
--- a/pimentoledge/decisions/fencing.py
+++ b/pimentoledge/decisions/fencing.py
@@ -93,7 +93,7 @@
             generator=generator,
         )
 
-    def take(self, now: float) -> list[actions.Action]:
+    def acquire(self, now: float) -> list[actions.Action]:
         """Takes a number, unless there is one or it is too early."""
         if self.number or self.update.busy() or now < self.retry_at:
             return []
@@ -111,7 +111,7 @@
             return []
         return self.update.start(self._confirm, now)
 
-    def fenced(self, highest: int) -> None:
+    def mark_fenced(self, highest: int) -> None:
         """Takes note that the engine refused the number as too old.
 
         Args:
--- a/pimentoledge/decisions/histories.py
+++ b/pimentoledge/decisions/histories.py
@@ -21,7 +21,7 @@
 
 
 @attrs.define(kw_only=True)
-class Former:
+class FormerVersion:
     """A version that was replaced.
 
     Attributes:
@@ -44,14 +44,14 @@
         dropped: the newest version that was dropped; 0 for none.
     """
 
-    formers: list[Former] = attrs.field(factory=list)
+    formers: list[FormerVersion] = attrs.field(factory=list)
     dropped: int = 0
 
     def holds(self, version: int) -> bool:
         """Returns whether a version is among them."""
         return any(each.version == version for each in self.formers)
 
-    def reaches(self, version: int) -> bool:
+    def is_complete_since(self, version: int) -> bool:
         """Returns whether nothing newer than a version was dropped."""
         return self.dropped <= version
 
@@ -77,7 +77,7 @@
         each for each in history.formers if each.version < replaced.version
     ]
     formers.append(
-        Former(
+        FormerVersion(
             version=replaced.version,
             write_id=replaced.write_id,
             value=_as_json(replaced.value),
--- a/pimentoledge/decisions/orders.py
+++ b/pimentoledge/decisions/orders.py
@@ -246,7 +246,7 @@
         self.given = None
         self.not_before = now + self.timing.retry
         if done.answer.reason == FENCED:
-            self.tenure.fenced(done.answer.highest)
+            self.tenure.mark_fenced(done.answer.highest)
 
     def _step(self, now: float) -> list[actions.Action]:
         self._stepped_at = now
@@ -258,7 +258,7 @@
         self.permits.set_want(self._want(target, now))
         found = []
         if self._needs_number(target):
-            found += self.tenure.take(now)
+            found += self.tenure.acquire(now)
         self.permits.number = self.tenure.number
         found += self.permits.wake(now)
         self.closing = self._must_close(target)
--- a/pimentoledge/decisions/path_indexes.py
+++ b/pimentoledge/decisions/path_indexes.py
@@ -3,7 +3,7 @@
 import bisect
 
 
-class Paths:
+class PathIndex:
     """The paths that are in force, in order; sorted when they are read.
 
     A sort of a list that is sorted but for its end costs one pass.
--- a/pimentoledge/decisions/updates.py
+++ b/pimentoledge/decisions/updates.py
@@ -376,7 +376,7 @@
                 return self._accept(update, former.version, now)
         # A deletion leaves no former version, so its trace is not there.
         traced = update.value is not None
-        if traced and history.reaches(update.event.expected):
+        if traced and history.is_complete_since(update.event.expected):
             return self._end(update, _conflict(update, update.current))
         return self._fail(update, results.Code.UNCONFIRMED)
 
--- a/pimentoledge/tests/test_claims.py
+++ b/pimentoledge/tests/test_claims.py
@@ -202,7 +202,7 @@
     block the key for a day; a write on the same version makes it conflict.
     """
     store = fake_objects.FakeObjects()
-    agent = Agent("life-1", store, patience=0.5)
+    agent = Agent("life-1", store, outage_wait=0.5)
     agent.claim("r1", "k")
     agent.next_call(0.0)
     late = agent.calls[0]
@@ -515,7 +515,7 @@
 
 def _claims_of(agent: Agent) -> list[claim_shards.Claim]:
     shards = agent.claims.shards.values()
-    return [claim for shard in shards for claim in shard.mine.values()]
+    return [claim for shard in shards for claim in shard.unsettled.values()]
 
 
 OneRun.TestCase.settings = hypothesis.settings(
