--- a/pimentoledge/decisions/declarations.py
+++ b/pimentoledge/decisions/declarations.py
@@ -1,4 +1,4 @@
-"""What operators declare: contracts, backend servers, models, services."""
+"""Declared objects: contracts, backend servers, models, services and others."""
 
 import enum
 import hashlib
@@ -10,19 +10,19 @@
 from pimentoledge import results
 from pimentoledge.decisions import stores
 
-# How long the answer of a finished call is kept, unless declared.
+# Default time for which the answer of a finished call is kept.
 OUTCOME_SECONDS = 3600.0
 
 
 class Priority(enum.StrEnum):
-    """How a contract's traffic is served when there is a queue."""
+    """Scheduling class of a contract's requests when they are queued."""
 
     INTERACTIVE = "interactive"
     BATCH = "batch"
 
 
 class ServerKind(enum.StrEnum):
-    """What stands behind a backend server's agent."""
+    """The kind of process that a backend server's agent manages."""
 
     RUNNER = "runner"
     SERVICE = "service"
@@ -30,7 +30,7 @@
 
 
 class ServerState(enum.StrEnum):
-    """What the operator wants of a backend server."""
+    """The declared state of a backend server."""
 
     IN = "in"
     LEAVING = "leaving"
@@ -46,13 +46,13 @@
         key_digests: hexadecimal BLAKE2b-256 digests of its API keys.
         models: permitted models.
         services: permitted plain services.
-        priority: the highest priority its requests may ask for.
-        share: weight in the fair share among organisations.
+        priority: the highest priority its requests may use.
+        share: weight in fair queueing among organisations.
         requests_per_second: rate limit; 0 for none.
-        burst: requests that may come at once above the rate.
-        concurrency: requests at one time; 0 for no limit.
-        deadline_seconds: deadline of a request that names none.
-        max_deadline_seconds: the longest deadline a request may name.
+        burst: number of requests that may exceed the rate at once.
+        concurrency: maximum concurrent requests; 0 for no limit.
+        deadline_seconds: default deadline of a request.
+        max_deadline_seconds: the longest deadline a request may set.
     """
 
     organisation: str
@@ -79,10 +79,10 @@
         kind: runner, plain service or KV cache server.
         serves: the model or service that it serves.
         agent: address of its agent's mailbox, as tcp://ip:port.
-        data_centre: where it stands.
-        state: what the operator wants of it.
-        checks_orders: whether it refuses an old fencing number.
-        slots: requests that it can run at one time.
+        data_centre: the data centre it runs in.
+        state: the declared state.
+        checks_orders: whether it rejects orders with an old fencing number.
+        slots: number of requests it can run concurrently.
         role: a runner's role, "both", "prefill" or "decode".
     """
 
@@ -107,7 +107,8 @@
         version: the store's version of this object.
         weights: the weights version that its runners should have.
         adapters: adapters that its runners should have.
-        concurrent_loads: runners that may load weights at one time.
+        concurrent_loads: number of runners that may load weights
+            concurrently.
     """
 
     name: str
@@ -124,7 +125,7 @@
     Attributes:
         name: the service's name.
         version: the store's version of this object.
-        repeatable_methods: methods whose calls may be repeated; a call with
+        repeatable_methods: HTTP methods that are safe to retry; a call with
             any other method needs an idempotency key and runs at most once.
         outcome_seconds: how long the answer of a finished call is kept.
     """
@@ -137,13 +138,13 @@
 
 @attrs.define(kw_only=True)
 class EntryNode:
-    """An entry process, declared by itself when it starts.
+    """An entry process; it writes its own declaration at startup.
 
     Attributes:
         name: unique name.
         version: the store's version of this object.
-        mailbox: where other processes reach it, as tcp://ip:port.
-        data_centre: where it stands.
+        mailbox: address of its mailbox, as tcp://ip:port.
+        data_centre: the data centre it runs in.
     """
 
     name: str
@@ -153,7 +154,7 @@
 
 
 class Role(enum.StrEnum):
-    """What an operator may do; each role includes the ones before it."""
+    """Permissions of an operator; each role includes the ones before it."""
 
     VIEWER = "viewer"
     EDITOR = "editor"
@@ -167,7 +168,7 @@
     Attributes:
         name: unique name.
         version: the store's version of this object.
-        role: what the operator may do.
+        role: the operator's permissions.
         key_digests: hexadecimal BLAKE2b-256 digests of the operator's keys.
     """
 
@@ -179,11 +180,11 @@
 
 Declaration = Contract | BackendServer | Model | Service | EntryNode | Operator
 
-# Everything that is declared stands below one path, so that one watch sees
-# all of it and none of the store's busier kinds.
+# All declarations share one path prefix, so that a single watch covers them
+# and excludes the objects in the store that change more often.
 ROOT = "declared/"
 
-# The path of each kind in the object API; the object's name follows.
+# Path prefix of each kind in the object API; the object's name follows it.
 PREFIXES: dict[type, str] = {
     Contract: ROOT + "contracts/",
     BackendServer: ROOT + "backend-servers/",
@@ -195,7 +196,7 @@
 
 
 def key_digest(key: str) -> str:
-    """Returns the hexadecimal digest under which a key is kept."""
+    """Returns the hexadecimal digest stored for an API key."""
     return hashlib.blake2b(key.encode(), digest_size=32).hexdigest()
 
 
@@ -214,7 +215,7 @@
 
 
 def kind_of(path: str) -> type | None:
-    """Returns the kind of declaration that stands at a path, if any."""
+    """Returns the declaration class for a path; None if there is none."""
     for kind, prefix in PREFIXES.items():
         if path.startswith(prefix):
             return kind
@@ -223,11 +224,11 @@
 
 @attrs.frozen(kw_only=True)
 class Change:
-    """Who made a declaration; stored beside its fields.
+    """Author and time of a change; stored with the declaration's fields.
 
     Attributes:
         by: name of the operator.
-        at: when, in seconds since 1970.
+        at: time of the change, in seconds since the Unix epoch.
     """
 
     by: str
@@ -237,7 +238,7 @@
 def encode(declaration: Declaration, change: Change | None = None) -> bytes:
     """Returns the JSON that is stored for a declaration.
 
-    The version is left out: the store gives it at the write.
+    The version is omitted, since the store assigns it at the write.
     """
     fields = msgspec.to_builtins(declaration)
     del fields["version"]
@@ -249,28 +250,28 @@
 def decode(
     path: str, stored: stores.Object
 ) -> result.Result[Declaration, results.Error]:
-    """Reads a stored declaration; its values are checked by validation.
+    """Decodes a stored declaration; `validation` checks its values.
 
-    Fields that this release does not know are passed over, so that a newer
-    release may add some while both run.
+    Unknown fields are ignored, so that a newer release can add fields while
+    both releases run.
 
     Args:
-        path: where it is stored.
+        path: the object's path.
         stored: the object; its value must not be None.
 
     Returns:
         The declaration with the object's version, or an Error that names
-        the field.
+        the invalid field.
     """
     kind = kind_of(path)
     if kind is None:
-        return _invalid(f"{path}: no kind of declaration is kept here")
+        return _invalid(f"{path}: not the path of a declaration")
     try:
         declaration = msgspec.json.decode(stored.value, type=kind)
     except msgspec.MsgspecError as error:
         return _invalid(f"{path}: {error}")
     if path_of(declaration) != path:
-        return _invalid(f"{path}: names {name_of(declaration)!r} inside")
+        return _invalid(f"{path}: value names {name_of(declaration)!r}")
     declaration.version = stored.version
     return result.Success(declaration)
 
--- a/pimentoledge/decisions/stores.py
+++ b/pimentoledge/decisions/stores.py
@@ -1,8 +1,8 @@
-"""Calls to the platform's object API, as the decisions see them.
+"""Requests to the platform's object API and their answers.
 
-Each call carries an id of its own, and its answer carries the same id. A
-write may have taken effect though its answer says LOST; the writer reads the
-object back and compares `write_id` before it does anything else.
+Each call has a unique id, and its answer carries the same id. A write whose
+outcome is LOST may have taken effect, so the writer reads the object back and
+compares `write_id` before it does anything else.
 """
 
 import enum
@@ -11,28 +11,29 @@
 
 
 class Outcome(enum.StrEnum):
-    """How a call to the store ended."""
+    """The result of a call to the store."""
 
     FOUND = "found"
     ABSENT = "absent"
     WRITTEN = "written"
     CONFLICT = "conflict"
-    # The call certainly had no effect: refused, or never sent.
+    # The call was refused or never sent, and had no effect.
     DOWN = "down"
-    # A write that may have taken effect; the answer did not come.
+    # No answer arrived; a write may have taken effect.
     LOST = "lost"
 
 
 @attrs.define(kw_only=True)
 class Object:
-    """One object as the store holds it.
+    """One object in the store.
 
     Attributes:
-        path: where it is.
-        version: the store's revision at its last write; grows over all
-            objects, so versions of different objects are ordered too.
-        value: the bytes that were written; None when it was deleted.
-        write_id: the id that its last writer gave.
+        path: the object's path.
+        version: the store's revision at the object's last write. Revisions
+            increase across all objects, so versions of different objects
+            can be compared.
+        value: the stored bytes; None if the object was deleted.
+        write_id: the write id of the last write.
     """
 
     path: str
@@ -51,14 +52,15 @@
 
 @attrs.define(kw_only=True)
 class Write:
-    """Write one object, on condition of its version.
+    """Write one object if it has the expected version.
 
     Attributes:
         call: the call's id.
-        path: where to write.
+        path: the object's path.
         value: new value; None deletes the object.
-        expected: the version that it must have; 0 when it must be absent.
-        write_id: a new id, for finding out whether a lost write took effect.
+        expected: the version the object must have; 0 if it must not exist.
+        write_id: a unique id, used to find out whether a write whose answer
+            was lost took effect.
     """
 
     call: str
@@ -82,9 +84,10 @@
 
     Attributes:
         call: the call's id.
-        prefix: which objects.
-        after: only changes with a greater version.
-        seconds: how long the store may wait before it answers with none.
+        prefix: prefix of the paths to watch.
+        after: only changes with a greater version are returned.
+        seconds: how long the store may wait for a change before it returns
+            an empty answer.
     """
 
     call: str
@@ -95,15 +98,15 @@
 
 @attrs.define(kw_only=True)
 class StoreAnswer:
-    """The store's answer.
+    """The store's answer to a call.
 
     Attributes:
-        call: id of the call that it answers.
-        outcome: how it ended.
-        objects: what was read; after CONFLICT the object as it is now, where
-            the store gave it; deleted objects have a value of None.
-        version: WRITTEN: the new version; scan and watch: the revision up
-            to which the answer is complete.
+        call: id of the answered call.
+        outcome: the result of the call.
+        objects: the objects read; after CONFLICT the current object, if the
+            store returned it. Deleted objects have a value of None.
+        version: after WRITTEN the new version; for scans and watches the
+            revision up to which the answer is complete.
     """
 
     call: str
