--- a/pimentoledge/decisions/conditional_updates.py
+++ b/pimentoledge/decisions/conditional_updates.py
@@ -1,8 +1,8 @@
-"""A conditional update of one object, carried through lost answers.
+"""Optimistic update of one stored object that tolerates lost answers.
 
-An update reads the object, changes it and writes it back on condition of the
-version that it read. A conflict starts it again; a lost answer is read back
-by write id before anything else.
+An update reads the object, changes it and writes it back if it still has the
+version that was read. After a conflict it starts again. After a lost answer
+it first reads the object back and compares the write id.
 """
 
 from collections import abc
@@ -16,20 +16,20 @@
 
 
 class UpdateStage(enum.StrEnum):
-    """What an update waits for."""
+    """State of an update."""
 
     IDLE = "idle"
     READING = "reading"
     WRITING = "writing"
-    # A conflict or an unreadable store; it goes on at `resume_at`.
+    # Backing off after a conflict or a failed read.
     PAUSING = "pausing"
 
 
 class UpdateOutcome(enum.StrEnum):
-    """How an update ended."""
+    """Result of an update."""
 
     WRITTEN = "written"
-    # The change found nothing to write.
+    # The change function returned nothing to write.
     UNCHANGED = "unchanged"
     # The store is down; the update had no effect.
     DOWN = "down"
@@ -37,10 +37,10 @@
 
 @attrs.define(kw_only=True)
 class Change:
-    """What to do with an object as it was read.
+    """The result of a change function.
 
     Attributes:
-        write: whether to write at all.
+        write: whether to write the object.
         value: the new value; None deletes the object.
     """
 
@@ -50,14 +50,15 @@
 
 @attrs.frozen(kw_only=True)
 class UpdateTiming:
-    """Waits of an update, in seconds.
+    """Timeouts and backoffs of an update, in seconds.
 
     Attributes:
-        conflict: longest wait after the first conflict.
-        first_retry: wait before a lost write is read back again.
-        last_retry: longest wait before that.
-        answer: time after which a call counts as lost even here; the client
-            of the store gives up long before.
+        conflict: maximum backoff after the first conflict; it doubles with
+            each further one, at most six times.
+        first_retry: first backoff before a lost write is read back again.
+        last_retry: maximum backoff before a lost write is read back again.
+        answer: time after which a call counts as lost. The store client's
+            own timeout is much shorter.
     """
 
     conflict: float = 0.02
@@ -67,23 +68,24 @@
 
 
 class ConditionalUpdate:
-    """Changes one object; one change at a time.
+    """Updates one object; runs one change at a time.
 
-    The change is a function of the object as it is (None when absent). It
-    may be called several times, so a change that is already there must end
-    with nothing to write: that is how a lost write shows that took effect
-    and was then overwritten by somebody else.
+    The change is a function of the current object (None if absent). It may
+    be called several times, so it must return nothing to write if its effect
+    is already present: a lost write may have taken effect and then been
+    overwritten by another writer, so that its write id is gone.
 
     Attributes:
         path: the object's path.
-        name: first part of the ids of its calls.
+        name: prefix of the ids of its calls.
         life: id of this process's life; makes write ids unique.
-        timing: waits.
-        stage: what it waits for.
-        started: when the read was sent that the current write rests on.
-        writes: writes sent.
-        conflicts: writes that met a newer version.
-        lost: writes whose answer was lost.
+        timing: timeouts and backoffs.
+        stage: state of the update.
+        started: time at which the last read was sent; the current write is
+            based on it.
+        writes: number of writes sent.
+        conflicts: number of writes rejected because of a newer version.
+        lost: number of writes whose answer was lost.
     """
 
     def __init__(
@@ -109,16 +111,16 @@
         self._calls = 0
         self._call = ""
         self._write_id = ""
-        self._in_doubt = False
-        self._tries = 0
-        self._due = 0.0
+        self._write_uncertain = False
+        self._attempts = 0
+        self._wake_at = 0.0
 
     def busy(self) -> bool:
-        """Returns whether a change is under way."""
+        """Returns whether a change is in progress."""
         return self.stage is not UpdateStage.IDLE
 
     def owns(self, answer: stores.StoreAnswer) -> bool:
-        """Returns whether an answer is to one of its calls."""
+        """Returns whether an answer belongs to one of its calls."""
         return answer.call.startswith(self.name + "/")
 
     def start(
@@ -126,44 +128,44 @@
         change: abc.Callable[[stores.Object | None], Change],
         now: float,
     ) -> list[actions.Action]:
-        """Starts a change; none may be under way."""
+        """Starts a change; no other may be in progress."""
         self._change = change
-        self._tries = 0
-        self._in_doubt = False
+        self._attempts = 0
+        self._write_uncertain = False
         return self._read(now)
 
     def next_wake(self) -> float | None:
-        """Returns when to call `wake`; None for never."""
-        return self._due if self.busy() else None
+        """Returns when to call `wake`; None if idle."""
+        return self._wake_at if self.busy() else None
 
     def wake(self, now: float) -> list[actions.Action]:
-        """Does what is due by now."""
-        if not self.busy() or now < self._due:
+        """Handles timeouts and backoffs that have expired."""
+        if not self.busy() or now < self._wake_at:
             return []
         if self.stage is UpdateStage.WRITING:
-            self._in_doubt = True
+            self._write_uncertain = True
         return self._read(now)
 
     def handle(
         self, answer: stores.StoreAnswer, now: float
     ) -> tuple[list[actions.Action], UpdateOutcome | None]:
-        """Takes the store's answer.
+        """Handles the store's answer.
 
         Returns:
-            The next calls, and how the change ended if it has ended.
+            The next calls, and the outcome if the change has ended.
         """
         if answer.call != self._call or not self.busy():
             return [], None
         if self.stage is UpdateStage.READING:
-            return self._have_read(answer, now)
+            return self._handle_read(answer, now)
         if self.stage is UpdateStage.WRITING:
-            return self._have_written(answer, now)
+            return self._handle_written(answer, now)
         return [], None
 
     def _next_call(self, now: float) -> str:
         self._calls += 1
         self._call = f"{self.name}/{self._calls}"
-        self._due = now + self.timing.answer
+        self._wake_at = now + self.timing.answer
         return self._call
 
     def _read(self, now: float) -> list[actions.Action]:
@@ -172,38 +174,40 @@
         call = stores.Read(call=self._next_call(now), path=self.path)
         return [actions.CallStore(call=call)]
 
-    def _have_read(
+    def _handle_read(
         self, answer: stores.StoreAnswer, now: float
     ) -> tuple[list[actions.Action], UpdateOutcome | None]:
         match answer.outcome:
             case stores.Outcome.FOUND:
-                found = answer.objects[0]
-                live = found if found.value is not None else None
-                return self._apply(live, now)
+                current = answer.objects[0]
+                existing = current if current.value is not None else None
+                return self._apply(existing, now)
             case stores.Outcome.ABSENT:
                 return self._apply(None, now)
-        if self._in_doubt:
-            # The write may have taken effect. Ending here would let its
-            # owner act as if it had not; so it is read back however long
-            # the outage lasts.
+        if self._write_uncertain:
+            # The write may have taken effect. Ending with DOWN would report
+            # that it had not, so the object is read back however long the
+            # outage lasts.
             self._pause(self._backoff(), now)
             return [], None
         return [], self._end(UpdateOutcome.DOWN)
 
     def _apply(
-        self, found: stores.Object | None, now: float
+        self, current: stores.Object | None, now: float
     ) -> tuple[list[actions.Action], UpdateOutcome | None]:
-        ours = found is not None and found.write_id == self._write_id
-        if self._in_doubt and ours:
+        is_own_write = (
+            current is not None and current.write_id == self._write_id
+        )
+        if self._write_uncertain and is_own_write:
             return [], self._end(UpdateOutcome.WRITTEN)
-        self._in_doubt = False
-        change = self._change(found)
+        self._write_uncertain = False
+        change = self._change(current)
         if not change.write:
             return [], self._end(UpdateOutcome.UNCHANGED)
-        return [self._write(change, found, now)], None
+        return [self._write(change, current, now)], None
 
     def _write(
-        self, change: Change, found: stores.Object | None, now: float
+        self, change: Change, current: stores.Object | None, now: float
     ) -> actions.CallStore:
         self.stage = UpdateStage.WRITING
         self.writes += 1
@@ -214,12 +218,12 @@
                 call=call,
                 path=self.path,
                 value=change.value,
-                expected=found.version if found else 0,
+                expected=current.version if current else 0,
                 write_id=self._write_id,
             )
         )
 
-    def _have_written(
+    def _handle_written(
         self, answer: stores.StoreAnswer, now: float
     ) -> tuple[list[actions.Action], UpdateOutcome | None]:
         match answer.outcome:
@@ -227,29 +231,29 @@
                 return [], self._end(UpdateOutcome.WRITTEN)
             case stores.Outcome.CONFLICT:
                 self.conflicts += 1
-                self._tries += 1
-                wait = self.timing.conflict * 2 ** min(self._tries - 1, 6)
-                # Without jitter the losers of one race meet again in the
-                # next one.
+                self._attempts += 1
+                wait = self.timing.conflict * 2 ** min(self._attempts - 1, 6)
+                # Without jitter, writers that conflicted would retry at the
+                # same time and conflict again.
                 self._pause(self._random.uniform(0, wait), now)
                 return [], None
             case stores.Outcome.LOST:
                 self.lost += 1
-                self._in_doubt = True
+                self._write_uncertain = True
                 return self._read(now), None
         return [], self._end(UpdateOutcome.DOWN)
 
     def _backoff(self) -> float:
-        doubled = self.timing.first_retry * 2 ** min(self._tries, 16)
-        self._tries += 1
-        wait = min(doubled, self.timing.last_retry)
+        backoff = self.timing.first_retry * 2 ** min(self._attempts, 16)
+        self._attempts += 1
+        wait = min(backoff, self.timing.last_retry)
         return wait * self._random.uniform(0.75, 1.25)
 
     def _pause(self, wait: float, now: float) -> None:
         self.stage = UpdateStage.PAUSING
-        self._due = now + wait
+        self._wake_at = now + wait
 
-    def _end(self, ended: UpdateOutcome) -> UpdateOutcome:
+    def _end(self, outcome: UpdateOutcome) -> UpdateOutcome:
         self.stage = UpdateStage.IDLE
         self._change = None
-        return ended
+        return outcome
--- a/pimentoledge/decisions/declarations.py
+++ b/pimentoledge/decisions/declarations.py
@@ -271,7 +271,7 @@
     except msgspec.MsgspecError as error:
         return _invalid(f"{path}: {error}")
     if path_of(declaration) != path:
-        return _invalid(f"{path}: value names {name_of(declaration)!r}")
+        return _invalid(f"{path}: names {name_of(declaration)!r} in its value")
     declaration.version = stored.version
     return result.Success(declaration)
 
