--- a/pimentoledge/decisions/claim_records.py
+++ b/pimentoledge/decisions/claim_records.py
@@ -1,12 +1,11 @@
-"""What the store keeps of calls that may not be repeated, and its coding.
-
-One object holds the records of one shard: all keys of a model or service
-that hash to the same number. Times in it are ages of the shard: seconds that
-its writers have measured between two of its versions, each on its own
-monotonic clock. Writer after writer adds only the time between the moment at
-which it saw the version before and the moment at which it sends its own, and
-those spans never overlap. So the age never runs faster than real time,
-whatever the wall clocks say, and a record is never dropped too early.
+"""Claim records of non-repeatable calls and their encoding in the store.
+
+One object holds the records of one shard: all idempotency keys of a model or
+service that hash to the same number. Times in it are ages of the shard, in
+seconds. Each writer adds the time between reading the previous version and
+sending its own, measured on its own monotonic clock. These intervals never
+overlap, so the age never advances faster than real time, whatever the wall
+clocks show, and no record is dropped too early.
 """
 
 import enum
@@ -18,21 +17,21 @@
 from pimentoledge.decisions import declarations
 from pimentoledge.nodes import messages
 
-# Shards of one model or service. It is part of what the store holds: with
-# another number a key would be looked for where it was never written.
+# Number of shards of one model or service. Stored data depends on it: with
+# another number, existing keys would be looked up in the wrong shard.
 SHARDS = 64
 DIGEST_BYTES = 16
 PATH = "claims/"
 
 
 class State(enum.IntEnum):
-    """What is known of a key."""
+    """State of a claim record."""
 
-    # Claimed by one life of one agent; no outcome is known.
+    # Claimed by one life of one agent; no outcome is recorded.
     CLAIMED = 1
-    # It ran, and its answer is kept here.
+    # The call ran, and the record holds its answer.
     FINISHED = 2
-    # It ran; its answer is not kept.
+    # The call ran; its answer is not kept.
     REMEMBERED = 3
 
 
@@ -53,18 +52,18 @@
 
 @attrs.frozen(kw_only=True)
 class ClaimRecord:
-    """What the store keeps of one key.
+    """The stored record of one idempotency key.
 
     Attributes:
-        key: digest of organisation and key.
-        content: digest of the request; another request with the same key
-            is refused.
-        state: what is known.
-        until: age of the shard, in seconds, from which this may be dropped.
-        life: CLAIMED: life of the agent that alone may run it.
-        token: CLAIMED: number of the claim within that life.
-        answer: FINISHED: the answer.
-        encoded: the record as it stands in the object.
+        key: digest of organisation and idempotency key.
+        content: digest of the request; a different request with the same
+            key is refused.
+        state: state of the claim.
+        until: age of the shard, in seconds, at which the record expires.
+        life: if CLAIMED, the only life of an agent that may run the call.
+        token: if CLAIMED, number of the claim within that life.
+        answer: if FINISHED, the answer.
+        encoded: the encoded record.
     """
 
     key: bytes
@@ -78,7 +77,7 @@
 
     @encoded.default
     def _encode(self) -> bytes:
-        """Encodes once, since a record is written again with each commit."""
+        """Encodes the record once; each write of the shard includes it."""
         row: list[object] = [
             self.key,
             self.content,
@@ -99,25 +98,25 @@
     """All records of one shard.
 
     Attributes:
-        age: seconds that its writers have measured so far.
-        records: record by key digest.
+        age: seconds measured by its writers so far.
+        records: records by key digest.
     """
 
     age: float = 0.0
     records: dict[bytes, ClaimRecord] = attrs.field(factory=dict)
 
     def size(self) -> int:
-        """Returns the bytes of its records when encoded."""
+        """Returns the size of its encoded records in bytes."""
         return sum(len(each.encoded) for each in self.records.values())
 
     def encode(self) -> bytes:
-        """Returns the object's value."""
+        """Returns the shard encoded as the value of its object."""
         rows = [msgspec.Raw(each.encoded) for each in self.records.values()]
         return msgspec.msgpack.encode([self.age, rows])
 
 
 def decode(value: bytes | None) -> Shard:
-    """Decodes an object's value; none is an empty shard.
+    """Decodes an object's value; None gives an empty shard.
 
     Raises:
         msgspec.DecodeError: the value was not written by `Shard.encode`.
@@ -148,33 +147,39 @@
 def _digest(parts: list[bytes]) -> bytes:
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
-        # The length keeps ("ab", "c") apart from ("a", "bc").
+        # The length prefix distinguishes ("ab", "c") from ("a", "bc").
         digest.update(len(part).to_bytes(8, "big"))
         digest.update(part)
     return digest.digest()
 
 
 def key_digest(organisation: str, key: str) -> bytes:
-    """Returns the digest under which a key is kept.
+    """Returns the digest that identifies an idempotency key in the store.
 
     Args:
-        organisation: whose key it is; keys of two never meet.
-        key: the idempotency key as the caller gave it.
+        organisation: owner of the key; equal keys of different organisations
+            have different digests.
+        key: the idempotency key sent by the client.
     """
     return _digest([organisation.encode(), key.encode()])
 
 
 def content_digest(dispatch: messages.Dispatch) -> bytes:
-    """Returns a digest of what a request asks for, headers left out."""
+    """Returns a digest of a request's content, without its headers."""
     if dispatch.call is not None:
         call = dispatch.call
         texts = [call.service, call.method, call.path, call.query]
         return _digest([each.encode() for each in texts] + [call.body])
-    asked = dispatch.completion
-    if asked is None:
+    completion = dispatch.completion
+    if completion is None:
         return _digest([])
-    texts = [asked.model, asked.adapter, asked.prompt, str(asked.max_tokens)]
-    return _digest([each.encode() for each in texts] + [asked.parameters])
+    texts = [
+        completion.model,
+        completion.adapter,
+        completion.prompt,
+        str(completion.max_tokens),
+    ]
+    return _digest([each.encode() for each in texts] + [completion.parameters])
 
 
 def shard_of(organisation: str, key: str) -> int:
@@ -183,33 +188,34 @@
 
 
 def path_of(serves: str, shard: int) -> str:
-    """Returns where the store keeps a shard of a model or service."""
+    """Returns the store path of a shard of a model or service."""
     return f"{PATH}{serves}/{shard}"
 
 
 def owner(
     serves: str, shard: int, servers: list[declarations.BackendServer]
 ) -> declarations.BackendServer | None:
-    """Returns the backend server whose agent gets a shard's calls.
+    """Returns the backend server whose agent handles a shard's calls.
 
-    All entries that know the same servers choose the same one (rendezvous
-    hashing). Two that disagree for a while cost store conflicts, no second
-    run: only the conditional update decides who may run a call.
+    Rendezvous hashing: all entries with the same list of servers choose the
+    same one. Entries whose lists differ for a while cause store conflicts but
+    no second run, since only the conditional update decides who may run a
+    call.
 
     Args:
         serves: model or service.
         shard: shard number.
-        servers: candidates; those that leave or serve something else are
-            passed over.
+        servers: candidates; servers that are leaving or serve something else
+            are skipped.
     """
-    fit = [
+    eligible = [
         each
         for each in servers
         if each.serves == serves and each.state == declarations.ServerState.IN
     ]
     path = path_of(serves, shard).encode()
     return max(
-        fit,
+        eligible,
         key=lambda each: _digest([path, each.name.encode()]),
         default=None,
     )
--- a/pimentoledge/decisions/claim_verdicts.py
+++ b/pimentoledge/decisions/claim_verdicts.py
@@ -1,4 +1,4 @@
-"""What an agent is told of a request with an idempotency key."""
+"""Verdicts on requests with an idempotency key."""
 
 import attrs
 
@@ -10,8 +10,8 @@
 class Granted:
     """The claim is durable, and this agent may start the call once.
 
-    The agent looks at the request's deadline again right before it starts
-    the call, since the grant may have waited in its queue.
+    The agent checks the request's deadline again right before it starts the
+    call, since the granted call may have waited in the agent's queue.
     """
 
     request: str
@@ -20,7 +20,7 @@
 
 @attrs.frozen(kw_only=True)
 class Replay:
-    """The call with this key ran before; this is its answer."""
+    """The call with this key already ran; this is its answer."""
 
     request: str
     attempt: int
@@ -36,8 +36,8 @@
     Attributes:
         request: request id.
         attempt: attempt number.
-        code: why.
-        ran: what is true of the call that the key stands for.
+        code: the reason.
+        ran: whether the call identified by the key ran.
     """
 
     request: str
@@ -48,10 +48,11 @@
 
 @attrs.frozen(kw_only=True)
 class Released:
-    """The key of a granted call that never started is free for any agent.
+    """The key of a granted call that never started is released.
 
-    Or it can't be freed now, because the store fails; then others take the
-    call for one that may have run.
+    Any agent may claim it again. If the store fails, the verdict is sent
+    although the record is still there; other agents then report the outcome
+    of the call as unknown.
     """
 
     request: str
@@ -67,14 +68,14 @@
     code: results.Code,
     ran: results.Ran = results.Ran.NOT_RUN,
 ) -> Denied:
-    """Returns a refusal; by default one that says that nothing ran."""
+    """Returns a refusal; by default it reports that the call did not run."""
     return Denied(request=request, attempt=attempt, code=code, ran=ran)
 
 
 def finished(
     request: str, attempt: int, answer: claim_records.StoredAnswer | None
 ) -> Replay | Denied:
-    """Returns the answer of the first run, or that it isn't kept."""
+    """Returns the answer of the first run, or a refusal if it isn't kept."""
     if answer is None:
         code = results.Code.ANSWER_NOT_KEPT
         return deny(request, attempt, code, results.Ran.RAN)
--- a/pimentoledge/decisions/claims.py
+++ b/pimentoledge/decisions/claims.py
@@ -1,10 +1,9 @@
-"""At most one run for each idempotency key: the agent's part.
+"""At-most-once execution of calls with an idempotency key, in the agent.
 
-An agent runs a call that may not be repeated only after a record of it,
-naming this life of this agent, is durable in the store. Only the life that a
-record names may ever run the call, so everything that life says of a call
-that it did not start stays true. Many claims and outcomes go into the store
-with one conditional update of their shard.
+An agent runs a non-repeatable call only after a claim record that holds this
+life of the agent is durable in the store. Only the life in the record may
+ever run the call, so its report that a call was not started stays true. One
+conditional update of a shard writes many claims and outcomes at once.
 """
 
 import itertools
@@ -21,18 +20,19 @@
 
 
 class Claims:
-    """All claims of one agent's life.
+    """All claims of one life of an agent.
 
     Attributes:
         agent: the agent's name.
-        life: this life of the agent's process; never used again.
+        life: id of this life of the agent's process; never reused.
         limits: bounds and intervals.
         random: source of jitter.
-        counter: numbers the claims and store calls of this life.
-        shards: shard machines by their path in the store, the one used
-            last at the end.
-        wakes: when `step` of a shard is due, by path; none for idle ones,
-            so that shards that are only remembered cost nothing.
+        counter: source of numbers for the claims and store calls of this
+            life.
+        shards: shards in memory by their path in the store, least recently
+            used first.
+        wakes: when `step` of a shard is due, by path. Idle shards have no
+            entry, so that shards that are only cached cost nothing.
     """
 
     def __init__(
@@ -59,19 +59,19 @@
         outcome_seconds: float,
         now: float,
     ) -> list[Output]:
-        """Claims a call; the verdict comes now or with a later event.
+        """Claims a call; the verdict is returned now or by a later event.
 
         Args:
             dispatch: the call; its key must not be empty.
             serves: the model or service that this agent's server serves.
-            outcome_seconds: how long its answer shall be kept.
-            now: the time, monotonic.
+            outcome_seconds: how long the call's answer is kept.
+            now: monotonic time in seconds.
         """
         shard_number = claim_records.shard_of(
             dispatch.organisation, dispatch.key
         )
         path = claim_records.path_of(serves, shard_number)
-        shard = self._shard(path)
+        shard = self._get_shard(path)
         if shard is None:
             return [
                 claim_verdicts.deny(
@@ -80,17 +80,19 @@
                     results.Code.OVERLOADED,
                 )
             ]
-        return self._note(shard, shard.claim(dispatch, outcome_seconds, now))
+        return self._update_wake(
+            shard, shard.claim(dispatch, outcome_seconds, now)
+        )
 
     def answer(self, answer: stores.StoreAnswer, now: float) -> list[Output]:
-        """Takes the store's answer to a call of these claims."""
+        """Handles the store's answer to one of its calls."""
         shard = self.shards.get(claim_shards.path_of_call(answer.call))
         if shard is None:
             return []
-        return self._note(shard, shard.answer(answer, now))
+        return self._update_wake(shard, shard.answer(answer, now))
 
     def owns(self, call: str) -> bool:
-        """Returns whether a store call's id is one of these claims'."""
+        """Returns whether the id of a store call belongs to a claim shard."""
         return call.startswith(claim_records.PATH)
 
     def finished(
@@ -100,59 +102,61 @@
         answer: claim_records.StoredAnswer | None,
         now: float,
     ) -> list[Output]:
-        """Takes the whole answer of a granted call; None if it is too long."""
+        """Records the answer of a granted call; None if it is too long."""
         for shard in self.shards.values():
             if shard.holds(request):
-                return self._note(shard, shard.finished(request, answer, now))
+                return self._update_wake(
+                    shard, shard.finished(request, answer, now)
+                )
         return []
 
     def failed(
         self, request: str, ran: results.Ran, now: float
     ) -> list[Output]:
-        """Takes the end of a call that gave no answer.
+        """Records the end of a call that has no answer.
 
-        Also for a call that was granted, and that this agent then decided
-        not to start, and for one whose caller went away before the grant.
+        Also for a granted call that this agent decided not to start, and for
+        a call whose client disconnected before the grant.
 
         Args:
-            request: the request.
-            ran: NOT_RUN, only if it surely never reached the server, frees
-                the key for another try, which Released tells; anything else
-                keeps it for good.
-            now: the time, monotonic.
+            request: the request id.
+            ran: NOT_RUN, only if the call certainly never reached the
+                server, frees the key for another attempt, which a Released
+                verdict reports. Any other value leaves the key claimed.
+            now: monotonic time in seconds.
         """
         for shard in self.shards.values():
             if shard.holds(request):
-                return self._note(shard, shard.failed(request, ran, now))
+                return self._update_wake(shard, shard.failed(request, ran, now))
         return []
 
     def tick(self, now: float) -> list[Output]:
-        """Does what is due."""
+        """Runs the shards that are due."""
         outputs = []
         due = [path for path, wake in self.wakes.items() if wake <= now]
         for path in due:
             shard = self.shards[path]
-            outputs += self._note(shard, shard.step(now))
+            outputs += self._update_wake(shard, shard.step(now))
         return outputs
 
     def next_wake(self) -> float | None:
-        """Returns when `tick` is due next; None for no need."""
+        """Returns when `tick` is due next; None if never."""
         return min(self.wakes.values(), default=None)
 
     def held(self) -> int:
-        """Returns the claims not settled in the store; 0 before an exit."""
+        """Returns the number of unsettled claims; must be 0 before an exit."""
         return sum(len(shard.unsettled) for shard in list(self.shards.values()))
 
     def largest(self) -> int:
-        """Returns the size of the largest shard held here, in bytes."""
-        # Another thread asks; a copy of the list is taken in one step.
-        bases = [each.base for each in list(self.shards.values())]
+        """Returns the size in bytes of the largest shard in memory."""
+        # Called from another thread; `list` copies the values atomically.
+        bases = [shard.base for shard in list(self.shards.values())]
         return max((b.size() for b in bases if b is not None), default=0)
 
-    def _note(
+    def _update_wake(
         self, shard: claim_shards.ShardClaims, outputs: list[Output]
     ) -> list[Output]:
-        """Notes when a shard that has just done something is due next."""
+        """Updates a shard's wake time and returns its outputs unchanged."""
         wake = shard.next_wake()
         if wake is None:
             self.wakes.pop(shard.path, None)
@@ -160,14 +164,14 @@
             self.wakes[shard.path] = wake
         return outputs
 
-    def _shard(self, path: str) -> claim_shards.ShardClaims | None:
-        """Returns a shard, or None if no more can be held."""
-        shard = self.shards.pop(path, None) or self._load(path)
+    def _get_shard(self, path: str) -> claim_shards.ShardClaims | None:
+        """Returns a shard, or None if the limit of shards is reached."""
+        shard = self.shards.pop(path, None) or self._create_shard(path)
         if shard is not None:
             self.shards[path] = shard
         return shard
 
-    def _load(self, path: str) -> claim_shards.ShardClaims | None:
+    def _create_shard(self, path: str) -> claim_shards.ShardClaims | None:
         if len(self.shards) >= self.limits.shards:
             idle = [key for key, each in self.shards.items() if each.idle()]
             if not idle:
