--- a/pimentoledge/decisions/claim_shards.py
+++ b/pimentoledge/decisions/claim_shards.py
@@ -1,11 +1,11 @@
 """One agent's claims in one shard, and its conditional updates.
 
-The shard keeps the newest version of its object that it has seen (the base)
-and what this life of the agent wants of each key. Each write puts all of
-that into the object at once, on condition of the base's version; whatever
-comes meanwhile goes into the next write. After each answer the two are
-compared again, so a conflict or a lost answer needs no path of its own: what
-counts is only what the base says.
+A shard keeps the newest version of its object that it has read or written
+(the base) and the desired state of each key of this life of the agent. Each
+write applies all desired states to the object at once, on condition of the
+base's version; claims that arrive meanwhile go into the next write. After
+each answer the claims are compared with the new base, so conflicts and lost
+answers need no separate handling: only the contents of the base count.
 """
 
 import collections.abc
@@ -31,21 +31,22 @@
     """Bounds and intervals of the claims; times in seconds.
 
     Attributes:
-        shards: shards that one agent holds in memory.
-        claims: unsettled claims of one shard.
-        object_bytes: largest object; the store takes values up to 1 MB.
-        answers_bytes: object size above which no further answer is kept,
-            only that the call ran; leaves room for claims.
-        answer_bytes: largest answer that is kept.
-        key_seconds: how long a key is remembered, at least.
-        outage_wait: how long a call waits for a store that fails.
-        write_gap: shortest time between the starts of two writes of a
-            shard; it doubles with each call that the store refuses, and
-            shrinks again with each that it takes.
-        max_write_gap: what it grows to at most.
-        write_gap_decay: factor by which it shrinks.
-        outcome_delay: how long an outcome waits for a claim to share the
-            write with.
+        shards: maximum number of shards that an agent keeps in memory.
+        claims: maximum number of unsettled claims of a shard.
+        object_bytes: maximum size of an object; the store accepts values up
+            to 1 MB.
+        answers_bytes: size of an object above which no further answers are
+            kept, only records that the calls ran; leaves room for claims.
+        answer_bytes: maximum size of a kept answer.
+        key_seconds: minimum time for which a key is kept.
+        outage_wait: how long a call waits while the store fails.
+        write_gap: minimum time between the starts of two writes of a shard;
+            it doubles with each failed store call and shrinks again with
+            each successful one.
+        max_write_gap: maximum of the doubled write gap.
+        write_gap_decay: factor by which a successful call shrinks the gap.
+        outcome_delay: how long an outcome waits for a claim with which it
+            can share a write.
         call_seconds: time after which a store call counts as lost.
     """
 
@@ -67,39 +68,41 @@
 
 
 class Phase(enum.StrEnum):
-    """How far a claim is in this life."""
+    """Progress of a claim within this life of the agent."""
 
-    # Waits for its record to be durable; surely not started.
+    # Waits until its record is durable; the call has not started.
     WANTED = "wanted"
-    # Granted; may have been started.
+    # Granted; the call may have started.
     RUNNING = "running"
-    # Has its answer; the store may not have it yet.
+    # The call was answered; the store may not have its outcome yet.
     DONE = "done"
-    # Never started, and never will be; the store may still hold its record.
+    # The call never started and never will; the store may still hold its
+    # record.
     ABANDONED = "abandoned"
 
 
 @attrs.define(kw_only=True)
 class Claim:
-    """A key that this life of the agent has to settle.
+    """An unsettled claim of this life of the agent.
 
     Attributes:
-        key: digest of organisation and key.
+        key: digest of organisation and idempotency key.
         content: digest of the request.
         request: request id.
         attempt: newest attempt of the request.
         token: number of the claim within this life.
-        unstarted: tokens of earlier claims of this key by this life that
-            never started; their records may be taken over.
-        phase: how far it is.
-        arrived: when the request came.
-        deadline: when it must have ended.
-        give_up: when to stop waiting for the store.
-        outcome_seconds: how long to keep its answer.
-        proposed: whether a write that holds its record was ever sent.
-        answer: DONE: the answer.
-        due: DONE and ABANDONED: when the store should be told.
-        tell: ABANDONED: whether the agent waits to hear that the key is free.
+        unstarted: tokens of earlier claims of this key by this life whose
+            calls never started; this claim may replace their records.
+        phase: progress of the claim.
+        arrived: when the request arrived.
+        deadline: deadline of the request.
+        give_up_at: when to stop waiting for the store.
+        outcome_seconds: how long to keep the answer.
+        write_sent: whether a write with its record was ever sent.
+        answer: if DONE, the answer.
+        due: if DONE or ABANDONED, when the change should be written.
+        notify_release: if ABANDONED, whether the agent needs a Released
+            verdict once the key is free.
     """
 
     key: bytes
@@ -111,22 +114,22 @@
     phase: Phase = Phase.WANTED
     arrived: float
     deadline: float
-    give_up: float
+    give_up_at: float
     outcome_seconds: float
-    proposed: bool = False
+    write_sent: bool = False
     answer: claim_records.StoredAnswer | None = None
     due: float = 0.0
-    tell: bool = False
+    notify_release: bool = False
 
     def deny(
         self, code: results.Code, ran: results.Ran = results.Ran.NOT_RUN
     ) -> claim_verdicts.Denied:
-        """Returns a refusal; by default one that says that nothing ran."""
+        """Returns a refusal; by default it reports that nothing ran."""
         return claim_verdicts.deny(self.request, self.attempt, code, ran)
 
     def released(self) -> claim_verdicts.Released:
-        """Returns word that the key is free, once."""
-        self.tell = False
+        """Returns the verdict that the key is free; clears the notification."""
+        self.notify_release = False
         return claim_verdicts.Released(
             request=self.request, attempt=self.attempt
         )
@@ -134,7 +137,7 @@
     def finished(
         self, answer: claim_records.StoredAnswer | None
     ) -> claim_verdicts.Verdict:
-        """Returns the answer of the first run, or that it isn't kept."""
+        """Returns the first run's answer, or a refusal if it isn't kept."""
         return claim_verdicts.finished(self.request, self.attempt, answer)
 
 
@@ -145,30 +148,32 @@
         path: the shard's object in the store.
         life: this life of the agent.
         limits: bounds and intervals.
-        counter: numbers that are never given twice within this life, also
-            not by another shard or after this one was dropped and loaded
-            again; a token that came twice would take an old record for new.
+        counter: source of numbers that are unique within this life, also
+            across shards and after this shard is evicted and loaded again.
+            With a token used twice, an old record would be mistaken for
+            that of the new claim.
         random: source of jitter.
-        base: newest contents seen, or None; what it says of a finished call
-            stays true, also when it is out of date.
+        base: newest known contents of the object, or None. Its records of
+            finished calls stay valid when it is out of date.
         current: whether the base is the newest version, as far as known;
             otherwise the object is read before the next write.
         version: version of the base.
-        observed: when the base was seen.
-        observed_by: number of the store call that showed the base; a claim
-            with a smaller token came before that call was made.
-        unsettled: unsettled claim by key.
-        call: the store call that is out, or None.
-        sent: when it was sent.
-        number: its number.
-        proposal: contents that the write being out would leave.
-        doubt: version on which a write of unknown fate depends, or None;
-            until the object has another version, that write may still take
-            effect.
+        observed_at: when the base was read or written.
+        observed_call: number of the store call that returned the base; a
+            claim with a smaller token arrived before that call was sent.
+        unsettled: unsettled claims by key.
+        pending_call: the store call in flight, or None.
+        sent_at: when that call was sent.
+        call_number: number of that call.
+        pending_shard: contents of the object if the write in flight succeeds.
+        uncertain_version: expected version of a write whose outcome is
+            unknown, or None; until the object has another version, that
+            write may still take effect.
         not_before: earliest time of the next store call.
-        gap: time between two writes now. The store refuses what is above
-            its rate as it refuses in an outage; shards that each find their
-            own gap share the rate without knowing of one another.
+        current_gap: current time between two writes. The store refuses calls
+            above its rate limit in the same way as in an outage; since each
+            shard adapts its own gap, shards share the rate without
+            coordination.
         down_since: when the store began to fail, or None.
     """
 
@@ -189,21 +194,25 @@
         self.base: claim_records.Shard | None = None
         self.current = False
         self.version = 0
-        self.observed = 0.0
-        self.observed_by = 0
+        self.observed_at = 0.0
+        self.observed_call = 0
         self.unsettled: dict[bytes, Claim] = {}
-        self.call: stores.Read | stores.Write | None = None
-        self.sent = 0.0
-        self.number = 0
-        self.proposal: claim_records.Shard | None = None
-        self.doubt: int | None = None
+        self.pending_call: stores.Read | stores.Write | None = None
+        self.sent_at = 0.0
+        self.call_number = 0
+        self.pending_shard: claim_records.Shard | None = None
+        self.uncertain_version: int | None = None
         self.not_before = 0.0
-        self.gap = limits.write_gap
+        self.current_gap = limits.write_gap
         self.down_since: float | None = None
 
     def idle(self) -> bool:
-        """Returns whether it may be dropped from memory."""
-        return not self.unsettled and self.call is None and self.doubt is None
+        """Returns whether the shard may be evicted from memory."""
+        return (
+            not self.unsettled
+            and self.pending_call is None
+            and self.uncertain_version is None
+        )
 
     def holds(self, request: str) -> bool:
         """Returns whether a request has an unsettled claim here."""
@@ -215,7 +224,7 @@
         outcome_seconds: float,
         now: float,
     ) -> list[Output]:
-        """Takes a request; its verdict comes now or later."""
+        """Claims a request; its verdict is returned now or later."""
         key = claim_records.key_digest(dispatch.organisation, dispatch.key)
         claim = Claim(
             key=key,
@@ -225,22 +234,23 @@
             token=next(self.counter),
             arrived=now,
             deadline=now + dispatch.seconds_left,
-            give_up=now + min(dispatch.seconds_left, self.limits.outage_wait),
+            give_up_at=now
+            + min(dispatch.seconds_left, self.limits.outage_wait),
             outcome_seconds=outcome_seconds,
         )
         outputs: list[Output] = []
-        held = self.unsettled.get(key)
-        if held is not None and held.phase != Phase.ABANDONED:
-            return self._meet(claim, held)
-        if held is not None:
-            if held.tell:
-                outputs.append(held.released())
-            claim.unstarted = held.unstarted | {held.token}
+        existing = self.unsettled.get(key)
+        if existing is not None and existing.phase != Phase.ABANDONED:
+            return self._answer_duplicate(claim, existing)
+        if existing is not None:
+            if existing.notify_release:
+                outputs.append(existing.released())
+            claim.unstarted = existing.unstarted | {existing.token}
         elif len(self.unsettled) >= self.limits.claims:
             return [claim.deny(results.Code.OVERLOADED)]
         self.unsettled[key] = claim
         outputs += self._settle(now)
-        if self._hopeless(now):
+        if self._in_outage_backoff(now):
             outputs += self._give_up(claim, now)
         return outputs + self.step(now)
 
@@ -250,12 +260,12 @@
         answer: claim_records.StoredAnswer | None,
         now: float,
     ) -> list[Output]:
-        """Takes the answer of a granted request; None for one not to keep."""
+        """Records a granted request's answer; None for one not to be kept."""
         claim = self._claim_of(request)
         if claim is None or claim.phase != Phase.RUNNING:
             return []
         claim.phase = Phase.DONE
-        if answer is not None and self._keepable(answer):
+        if answer is not None and self._is_storable(answer):
             claim.answer = answer
         claim.due = now + self.limits.outcome_delay
         return self.step(now)
@@ -263,7 +273,7 @@
     def failed(
         self, request: str, ran: results.Ran, now: float
     ) -> list[Output]:
-        """Takes the end of a request that gave no answer."""
+        """Records the end of a request that has no answer."""
         claim = self._claim_of(request)
         if claim is None:
             return []
@@ -273,27 +283,28 @@
             case Phase.RUNNING if ran == results.Ran.NOT_RUN:
                 self._abandon(claim, now)
                 claim.due = now
-                claim.tell = True
-                claim.give_up = now + self.limits.outage_wait
+                claim.notify_release = True
+                claim.give_up_at = now + self.limits.outage_wait
             case Phase.RUNNING:
-                # Its record stays as it is, claimed and without outcome:
-                # nobody will ever know more, so nobody may run it again.
+                # The record stays CLAIMED without an outcome: whether the
+                # call ran can no longer be stored out, so no agent may run
+                # it again.
                 del self.unsettled[claim.key]
         return self.step(now)
 
     def answer(self, answer: stores.StoreAnswer, now: float) -> list[Output]:
-        """Takes the store's answer to the call that is out."""
-        call = self.call
+        """Handles the store's answer to the call in flight."""
+        call = self.pending_call
         if call is None or answer.call != call.call:
             return []
-        self.call = None
+        self.pending_call = None
         match answer.outcome:
             case stores.Outcome.DOWN | stores.Outcome.LOST:
                 self._store_failed(call, answer.outcome, now)
-            case _ if self._adopt(answer, now):
-                self.gap = max(
+            case _ if self._apply_answer(answer, now):
+                self.current_gap = max(
                     self.limits.write_gap,
-                    self.gap * self.limits.write_gap_decay,
+                    self.current_gap * self.limits.write_gap_decay,
                 )
                 self.down_since = None
             case _:
@@ -301,36 +312,36 @@
         return self.step(now)
 
     def step(self, now: float) -> list[Output]:
-        """Settles what can be settled, and makes the next store call."""
+        """Settles claims, handles timeouts and sends the next store call."""
         outputs = self._settle(now)
         for claim in list(self.unsettled.values()):
-            if now < claim.give_up:
+            if now < claim.give_up_at:
                 continue
             outputs += self._give_up(claim, now)
-            if claim.tell:
+            if claim.notify_release:
                 outputs.append(claim.released())
         if (
-            self.call is not None
-            and now >= self.sent + self.limits.call_seconds
+            self.pending_call is not None
+            and now >= self.sent_at + self.limits.call_seconds
         ):
-            # An answer that never comes, by a defect below, must not stop
-            # the shard: the call counts as lost, and a later answer to it
-            # is ignored.
-            call, self.call = self.call, None
+            # An answer that never arrives because of a defect in the store
+            # client must not block the shard: the call counts as lost, and a
+            # later answer to it is ignored.
+            call, self.pending_call = self.pending_call, None
             self._store_failed(call, stores.Outcome.LOST, now)
-        if self.call is None and now >= self.not_before:
+        if self.pending_call is None and now >= self.not_before:
             outputs += self._call_store(now)
         return outputs
 
     def next_wake(self) -> float | None:
-        """Returns when `step` is due; None for no need."""
+        """Returns when `step` is due; None if never."""
         times = [
-            each.give_up
+            each.give_up_at
             for each in self.unsettled.values()
-            if each.phase == Phase.WANTED or each.tell
+            if each.phase == Phase.WANTED or each.notify_release
         ]
-        if self.call is not None:
-            times.append(self.sent + self.limits.call_seconds)
+        if self.pending_call is not None:
+            times.append(self.sent_at + self.limits.call_seconds)
         else:
             due = self._call_due()
             if due is not None:
@@ -343,55 +354,57 @@
                 return claim
         return None
 
-    def _keepable(self, answer: claim_records.StoredAnswer) -> bool:
-        names = sum(len(name) + len(value) for name, value in answer.headers)
-        return len(answer.body) + names <= self.limits.answer_bytes
+    def _is_storable(self, answer: claim_records.StoredAnswer) -> bool:
+        header_bytes = sum(
+            len(name) + len(value) for name, value in answer.headers
+        )
+        return len(answer.body) + header_bytes <= self.limits.answer_bytes
 
-    def _meet(self, claim: Claim, held: Claim) -> list[Output]:
-        """Answers a request whose key this life already deals with."""
-        if claim.content != held.content:
+    def _answer_duplicate(self, claim: Claim, existing: Claim) -> list[Output]:
+        """Answers a request whose key has an unsettled claim of this life."""
+        if claim.content != existing.content:
             return [claim.deny(results.Code.KEY_REUSED)]
-        if held.phase == Phase.DONE:
-            return [claim.finished(held.answer)]
+        if existing.phase == Phase.DONE:
+            return [claim.finished(existing.answer)]
         return [claim.deny(results.Code.CLAIM_RUNNING, results.Ran.UNKNOWN)]
 
     def _abandon(self, claim: Claim, now: float) -> None:
-        """Gives up a claim that never started and now never will."""
-        if not claim.proposed and not claim.unstarted:
+        """Abandons a claim whose call never started and now never will."""
+        if not claim.write_sent and not claim.unstarted:
             del self.unsettled[claim.key]
             return
-        # The store may hold its record, or come to hold it by a write still
-        # under way. It is taken out, so that a resend to another agent may
-        # run; until then this life knows that the key is free.
+        # The store may hold its record, or may get it from a write still in
+        # flight. The record is removed, so that a retry at another agent can
+        # run; until then this life still treats the key as free.
         claim.phase = Phase.ABANDONED
         claim.due = now + self.limits.outcome_delay
 
-    def _hopeless(self, now: float) -> bool:
-        """Returns whether the store fails and isn't to be tried just now."""
-        if self.call is not None or now >= self.not_before:
+    def _in_outage_backoff(self, now: float) -> bool:
+        """Returns whether the store is in an outage and in its backoff."""
+        if self.pending_call is not None or now >= self.not_before:
             return False
-        return self._outage(now)
+        return self._in_outage(now)
 
-    def _outage(self, now: float) -> bool:
+    def _in_outage(self, now: float) -> bool:
         if self.down_since is None:
             return False
         return now - self.down_since >= self.limits.outage_wait
 
     def _give_up(self, claim: Claim, now: float) -> list[Output]:
-        """Refuses a claim that waits; true whatever becomes of its write.
+        """Refuses a waiting claim, whatever the outcome of its write.
 
-        The refusal says "not run". That holds although a write with the
-        record may take effect later: only this life may run what it names,
-        and the phase set here keeps it from ever doing so.
+        The refusal reports "not run". That holds even if a write with the
+        record takes effect later: only this life may run the call of that
+        record, and the phase set here prevents it from doing so.
         """
         if self.unsettled.get(claim.key) is not claim:
             return []
         if claim.phase != Phase.WANTED:
             return []
         self._abandon(claim, now)
-        record = self._foreign(claim)
+        record = self._conflicting_record(claim)
         if record is not None:
-            # Seen as claimed elsewhere, and the newest state can't be read.
+            # Another life has claimed it, and the newest state can't be read.
             code = results.Code.OUTCOME_UNKNOWN
             return [claim.deny(code, results.Ran.UNKNOWN)]
         if now >= claim.deadline:
@@ -401,15 +414,17 @@
     def _is_own(
         self, claim: Claim, record: claim_records.ClaimRecord | None
     ) -> bool:
-        """Returns whether a record is of this claim or one it took over."""
+        """Returns whether a record is this claim's or one it may replace."""
         if record is None or record.state != claim_records.State.CLAIMED:
             return False
         if record.life != self.life:
             return False
         return record.token == claim.token or record.token in claim.unstarted
 
-    def _foreign(self, claim: Claim) -> claim_records.ClaimRecord | None:
-        """Returns the base's record of the key if it isn't the claim's."""
+    def _conflicting_record(
+        self, claim: Claim
+    ) -> claim_records.ClaimRecord | None:
+        """Returns the base's record of the key if it is not the claim's own."""
         if self.base is None:
             return None
         record = self.base.records.get(claim.key)
@@ -418,7 +433,7 @@
         return record
 
     def _settle(self, now: float) -> list[Output]:
-        """Compares the claims with the base."""
+        """Compares the claims with the base and returns their verdicts."""
         if self.base is None:
             return []
         outputs: list[Output] = []
@@ -434,28 +449,28 @@
 
     def _settle_wanted(self, claim: Claim, now: float) -> list[Output]:
         record = self.base.records.get(claim.key)
-        foreign = self._foreign(claim)
-        if foreign is not None:
-            return self._settle_foreign(claim, foreign)
+        conflicting = self._conflicting_record(claim)
+        if conflicting is not None:
+            return self._settle_conflicting(claim, conflicting)
         if record is None or record.token != claim.token:
             return []
         if now >= claim.deadline:
-            # The write took longer than the caller waits: its entry may
-            # have answered by now, so the call must not start any more.
+            # The deadline passed during the write. The entry may already
+            # have answered the client, so the call must not start.
             return self._give_up(claim, now)
         claim.phase = Phase.RUNNING
         return [
             claim_verdicts.Granted(request=claim.request, attempt=claim.attempt)
         ]
 
-    def _settle_foreign(
+    def _settle_conflicting(
         self, claim: Claim, record: claim_records.ClaimRecord
     ) -> list[Output]:
-        """Answers from the record of an earlier request, if it is enough."""
+        """Answers from the record of another claim, unless it may be stale."""
         running = record.state == claim_records.State.CLAIMED
         elsewhere = running and record.life != self.life
-        if elsewhere and self.observed_by < claim.token:
-            # Its outcome may have come since: read again first.
+        if elsewhere and self.observed_call < claim.token:
+            # Its outcome may have been written since: read again first.
             return []
         del self.unsettled[claim.key]
         if record.content != claim.content:
@@ -468,19 +483,19 @@
                 return [claim.finished(record.answer)]
 
     def _settle_done(self, claim: Claim) -> None:
-        # Any record but the claim's own ends it: the outcome itself, or,
-        # after the key was forgotten, a newer claim that must stay.
-        if self._foreign(claim) is not None:
+        # Any record other than the claim's own settles it: its outcome or,
+        # if the record expired, a newer claim that must not be overwritten.
+        if self._conflicting_record(claim) is not None:
             del self.unsettled[claim.key]
 
     def _settle_abandoned(self, claim: Claim) -> list[Output]:
-        certain = self.current and self.doubt is None
-        if self.call is not None or not certain:
+        certain = self.current and self.uncertain_version is None
+        if self.pending_call is not None or not certain:
             return []
         if self._is_own(claim, self.base.records.get(claim.key)):
             return []
         del self.unsettled[claim.key]
-        return [claim.released()] if claim.tell else []
+        return [claim.released()] if claim.notify_release else []
 
     def _store_failed(
         self,
@@ -490,52 +505,56 @@
     ) -> None:
         lost = outcome == stores.Outcome.LOST
         if lost and isinstance(call, stores.Write):
-            # It may have taken effect, or may yet: look before anything.
-            self.doubt = call.expected
+            # The write may have taken effect or may still do so: read the
+            # object before anything else.
+            self.uncertain_version = call.expected
             self.current = False
         if self.down_since is None:
-            self.down_since = self.sent
-        self.gap = min(self.limits.max_write_gap, self.gap * 2)
-        self.not_before = now + self.gap * self.random.uniform(0.5, 1.0)
-        if not self._outage(now):
+            self.down_since = self.sent_at
+        self.current_gap = min(self.limits.max_write_gap, self.current_gap * 2)
+        self.not_before = now + self.current_gap * self.random.uniform(0.5, 1.0)
+        if not self._in_outage(now):
             return
         for claim in self.unsettled.values():
-            if claim.phase == Phase.WANTED or claim.tell:
-                claim.give_up = now
+            if claim.phase == Phase.WANTED or claim.notify_release:
+                claim.give_up_at = now
 
-    def _adopt(self, answer: stores.StoreAnswer, now: float) -> bool:
-        """Takes the newest state of the object; False if it is unusable."""
-        proposal, self.proposal = self.proposal, None
-        found = next(
+    def _apply_answer(self, answer: stores.StoreAnswer, now: float) -> bool:
+        """Updates the base from an answer; returns False if it is unusable."""
+        written, self.pending_shard = self.pending_shard, None
+        stored = next(
             (each for each in answer.objects if each.path == self.path), None
         )
         match answer.outcome:
             case stores.Outcome.WRITTEN:
-                self._observe(proposal, answer.version, now)
-                self._clear_doubt()
+                self._observe(written, answer.version, now)
+                self._clear_uncertain_write()
                 return True
-            case stores.Outcome.CONFLICT if found is None:
-                # It says that the object has changed, but not to what.
+            case stores.Outcome.CONFLICT if stored is None:
+                # The object has changed, but its contents are not included.
                 self.current = False
                 return True
-        return self._adopt_object(found, now)
+        return self._apply_object(stored, now)
 
-    def _adopt_object(self, found: stores.Object | None, now: float) -> bool:
-        deleted = found is None or found.value is None
-        if not deleted and found.version < self.version:
-            # An answer from before what was seen already, by a store that
-            # lags behind itself. It could hide a claim; ask again.
+    def _apply_object(self, stored: stores.Object | None, now: float) -> bool:
+        deleted = stored is None or stored.value is None
+        if not deleted and stored.version < self.version:
+            # A stale read, older than the base: it could lack a claim, so
+            # the object is read again.
             return False
         try:
-            shard = claim_records.decode(None if deleted else found.value)
+            shard = claim_records.decode(None if deleted else stored.value)
         except (msgspec.MsgspecError, ValueError, TypeError):
-            # Not written by this program. Running on would be guessing, so
-            # calls are refused until an operator has put it right.
+            # Not a valid encoding of a shard, so nothing is known of its
+            # claims. Calls are refused until an operator repairs the object.
             return False
-        version = 0 if deleted else found.version
+        version = 0 if deleted else stored.version
         self._observe(shard, version, now)
-        if self.doubt is not None and version != self.doubt:
-            self._clear_doubt()
+        if (
+            self.uncertain_version is not None
+            and version != self.uncertain_version
+        ):
+            self._clear_uncertain_write()
         return True
 
     def _observe(
@@ -544,15 +563,15 @@
         self.base = shard
         self.current = True
         self.version = version
-        self.observed = now
-        self.observed_by = self.number
+        self.observed_at = now
+        self.observed_call = self.call_number
 
-    def _clear_doubt(self) -> None:
-        self.doubt = None
+    def _clear_uncertain_write(self) -> None:
+        self.uncertain_version = None
 
     def _call_due(self) -> float | None:
-        """Returns when a store call is wanted; None for not at all."""
-        if self.doubt is not None:
+        """Returns when the next store call is due; None if never."""
+        if self.uncertain_version is not None:
             return self.not_before
         times = []
         for claim in self.unsettled.values():
@@ -568,67 +587,70 @@
         if due is None or now < due:
             return []
         if not self.current or self._needs_read():
-            self.call = stores.Read(call=self._call_id(), path=self.path)
-            self.sent = now
-            return [actions.CallStore(call=self.call)]
+            self.pending_call = stores.Read(
+                call=self._call_id(), path=self.path
+            )
+            self.sent_at = now
+            return [actions.CallStore(call=self.pending_call)]
         return self._write(now)
 
     def _needs_read(self) -> bool:
-        """Returns whether a claim held elsewhere has to be looked at."""
+        """Returns whether a waiting claim conflicts with another's record."""
         return any(
-            each.phase == Phase.WANTED and self._foreign(each) is not None
+            each.phase == Phase.WANTED
+            and self._conflicting_record(each) is not None
             for each in self.unsettled.values()
         )
 
     def _call_id(self) -> str:
-        self.number = next(self.counter)
-        return f"{self.path}{_CALL_SEPARATOR}{self.life}-{self.number}"
+        self.call_number = next(self.counter)
+        return f"{self.path}{_CALL_SEPARATOR}{self.life}-{self.call_number}"
 
     def _write(self, now: float) -> list[Output]:
-        """Sends one write with everything that the store should know."""
+        """Sends one write with the desired records of all claims."""
         outputs: list[Output] = []
-        age = self.base.age + max(0.0, now - self.observed)
+        age = self.base.age + max(0.0, now - self.observed_at)
         shard = claim_records.Shard(age=age, records=self._unexpired(age))
         size = shard.size() + _OBJECT_HEADER_BYTES
         for claim in list(self.unsettled.values()):
             before = shard.records.get(claim.key)
-            after = self._desired(claim, before, age, size)
-            grown = _length(after) - _length(before)
+            after = self._desired_record(claim, before, age, size)
+            growth = _encoded_length(after) - _encoded_length(before)
             wanted = claim.phase == Phase.WANTED
-            if wanted and size + grown > self.limits.object_bytes:
+            if wanted and size + growth > self.limits.object_bytes:
                 outputs += self._refuse_full(claim, now)
                 continue
             if after is None:
                 shard.records.pop(claim.key, None)
             else:
                 shard.records[claim.key] = after
-            size += grown
-            claim.proposed = claim.proposed or wanted
+            size += growth
+            claim.write_sent = claim.write_sent or wanted
         call = self._call_id()
-        self.call = stores.Write(
+        self.pending_call = stores.Write(
             call=call,
             path=self.path,
             value=shard.encode(),
             expected=self.version,
-            write_id=f"{self.life}-{self.number}",
+            write_id=f"{self.life}-{self.call_number}",
         )
-        self.sent = now
-        self.not_before = now + self.gap
-        self.proposal = shard
-        return [*outputs, actions.CallStore(call=self.call)]
+        self.sent_at = now
+        self.not_before = now + self.current_gap
+        self.pending_shard = shard
+        return [*outputs, actions.CallStore(call=self.pending_call)]
 
     def _refuse_full(self, claim: Claim, now: float) -> list[Output]:
         self._abandon(claim, now)
         return [claim.deny(results.Code.CLAIMS_FULL)]
 
-    def _desired(
+    def _desired_record(
         self,
         claim: Claim,
         before: claim_records.ClaimRecord | None,
         age: float,
         size: int,
     ) -> claim_records.ClaimRecord | None:
-        """Returns what the object should hold for a claim's key."""
+        """Returns the record to write for a claim's key; None to remove it."""
         own = self._is_own(claim, before)
         if before is not None and not own:
             return before
@@ -636,7 +658,7 @@
             case Phase.ABANDONED:
                 return None
             case Phase.DONE:
-                return self._outcome(claim, before, age, size)
+                return self._outcome_record(claim, before, age, size)
             case _ if own and before.token == claim.token:
                 return before
             case _:
@@ -649,7 +671,7 @@
                     token=claim.token,
                 )
 
-    def _outcome(
+    def _outcome_record(
         self,
         claim: Claim,
         before: claim_records.ClaimRecord | None,
@@ -664,12 +686,12 @@
                 until=age + claim.outcome_seconds,
                 answer=claim.answer,
             )
-            grown = len(record.encoded) - _length(before)
-            if size + grown <= self.limits.answers_bytes:
+            growth = len(record.encoded) - _encoded_length(before)
+            if size + growth <= self.limits.answers_bytes:
                 return record
-        return self._remembered(claim.key, claim.content, age)
+        return self._remembered_record(claim.key, claim.content, age)
 
-    def _remembered(
+    def _remembered_record(
         self, key: bytes, content: bytes, age: float
     ) -> claim_records.ClaimRecord:
         return claim_records.ClaimRecord(
@@ -680,20 +702,23 @@
         )
 
     def _unexpired(self, age: float) -> dict[bytes, claim_records.ClaimRecord]:
-        """Returns the base's records without what has run its time."""
+        """Returns the base's unexpired records.
+
+        Expired answers are replaced by records without the answer.
+        """
         kept = {}
         for key, record in self.base.records.items():
             if record.until > age:
                 kept[key] = record
             elif record.state == claim_records.State.FINISHED:
-                kept[key] = self._remembered(key, record.content, age)
+                kept[key] = self._remembered_record(key, record.content, age)
         return kept
 
 
-def _length(record: claim_records.ClaimRecord | None) -> int:
+def _encoded_length(record: claim_records.ClaimRecord | None) -> int:
     return 0 if record is None else len(record.encoded)
 
 
 def path_of_call(call: str) -> str:
-    """Returns the path of the shard that made a store call."""
+    """Returns the shard path from the id of a store call."""
     return call.partition(_CALL_SEPARATOR)[0]
