--- a/pimentoledge/decisions/documents.py
+++ b/pimentoledge/decisions/documents.py
@@ -1,4 +1,4 @@
-"""Declarations as operators write and read them."""
+"""Conversion between declarations and the JSON of the administration API."""
 
 import re
 
@@ -9,11 +9,11 @@
 from pimentoledge.decisions import stores
 from pimentoledge.decisions import validation
 
-SHORTEST_KEY = 16
-# Fields that are shown, and passed over when they are sent back.
-_SHOWN = ("version", "changed")
-_AT = re.compile(r" - at `\$\.?([^`]*)`$")
-_MISSING = re.compile(r"missing required field `([^`]+)`")
+MIN_KEY_LENGTH = 16
+# Read-only fields: returned by reads and ignored in writes.
+_READ_ONLY = ("version", "changed")
+_FIELD_PATH = re.compile(r" - at `\$\.?([^`]*)`$")
+_MISSING_FIELD = re.compile(r"missing required field `([^`]+)`")
 
 KINDS: dict[str, type] = {
     prefix.removeprefix(declarations.ROOT).rstrip("/"): kind
@@ -24,7 +24,7 @@
 def read_body(
     body: bytes,
 ) -> result.Result[dict[str, object], list[validation.Fault]]:
-    """Reads a JSON object."""
+    """Decodes a request body that must be a JSON object."""
     try:
         return result.Success(msgspec.json.decode(body, type=dict[str, object]))
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -34,30 +34,31 @@
 def parse(
     kind: type, name: str, fields: dict[str, object]
 ) -> result.Result[declarations.Declaration, list[validation.Fault]]:
-    """Makes a declaration of what an operator sent.
+    """Builds a declaration from the fields that an operator sent.
 
     Args:
-        kind: which kind it is.
-        name: its name, from the path; the fields may leave it out.
-        fields: the fields; "keys" holds plain keys, which become digests.
+        kind: class of the declaration.
+        name: its name, from the path; the fields may omit it.
+        fields: the fields; "keys" holds plaintext keys, which are replaced
+            by their digests.
 
     Returns:
-        The declaration, or the fields that are wrong.
+        The declaration, or the faults found in the fields.
     """
-    fields = {k: v for k, v in fields.items() if k not in _SHOWN}
-    own = _name_field(kind)
-    if fields.setdefault(own, name) != name:
-        return _fault(own, f"must be {name!r}, as in the path")
+    fields = {k: v for k, v in fields.items() if k not in _READ_ONLY}
+    name_field = _name_field(kind)
+    if fields.setdefault(name_field, name) != name:
+        return _fault(name_field, f"must be {name!r}, as in the path")
     match _digest_keys(kind, fields):
         case result.Failure(faults):
             return result.Failure(faults)
     for field in fields:
         if field not in kind.__annotations__:
-            return _fault(field, "there is no such field")
+            return _fault(field, "unknown field")
     try:
         declaration = msgspec.convert(fields, kind)
     except msgspec.ValidationError as error:
-        return result.Failure([_located(str(error))])
+        return result.Failure([_fault_from_message(str(error))])
     faults = validation.faults(declaration)
     return result.Failure(faults) if faults else result.Success(declaration)
 
@@ -67,8 +68,7 @@
 ) -> dict[str, object]:
     """Returns a stored declaration's fields with some of them replaced.
 
-    A null gives the field its default. Fields that this release does not
-    know are dropped.
+    A null resets a field to its default. Unknown fields are dropped.
     """
     fields = msgspec.json.decode(stored.value, type=dict[str, object])
     known = kind.__annotations__
@@ -78,7 +78,7 @@
 
 
 def show(stored: stores.Object) -> dict[str, object]:
-    """Returns a stored declaration as operators read it."""
+    """Returns a stored declaration's fields and version for operators."""
     try:
         fields = msgspec.json.decode(stored.value, type=dict[str, object])
     except msgspec.MsgspecError:
@@ -96,14 +96,14 @@
     if not isinstance(keys, list):
         return _fault("keys", "must be a list of keys")
     for index, key in enumerate(keys):
-        if not isinstance(key, str) or len(key) < SHORTEST_KEY:
-            text = f"must be text of at least {SHORTEST_KEY} characters"
+        if not isinstance(key, str) or len(key) < MIN_KEY_LENGTH:
+            text = f"must be text of at least {MIN_KEY_LENGTH} characters"
             return _fault(f"keys[{index}]", text)
     digests = [declarations.key_digest(key) for key in keys]
-    kept = fields.get("key_digests", [])
-    if not isinstance(kept, list):
+    existing = fields.get("key_digests", [])
+    if not isinstance(existing, list):
         return _fault("key_digests", "must be a list")
-    fields["key_digests"] = list(dict.fromkeys(kept + digests))
+    fields["key_digests"] = list(dict.fromkeys(existing + digests))
     return result.Success(None)
 
 
@@ -111,13 +111,13 @@
     return "organisation" if kind is declarations.Contract else "name"
 
 
-def _located(text: str) -> validation.Fault:
-    missing = _MISSING.search(text)
+def _fault_from_message(text: str) -> validation.Fault:
+    missing = _MISSING_FIELD.search(text)
     if missing:
         return validation.Fault(param=missing[1], text="is missing")
-    place = _AT.search(text)
-    param = place[1] if place else ""
-    return validation.Fault(param=param, text=_AT.sub("", text))
+    location = _FIELD_PATH.search(text)
+    param = location[1] if location else ""
+    return validation.Fault(param=param, text=_FIELD_PATH.sub("", text))
 
 
 def _fault(param: str, text: str) -> result.Failure:
--- a/pimentoledge/decisions/histories.py
+++ b/pimentoledge/decisions/histories.py
@@ -1,12 +1,12 @@
-"""The former versions of a declaration, kept in an object beside it.
+"""The former versions of a declaration, stored in an object of their own.
 
-Before an update replaces a version, it puts that version into the history.
-So the current version and the history together are complete, whatever
-happens to the process that updates; and the write id of every version that
-ever was in force is found in one of them while the history reaches back.
+Before an update replaces a version, it appends that version to the history.
+The history and the current version are therefore complete together even if
+the updating process fails, and one of them holds the write id of every
+version that was ever in force, as far back as the history goes.
 
-The history stands outside the path that nodes watch: it is read only on
-demand, and costs each update one read and one write, and the nodes nothing.
+Histories are stored outside the prefix that nodes watch and are read only on
+demand. They cost each update one read and one write, and the nodes nothing.
 """
 
 import attrs
@@ -16,17 +16,17 @@
 from pimentoledge.decisions import stores
 
 ROOT = "histories/"
-KEPT = 20
-MOST_BYTES = 500_000
+MAX_VERSIONS = 20
+MAX_BYTES = 500_000
 
 
 @attrs.define(kw_only=True)
 class FormerVersion:
-    """A version that was replaced.
+    """A replaced version of an object.
 
     Attributes:
-        version: its version.
-        write_id: id of the write that made it.
+        version: the replaced version.
+        write_id: id of the write that created it.
         value: its value as JSON.
     """
 
@@ -40,19 +40,19 @@
     """The former versions of one object.
 
     Attributes:
-        formers: oldest first.
-        dropped: the newest version that was dropped; 0 for none.
+        formers: the former versions, oldest first.
+        dropped: the newest version removed from the history; 0 for none.
     """
 
     formers: list[FormerVersion] = attrs.field(factory=list)
     dropped: int = 0
 
     def holds(self, version: int) -> bool:
-        """Returns whether a version is among them."""
+        """Returns whether the history contains a version."""
         return any(each.version == version for each in self.formers)
 
     def is_complete_since(self, version: int) -> bool:
-        """Returns whether nothing newer than a version was dropped."""
+        """Returns whether no version newer than the given one was dropped."""
         return self.dropped <= version
 
 
@@ -62,7 +62,7 @@
 
 
 def decode(stored: stores.Object | None) -> History:
-    """Reads a history; none, or one that can't be read, is empty."""
+    """Decodes a history; an absent or invalid one gives an empty history."""
     if stored is None or stored.value is None:
         return History()
     try:
@@ -72,7 +72,11 @@
 
 
 def extended(history: History, replaced: stores.Object) -> bytes:
-    """Returns the encoded history with a version put at its end."""
+    """Returns the encoded history with a replaced version appended.
+
+    The oldest versions are dropped to stay within the limits of count and
+    size.
+    """
     formers = [
         each for each in history.formers if each.version < replaced.version
     ]
@@ -85,7 +89,9 @@
     )
     dropped = history.dropped
     size = sum(len(each.value) for each in formers)
-    while len(formers) > KEPT or (size > MOST_BYTES and len(formers) > 1):
+    while len(formers) > MAX_VERSIONS or (
+        size > MAX_BYTES and len(formers) > 1
+    ):
         oldest = formers.pop(0)
         dropped = oldest.version
         size -= len(oldest.value)
@@ -96,6 +102,6 @@
     try:
         msgspec.json.decode(value)
     except (msgspec.MsgspecError, UnicodeDecodeError):
-        # Written past the administration API; shown as it is.
+        # Not written by the administration API; kept as a JSON string.
         value = msgspec.json.encode(value.decode(errors="replace"))
     return msgspec.Raw(value)
--- a/pimentoledge/decisions/kept_completions.py
+++ b/pimentoledge/decisions/kept_completions.py
@@ -1,4 +1,4 @@
-"""A finished completion as it is kept for a resend with its key."""
+"""Completions kept to answer retries with the same idempotency key."""
 
 import attrs
 import msgspec
@@ -12,10 +12,10 @@
 
 @attrs.frozen(kw_only=True)
 class Completed:
-    """What a caller was given.
+    """A finished completion as sent to the client.
 
     Attributes:
-        text: the whole text.
+        text: the complete text.
         reason: the engine's finish reason.
         prompt_tokens: tokens in the prompt.
         completion_tokens: tokens generated.
@@ -30,7 +30,7 @@
 def answer(
     run: runs.Run, finished: messages.Finished
 ) -> claim_records.StoredAnswer | None:
-    """Returns a completion's answer to be kept; None if it is too long."""
+    """Returns the answer to keep for a run; None if it is too long."""
     if run.text is None:
         return None
     completed = Completed(
@@ -46,10 +46,10 @@
 def replay(
     body: bytes, run: runs.Run, truth: messages.Truth
 ) -> tuple[messages.Frames, messages.Finished]:
-    """Returns a kept completion as the stream of a new request.
+    """Returns the messages that stream a kept completion to a new request.
 
     Raises:
-        msgspec.DecodeError: the body was not made by `answer`.
+        msgspec.DecodeError: the body was not encoded by `answer`.
     """
     completed = msgspec.msgpack.decode(body, type=Completed)
     request, attempt = run.key()
--- a/pimentoledge/decisions/key_indexes.py
+++ b/pimentoledge/decisions/key_indexes.py
@@ -1,16 +1,16 @@
-"""Whose API key a digest is, among all declarations in force."""
+"""Index of the owners of API keys, by digest."""
 
 
 class KeyIndex:
-    """Whose key a digest is.
+    """Maps digests of API keys to the names of their owners.
 
-    One key in two declarations is an operators' mistake that two racing
-    updates can make; every node then picks the same owner, whatever the
-    order in which it heard of them.
+    Two concurrent updates can put one key into two declarations by mistake.
+    Every node then chooses the same owner, the first by name, whatever the
+    order in which it received the declarations.
 
     Attributes:
-        first: the first owner by name, by digest.
-        others: sorted further owners, by digest; mostly empty.
+        first: by digest, the owner that is first by name.
+        others: by digest, the sorted further owners; mostly empty.
     """
 
     def __init__(self):
--- a/pimentoledge/decisions/path_indexes.py
+++ b/pimentoledge/decisions/path_indexes.py
@@ -1,12 +1,13 @@
-"""The paths of all objects in force, in order."""
+"""Sorted index of the paths of all objects in force."""
 
 import bisect
 
 
 class PathIndex:
-    """The paths that are in force, in order; sorted when they are read.
+    """The paths in force; sorted lazily, when they are read.
 
-    A sort of a list that is sorted but for its end costs one pass.
+    Added paths are appended. Sorting a list that is sorted except for its
+    end takes about one pass.
     """
 
     def __init__(self):
@@ -16,32 +17,33 @@
     def __contains__(self, path: str) -> bool:
         """Returns whether a path is in force."""
         self._sort()
-        place = bisect.bisect_left(self._paths, path)
-        return self._paths[place : place + 1] == [path]
+        index = bisect.bisect_left(self._paths, path)
+        return self._paths[index : index + 1] == [path]
 
     def __len__(self) -> int:
         """Returns the number of paths."""
         return len(self._paths)
 
     def add(self, path: str) -> None:
-        """Adds a path that is not there yet."""
+        """Adds a path, which must not be in the index."""
         self._paths.append(path)
         self._sorted = False
 
     def remove(self, path: str) -> None:
-        """Removes a path that is there."""
+        """Removes a path, which must be in the index."""
         self._sort()
         del self._paths[bisect.bisect_left(self._paths, path)]
 
     def below(
         self, prefix: str, *, after: str = "", limit: int | None = None
     ) -> list[str]:
-        """Returns paths that start with a prefix, behind one, in order."""
+        """Returns sorted paths with a prefix that come after a given path."""
         self._sort()
         first = bisect.bisect_left(self._paths, prefix)
         if after:
             first = max(first, bisect.bisect_right(self._paths, after))
-        # No path holds a character above the last of Unicode.
+        # U+10FFFF is the last code point, so this sorts after all paths
+        # with the prefix.
         last = bisect.bisect_left(self._paths, prefix + "\U0010ffff")
         if limit is not None:
             last = min(last, first + limit)
