--- a/pimentoledge/tests/claims_path.py
+++ b/pimentoledge/tests/claims_path.py
@@ -1,7 +1,7 @@
-"""Real entries and agents, one fake store and one fake service, by hand.
+"""Simulation of real entries and agents with a fake store and service.
 
-Messages, store calls and service calls wait in one line; a test takes them
-one by one, kills and pauses processes in between, and moves the time.
+Messages, store calls and service calls wait in one queue. A test processes
+them one by one, kills and pauses processes in between, and advances the time.
 """
 
 import collections
@@ -26,21 +26,22 @@
 
 @attrs.define
 class Item:
-    """What waits to be done: a message, a store call or a service call."""
+    """A queued message, store call or service call."""
 
     sender: str
     receiver: str
     what: object
 
 
-class Path:
-    """Two entries and two agents.
+class Cluster:
+    """Two entries and two agents with a fake store and service.
 
     Attributes:
-        replies: what callers were told, by request.
-        claimed: what the log says of the claims, in order.
-        line: what waits to be done.
-        paused: nodes that take nothing now.
+        replies: replies to clients, by request.
+        claimed: logged verdicts of the claims, in order.
+        queue: queued items.
+        paused: addresses of paused nodes, which process nothing.
+        backlog: items that arrived for paused nodes.
     """
 
     def __init__(self, kind=declarations.ServerKind.SERVICE):
@@ -49,7 +50,7 @@
         self.service = fake_services.FakeService()
         self.view = configuration.Configuration()
         self.kind = kind
-        self.line: collections.deque[Item] = collections.deque()
+        self.queue: collections.deque[Item] = collections.deque()
         self.nodes: dict[str, entries.Entry | agents.Agent] = {}
         self.paused: set[str] = set()
         self.backlog: list[Item] = []
@@ -77,8 +78,8 @@
         self.version += 1
         path = declarations.path_of(declaration)
         value = declarations.encode(declaration)
-        found = stores.Object(path=path, version=self.version, value=value)
-        assert self.view.apply([found])
+        stored = stores.Object(path=path, version=self.version, value=value)
+        assert self.view.apply([stored])
 
     def declare_server(self, name, state=declarations.ServerState.IN) -> None:
         self.declare(
@@ -116,7 +117,7 @@
         )
         self.nodes[address(name)] = core
         status = events.EngineStatus(incarnation=life, weights="w")
-        self.give(address(name), status)
+        self.handle(address(name), status)
 
     def owner(self, key: str = KEY) -> str:
         """Returns the name of the agent that owns a key's shard."""
@@ -128,9 +129,9 @@
         call = messages.ServiceCall(
             service="cards", method="POST", path="/new", body=body
         )
-        self.ask(entry, request, key, call=call)
+        self.send_request(entry, request, key, call=call)
 
-    def ask(self, entry: str, request: str, key=KEY, **what) -> None:
+    def send_request(self, entry: str, request: str, key=KEY, **what) -> None:
         event = events.CallerRequest(
             request=request,
             key_digest=KEY_DIGEST,
@@ -138,23 +139,23 @@
             seconds=10.0,
             **what,
         )
-        self.give(address(entry), event)
+        self.handle(address(entry), event)
 
-    def give(self, receiver: str, event: object) -> None:
+    def handle(self, receiver: str, event: object) -> None:
         core = self.nodes[receiver]
-        todo = core.handle(event, self.now) + core.flush()
-        self.take(receiver, todo)
+        pending = core.handle(event, self.now) + core.flush()
+        self.apply_actions(receiver, pending)
 
-    def take(self, sender: str, todo: list) -> None:
-        for action in todo:
+    def apply_actions(self, sender: str, pending: list) -> None:
+        for action in pending:
             match action:
                 case actions.Send():
                     item = Item(sender, action.address, action.message)
-                    self.line.append(item)
+                    self.queue.append(item)
                 case actions.CallStore() if "claims/" in action.call.call:
-                    self.line.append(Item(sender, sender, action.call))
+                    self.queue.append(Item(sender, sender, action.call))
                 case actions.RunCall() | actions.RunCompletion():
-                    self.line.append(Item(sender, sender, action))
+                    self.queue.append(Item(sender, sender, action))
                 case actions.LogDecision(kind="claim", fields=fields):
                     self.claimed.append(fields["verdict"])
                 case (
@@ -166,12 +167,12 @@
                     self.replies.setdefault(action.request, []).append(action)
 
     def kill(self, name: str) -> None:
-        """Ends a process; what it had sent to others still arrives."""
+        """Kills a process; messages it has already sent still arrive."""
         del self.nodes[address(name)]
 
     def step(self) -> None:
-        """Does the first thing in the line."""
-        item = self.line.popleft()
+        """Processes the first item of the queue."""
+        item = self.queue.popleft()
         if item.receiver in self.paused:
             self.backlog.append(item)
             return
@@ -189,18 +190,18 @@
 
     def answer(self, receiver: str, event: object) -> None:
         if receiver in self.nodes:
-            self.give(receiver, event)
+            self.handle(receiver, event)
 
     def deliver(self, item: Item) -> None:
         if item.receiver in self.nodes:
             event = events.FromNode(sender=item.sender, message=item.what)
-            self.give(item.receiver, event)
+            self.handle(item.receiver, event)
         elif item.sender in self.nodes:
             lost = events.Unreachable(address=item.receiver, unsent=[item.what])
-            self.give(item.sender, lost)
+            self.handle(item.sender, lost)
 
     def run_call(self, item: Item) -> None:
-        """Calls the service; a dead agent had not called it yet."""
+        """Calls the service, unless the agent died before the call."""
         if item.receiver not in self.nodes:
             return
         run = item.what
@@ -227,19 +228,19 @@
                 headers=answer.headers,
                 body=answer.body,
             )
-        self.line.append(Item(item.sender, item.sender, Event(event)))
+        self.queue.append(Item(item.sender, item.sender, Event(event)))
 
     def run_completion(self, item: Item) -> None:
         self.service.runs_by_key[KEY] += 1
         what = item.what
-        said = events.EngineText(
+        text_event = events.EngineText(
             request=what.request,
             attempt=what.attempt,
             index=0,
             text="It fits.",
             tokens=2,
         )
-        ended = events.EngineEnded(
+        end_event = events.EngineEnded(
             request=what.request,
             attempt=what.attempt,
             reason="stop",
@@ -247,32 +248,32 @@
             cached_tokens=0,
             completion_tokens=2,
         )
-        for event in (said, ended):
-            self.line.append(Item(item.sender, item.sender, Event(event)))
+        for event in (text_event, end_event):
+            self.queue.append(Item(item.sender, item.sender, Event(event)))
 
     def until(self, kind: type) -> Item:
-        """Goes on until something of a kind is next, and returns it."""
+        """Runs until the first item is of a kind, and returns that item."""
         for _ in range(1000):
-            if not self.line:
-                self.move(1.0)
-            elif isinstance(self.line[0].what, kind):
-                return self.line[0]
+            if not self.queue:
+                self.advance(1.0)
+            elif isinstance(self.queue[0].what, kind):
+                return self.queue[0]
             else:
                 self.step()
         raise AssertionError(f"no {kind}")
 
     def settle(self, seconds: float = 5.0) -> None:
-        """Does all that waits, and what becomes due within some seconds."""
+        """Processes all items that are due within some seconds."""
         end = self.now + seconds
         while True:
-            while self.line:
+            while self.queue:
                 self.step()
-            if not self.move(end - self.now):
+            if not self.advance(end - self.now):
                 self.now = end
                 return
 
-    def move(self, seconds: float) -> bool:
-        """Moves the time to the next wake-up; False if none is that near."""
+    def advance(self, seconds: float) -> bool:
+        """Advances to the next wake-up; False if none is within `seconds`."""
         awake = [each for each in self.nodes if each not in self.paused]
         wakes = [self.nodes[each].next_wake() for each in awake]
         soonest = min((w for w in wakes if w is not None), default=None)
@@ -281,13 +282,13 @@
         self.now = max(self.now + 1e-6, soonest)
         for each in awake:
             core = self.nodes[each]
-            self.take(each, core.tick(self.now) + core.flush())
+            self.apply_actions(each, core.tick(self.now) + core.flush())
         return True
 
     def resume(self, name: str) -> None:
-        """Lets a paused process take what has come meanwhile."""
+        """Resumes a paused process and queues the items of its backlog."""
         self.paused.discard(address(name))
-        self.line.extend(self.backlog)
+        self.queue.extend(self.backlog)
         self.backlog.clear()
 
     def runs(self) -> int:
@@ -296,11 +297,11 @@
 
 @attrs.define
 class Event:
-    """What a service or engine said, on its way to its agent."""
+    """An event of a service or engine, in flight to its agent."""
 
     event: object
 
 
 def address(name: str) -> str:
-    """Returns the mailbox of a process."""
+    """Returns the mailbox address of a process."""
     return f"tcp://10.0.0.{ord(name)}:7000"
--- a/pimentoledge/tests/test_claims.py
+++ b/pimentoledge/tests/test_claims.py
@@ -1,6 +1,6 @@
-"""Tests of the claims: one run for each idempotency key, true refusals.
+"""Tests of claims: at most one run per idempotency key, correct refusals.
 
-Each call to the fake store waits in a list until the test says how it ends.
+Each call to the fake store stays in a list until the test completes it.
 """
 
 import hypothesis
@@ -22,7 +22,7 @@
 DOWN = stores.Outcome.DOWN
 LOST = stores.Outcome.LOST
 OUTCOME_SECONDS = 3600.0
-WHO = strategies.integers(0, 1)
+AGENT_INDEX = strategies.integers(0, 1)
 
 
 def _dispatch(request: str, key: str, **fields) -> messages.Dispatch:
@@ -43,7 +43,7 @@
 
 
 class Agent:
-    """One life of an agent: its claims, store calls and verdicts."""
+    """Test driver for one life of an agent; collects calls and verdicts."""
 
     def __init__(self, life: str, store: fake_objects.FakeObjects, **limits):
         self.store = store
@@ -57,7 +57,7 @@
         self.verdicts: dict[str, list[claim_verdicts.Verdict]] = {}
         self.released: list[str] = []
 
-    def take(self, outputs: list[claims.Output]) -> None:
+    def apply_outputs(self, outputs: list[claims.Output]) -> None:
         for output in outputs:
             match output:
                 case actions.CallStore():
@@ -69,7 +69,7 @@
 
     def claim(self, request: str, key: str, now: float = 0.0, **fields):
         dispatch = _dispatch(request, key, **fields)
-        self.take(
+        self.apply_outputs(
             self.claims.claim(
                 dispatch,
                 serves="orders",
@@ -79,16 +79,16 @@
         )
 
     def next_call(self, now: float, outcome=DONE, effect: bool = True):
-        """Ends the oldest store call; a lost one has its effect or not."""
+        """Completes the oldest store call, which may or may not take effect."""
         call = self.calls.pop(0)
         answer = self.store.call(call) if effect else None
         if outcome in (DOWN, LOST):
             answer = stores.StoreAnswer(call=call.call, outcome=outcome)
-        self.take(self.claims.answer(answer, now))
+        self.apply_outputs(self.claims.answer(answer, now))
         return call
 
     def settle(self, now: float) -> float:
-        """Runs until nothing is due within a minute; returns the time."""
+        """Runs until no call or wake-up is pending; returns the time."""
         while True:
             while self.calls:
                 self.next_call(now)
@@ -96,21 +96,23 @@
             if wake is None:
                 return now
             now = max(now, wake)
-            self.take(self.claims.tick(now))
+            self.apply_outputs(self.claims.tick(now))
 
     def finish(self, request: str, now: float, body: bytes = b"done"):
         answer = claim_records.StoredAnswer(
             status=201, headers=[("x", "y")], body=body
         )
-        self.take(self.claims.finished(request, answer=answer, now=now))
+        self.apply_outputs(
+            self.claims.finished(request, answer=answer, now=now)
+        )
 
     def verdict(self, request: str) -> claim_verdicts.Verdict:
         (only,) = self.verdicts[request]
         return only
 
 
-def _beside(key: str) -> str:
-    """Returns another key of the same shard."""
+def _key_in_same_shard(key: str) -> str:
+    """Returns another key that hashes to the same shard."""
     shard = claim_records.shard_of("acme", key)
     keys = (f"{key}{number}" for number in range(10000))
     return next(k for k in keys if claim_records.shard_of("acme", k) == shard)
@@ -122,11 +124,11 @@
     return verdict.code, verdict.ran
 
 
-def test_a_resend_through_another_agent_gets_the_first_answer():
-    """The caller's entry dies after the call ran; the resend finds it.
+def test_retry_at_another_agent_gets_the_first_answer():
+    """A client retries through another agent after the call ran.
 
-    The first agent leaves, so the resend goes to another one. It must read
-    the outcome and not run the order again; another body is refused.
+    The second agent must return the stored answer and not run the call
+    again. A retry with a different body is refused.
     """
     store = fake_objects.FakeObjects()
     first, second = Agent("life-1", store), Agent("life-2", store)
@@ -153,25 +155,26 @@
 
 
 def test_a_lost_answer_is_read_back_before_anything_else():
-    """The store takes the claim, and its answer is lost.
+    """The store writes the claim, and its answer is lost.
 
-    A second write, or a refusal, without looking would leave the key
-    claimed by nobody who knows; the record read back grants the call.
+    If the agent wrote again or refused the call without reading the record
+    back, the key would stay claimed although no agent treats it as its own.
+    The record that is read back grants the call.
     """
     agent = Agent("life-1", fake_objects.FakeObjects())
     agent.claim("r1", "k")
     agent.next_call(0.0)
     agent.next_call(0.0, LOST)
-    agent.take(agent.claims.tick(1.0))
+    agent.apply_outputs(agent.claims.tick(1.0))
     assert isinstance(agent.next_call(1.0), stores.Read)
     assert isinstance(agent.verdict("r1"), claim_verdicts.Granted)
 
 
-def test_a_refused_claim_never_runs_though_its_write_lands_late():
-    """The caller is told "not run" in an outage; the write lands after it.
+def test_refused_claim_never_runs_if_its_write_lands_late():
+    """A claim is refused as "not run" in an outage; its write lands later.
 
-    The record then names this life, which gave the claim up: it takes the
-    record out, and the caller's resend to another agent may run.
+    The record then holds this life, which has abandoned the claim. It must
+    remove the record, so that a retry at another agent can run.
     """
     store = fake_objects.FakeObjects()
     agent = Agent("life-1", store)
@@ -179,12 +182,12 @@
     agent.next_call(0.0)
     late = agent.calls[0]
     agent.next_call(0.0, LOST, effect=False)
-    agent.take(agent.claims.tick(1.0))
+    agent.apply_outputs(agent.claims.tick(1.0))
     agent.next_call(1.0, DOWN, effect=False)
-    agent.take(agent.claims.tick(2.5))
+    agent.apply_outputs(agent.claims.tick(2.5))
     down = (results.Code.CLAIM_STORE_DOWN, results.Ran.NOT_RUN)
     assert _denied(agent, "r1") == down
-    agent.claim("r3", _beside("k"), 2.6)
+    agent.claim("r3", _key_in_same_shard("k"), 2.6)
     store.call(late)
     now = agent.settle(2.6)
     assert agent.claims.held() == 1
@@ -195,11 +198,12 @@
     assert len(agent.verdicts["r1"]) == 1
 
 
-def test_a_write_of_unknown_fate_is_outrun_before_it_is_forgotten():
-    """The lost write hasn't landed when it is read back, but lands later.
+def test_uncertain_write_is_superseded_before_its_claim_is_dropped():
+    """A lost write has not landed when the object is read back.
 
-    Forgetting the given-up claim at the read back would let the late write
-    block the key for a day; a write on the same version makes it conflict.
+    If the abandoned claim were dropped at that point, the late write would
+    block the key for a day. Another write on the same version makes the late
+    write conflict.
     """
     store = fake_objects.FakeObjects()
     agent = Agent("life-1", store, outage_wait=0.5)
@@ -207,7 +211,7 @@
     agent.next_call(0.0)
     late = agent.calls[0]
     agent.next_call(0.0, LOST, effect=False)
-    agent.take(agent.claims.tick(1.0))
+    agent.apply_outputs(agent.claims.tick(1.0))
     assert _denied(agent, "r1")[1] == results.Ran.NOT_RUN
     agent.settle(1.0)
     assert agent.claims.held() == 0
@@ -215,18 +219,18 @@
 
 
 def test_a_key_being_freed_is_not_granted_from_its_old_record():
-    """The caller resends while the record of its refused call is taken out.
+    """A client retries while the record of its refused call is removed.
 
-    A grant from that old record would run with nothing durable: the other
-    agent, which sees the key free, would run the order a second time.
+    A grant based on the old record would run the call without a durable
+    record. Another agent that finds no record would run it a second time.
     """
     store = fake_objects.FakeObjects()
     agent, other = Agent("life-1", store), Agent("life-2", store)
     agent.claim("r1", "k")
     agent.next_call(0.0)
     agent.next_call(0.0)
-    agent.take(agent.claims.failed("r1", results.Ran.NOT_RUN, 0.0))
-    agent.take(agent.claims.tick(1.0))
+    agent.apply_outputs(agent.claims.failed("r1", results.Ran.NOT_RUN, 0.0))
+    agent.apply_outputs(agent.claims.tick(1.0))
     agent.claim("r2", "k", 1.0)
     assert "r2" not in agent.verdicts
     agent.next_call(1.0)
@@ -239,9 +243,10 @@
 
 
 def test_a_grant_after_the_deadline_is_a_refusal():
-    """The holder is paused during its write and wakes after the deadline.
+    """The agent is paused during its write and resumes after the deadline.
 
-    Its entry may have told the caller by then; so it must not start.
+    The entry may have answered the client by then, so the call must not
+    start.
     """
     agent = Agent("life-1", fake_objects.FakeObjects())
     agent.claim("r1", "k", seconds_left=5.0)
@@ -254,7 +259,7 @@
 
 
 def test_many_claims_go_into_one_write():
-    """A herd of orders arrives while a write is out: one write takes all."""
+    """Claims that arrive while a store call is in flight share one write."""
     agent = Agent("life-1", fake_objects.FakeObjects())
     for number in range(400):
         agent.claim(f"r{number}", f"k{number}")
@@ -269,10 +274,10 @@
 
 
 def test_outage_refuses_at_once_after_its_first_seconds():
-    """The store is down for minutes: callers aren't kept waiting for it.
+    """Clients are not kept waiting in a store outage of minutes.
 
-    A claim that comes in the first seconds waits; later ones are refused at
-    once, but one of them tries the store now and then.
+    A claim in the first seconds waits. Later claims are refused at once
+    during the backoff, and one of them retries the store after it.
     """
     agent = Agent("life-1", fake_objects.FakeObjects())
     agent.claim("r0", "k")
@@ -280,7 +285,7 @@
     while "r0" not in agent.verdicts:
         agent.next_call(now, DOWN, effect=False)
         now = agent.claims.next_wake() or now
-        agent.take(agent.claims.tick(now))
+        agent.apply_outputs(agent.claims.tick(now))
     assert now >= 2.0
     agent.claim("r1", "k", now)
     down = (results.Code.CLAIM_STORE_DOWN, results.Ran.NOT_RUN)
@@ -290,11 +295,11 @@
     assert isinstance(agent.verdict("r2"), claim_verdicts.Granted)
 
 
-def test_a_full_shard_refuses_and_forgets_nothing_early():
-    """Too many keys for the object: a new one is refused, none is dropped.
+def test_full_shard_refuses_and_drops_nothing_early():
+    """A new key is refused when the object is full; none is dropped early.
 
-    Only the age that writers measured themselves frees room: first the kept
-    answers go, then the keys.
+    Records expire only by the age that the writers measured: first the kept
+    answers are removed, then the keys.
     """
     store = fake_objects.FakeObjects()
     limits = {"object_bytes": 200, "key_seconds": 7200.0}
@@ -321,8 +326,8 @@
     assert isinstance(agent.verdict("last"), claim_verdicts.Granted)
 
 
-def test_a_large_answer_is_remembered_but_not_kept():
-    """A call whose answer is too large ran: the resend hears just that."""
+def test_large_answer_is_recorded_but_not_kept():
+    """A retry of a call with a large answer is told only that it ran."""
     agent = Agent("life-1", fake_objects.FakeObjects())
     agent.claim("r1", "k")
     agent.settle(0.0)
@@ -335,8 +340,8 @@
     assert _denied(agent, "r3") == kept
 
 
-def test_an_unreadable_object_is_not_guessed_at():
-    """Someone wrote something else there: refused, and not overwritten."""
+def test_invalid_object_refuses_claims():
+    """Claims are refused if the object is invalid; it is not overwritten."""
     store = fake_objects.FakeObjects()
     agent = Agent("life-1", store)
     path = claim_records.path_of("orders", claim_records.shard_of("acme", "k"))
@@ -349,7 +354,7 @@
 
 
 def test_entries_agree_on_the_owner():
-    """Two entries send one key to one agent, and few keys move on a leave."""
+    """Entries choose the same agent; only a leaving server's keys move."""
     servers = [
         declarations.BackendServer(name=f"s{n}", serves="orders", agent="")
         for n in range(4)
@@ -367,11 +372,12 @@
     assert claim_records.owner("other", 0, servers) is None
 
 
-class OneRun(stateful.RuleBasedStateMachine):
-    """Agents, a store and a service that counts, against every order.
+class AtMostOneRun(stateful.RuleBasedStateMachine):
+    """Random sequences of faults with two agents, a store and a service.
 
-    Lost answers, writes that land late, outages, kills, pauses and two
-    owners at once come in any order; the service's count is the judge.
+    Lost answers, late writes, outages, kills, pauses and concurrent owners
+    occur in any order. The runs that the service counts are compared with
+    the verdicts of the agents.
     """
 
     def __init__(self):
@@ -380,29 +386,29 @@
         self.now = 0.0
         self.lives = 0
         self.requests = 0
-        self.agents = [self.agent(), self.agent()]
+        self.agents = [self.new_agent(), self.new_agent()]
         self.late: list[stores.Write] = []
         self.runs: dict[str, list[bytes]] = {}
         self.started: set[str] = set()
         self.key_of: dict[str, str] = {}
-        self.seen: dict[str, claim_verdicts.Verdict] = {}
+        self.checked: dict[str, claim_verdicts.Verdict] = {}
         self.waiting: list[tuple[Agent, str]] = []
         self.running: list[tuple[Agent, str]] = []
 
-    def agent(self) -> Agent:
+    def new_agent(self) -> Agent:
         self.lives += 1
         return Agent(f"life-{self.lives}", self.store)
 
-    def look(self) -> None:
-        """Checks new verdicts against what the service saw."""
+    def check_verdicts(self) -> None:
+        """Checks new verdicts against the runs counted by the service."""
         for agent in self.agents:
             for request, (verdict, *more) in agent.verdicts.items():
                 assert not more, (verdict, more)
-                if request not in self.seen:
-                    self.seen[request] = verdict
-                    self.judge(agent, request, verdict)
+                if request not in self.checked:
+                    self.checked[request] = verdict
+                    self.check_verdict(agent, request, verdict)
 
-    def judge(self, agent: Agent, request: str, verdict) -> None:
+    def check_verdict(self, agent: Agent, request: str, verdict) -> None:
         runs = self.runs.get(self.key_of[request], [])
         match verdict:
             case claim_verdicts.Granted():
@@ -412,20 +418,22 @@
             case claim_verdicts.Denied(ran=results.Ran.RAN):
                 assert len(runs) == 1
 
-    @stateful.rule(who=WHO, key=strategies.sampled_from(["a", "a", "b"]))
+    @stateful.rule(
+        who=AGENT_INDEX, key=strategies.sampled_from(["a", "a", "b"])
+    )
     def claim(self, who, key):
         self.requests += 1
         request = f"r{self.requests}"
         self.key_of[request] = key
         self.agents[who].claim(request, key, self.now, seconds_left=10.0)
 
-    @stateful.rule(who=WHO)
+    @stateful.rule(who=AGENT_INDEX)
     def store_works(self, who):
         while self.agents[who].calls:
             self.agents[who].next_call(self.now)
 
     @stateful.rule(
-        who=WHO,
+        who=AGENT_INDEX,
         fate=strategies.sampled_from([DONE, DOWN, LOST, "late", "late"]),
         effect=strategies.booleans(),
     )
@@ -453,13 +461,15 @@
     def time_passes(self, seconds, awake):
         self.now += seconds
         for who in awake:
-            self.agents[who].take(self.agents[who].claims.tick(self.now))
+            self.agents[who].apply_outputs(
+                self.agents[who].claims.tick(self.now)
+            )
 
-    @stateful.rule(who=WHO)
+    @stateful.rule(who=AGENT_INDEX)
     def killed(self, who):
         dead = self.agents[who]
         self.late += [c for c in dead.calls if isinstance(c, stores.Write)]
-        self.agents[who] = self.agent()
+        self.agents[who] = self.new_agent()
         self.waiting = [each for each in self.waiting if each[0] is not dead]
         self.running = [each for each in self.running if each[0] is not dead]
 
@@ -468,7 +478,7 @@
     def starts(self, reached):
         agent, request = self.waiting.pop(0)
         if not reached:
-            agent.take(
+            agent.apply_outputs(
                 agent.claims.failed(request, results.Ran.NOT_RUN, self.now)
             )
             return
@@ -486,29 +496,29 @@
             body = f"answer to {request}".encode()
             agent.finish(request, self.now, body)
         else:
-            agent.take(
+            agent.apply_outputs(
                 agent.claims.failed(request, results.Ran.UNKNOWN, self.now)
             )
 
     @stateful.invariant()
     def at_most_one_run(self):
-        self.look()
+        self.check_verdicts()
         for runs in self.runs.values():
             assert len(runs) <= 1, runs
 
     @stateful.invariant()
     def not_run_is_true(self):
         for request in self.started:
-            verdict = self.seen[request]
+            verdict = self.checked[request]
             assert isinstance(verdict, claim_verdicts.Granted)
 
     def teardown(self):
         for agent in self.agents:
             self.now = agent.settle(self.now)
-        self.look()
+        self.check_verdicts()
         for agent in self.agents:
-            asked = [r for r in self.key_of if r in agent.verdicts]
-            assert all(len(agent.verdicts[r]) == 1 for r in asked)
+            answered_requests = [r for r in self.key_of if r in agent.verdicts]
+            assert all(len(agent.verdicts[r]) == 1 for r in answered_requests)
             for claim in _claims_of(agent):
                 assert claim.phase == claim_shards.Phase.RUNNING
 
@@ -518,11 +528,11 @@
     return [claim for shard in shards for claim in shard.unsettled.values()]
 
 
-OneRun.TestCase.settings = hypothesis.settings(
+AtMostOneRun.TestCase.settings = hypothesis.settings(
     max_examples=250,
     stateful_step_count=50,
     deadline=None,
     derandomize=True,
     suppress_health_check=list(hypothesis.HealthCheck),
 )
-TestOneRun = OneRun.TestCase
+TestAtMostOneRun = AtMostOneRun.TestCase
--- a/pimentoledge/tests/test_claims_path.py
+++ b/pimentoledge/tests/test_claims_path.py
@@ -1,6 +1,6 @@
-"""Calls that may not be repeated, through real entries and agents.
+"""Non-repeatable calls through real entries and agents under faults.
 
-The fake service's own count of runs is the judge.
+The runs counted by the fake service are compared with the replies.
 """
 
 import pytest
@@ -13,182 +13,182 @@
 from pimentoledge.tests import claims_path
 
 
-def lost_claim_answer(path):
-    """The store takes the claim and its answer is lost."""
-    path.post("e", "r1")
-    path.until(stores.Write)
-    path.objects.lose_answers = 1
+def lost_claim_answer(cluster):
+    """The store writes the claim and its answer is lost."""
+    cluster.post("e", "r1")
+    cluster.until(stores.Write)
+    cluster.objects.lose_answers = 1
 
 
-def lost_claim(path):
+def lost_claim(cluster):
     """The claim is lost on its way to the store."""
-    path.post("e", "r1")
-    path.until(stores.Write)
-    path.objects.lose_requests = 1
+    cluster.post("e", "r1")
+    cluster.until(stores.Write)
+    cluster.objects.lose_requests = 1
 
 
-def lost_outcome_answer(path):
-    """The store takes the outcome and its answer is lost."""
-    path.post("e", "r1")
-    path.until(messages.ServiceAnswer)
-    path.objects.lose_answers = 1
+def lost_outcome_answer(cluster):
+    """The store writes the outcome and its answer is lost."""
+    cluster.post("e", "r1")
+    cluster.until(messages.ServiceAnswer)
+    cluster.objects.lose_answers = 1
 
 
-def store_down_before(path):
-    """The store is down when the call comes, and comes back."""
-    path.objects.down = True
-    path.post("e", "r1")
-    path.settle(5.0)
-    path.objects.down = False
+def store_down_before(cluster):
+    """The store is down when the call arrives, and recovers."""
+    cluster.objects.down = True
+    cluster.post("e", "r1")
+    cluster.settle(5.0)
+    cluster.objects.down = False
 
 
-def store_down_during(path):
-    """The store goes down between the claim and its outcome."""
-    path.post("e", "r1")
-    path.until(actions.RunCall)
-    path.objects.down = True
-    path.settle(30.0)
-    path.objects.down = False
+def store_down_during(cluster):
+    """The store is down between the claim and its outcome."""
+    cluster.post("e", "r1")
+    cluster.until(actions.RunCall)
+    cluster.objects.down = True
+    cluster.settle(30.0)
+    cluster.objects.down = False
 
 
-def store_down_after(path):
-    """The store goes down behind the outcome, and stays down."""
-    path.post("e", "r1")
-    path.settle(5.0)
-    path.objects.down = True
+def store_down_after(cluster):
+    """The store goes down after the outcome and stays down."""
+    cluster.post("e", "r1")
+    cluster.settle(5.0)
+    cluster.objects.down = True
 
 
-def entry_killed_before_the_claim(path):
-    """The entry dies when the dispatch has left it."""
-    path.post("e", "r1")
-    path.until(messages.Dispatch)
-    path.kill("e")
+def entry_killed_before_the_claim(cluster):
+    """The entry dies after it sent the dispatch."""
+    cluster.post("e", "r1")
+    cluster.until(messages.Dispatch)
+    cluster.kill("e")
 
 
-def entry_killed_after_the_claim(path):
-    """The entry dies when its call is about to run."""
-    path.post("e", "r1")
-    path.until(actions.RunCall)
-    path.kill("e")
+def entry_killed_after_the_claim(cluster):
+    """The entry dies right before its call runs."""
+    cluster.post("e", "r1")
+    cluster.until(actions.RunCall)
+    cluster.kill("e")
 
 
-def agent_killed_before_the_claim_lands(path):
-    """The agent dies while its claim is on the way; the claim lands."""
-    path.post("e", "r1")
-    path.until(stores.Write)
-    path.kill(path.owner())
+def agent_killed_before_the_claim_lands(cluster):
+    """The agent dies while its claim is in flight; the write lands."""
+    cluster.post("e", "r1")
+    cluster.until(stores.Write)
+    cluster.kill(cluster.owner())
 
 
-def agent_killed_before_the_run(path):
-    """The agent dies with a durable claim and an unstarted call."""
-    path.post("e", "r1")
-    path.until(actions.RunCall)
-    path.kill(path.owner())
+def agent_killed_before_the_run(cluster):
+    """The agent dies when the claim is durable and the call not started."""
+    cluster.post("e", "r1")
+    cluster.until(actions.RunCall)
+    cluster.kill(cluster.owner())
 
 
-def agent_killed_after_the_run(path):
-    """The agent dies when the service has run the call."""
-    path.post("e", "r1")
-    path.until(claims_path.Event)
-    path.kill(path.owner())
+def agent_killed_after_the_run(cluster):
+    """The agent dies after the service ran the call."""
+    cluster.post("e", "r1")
+    cluster.until(claims_path.Event)
+    cluster.kill(cluster.owner())
 
 
-def both_killed(path):
+def both_killed(cluster):
     """Entry and agent die together while the call runs."""
-    path.post("e", "r1")
-    path.until(claims_path.Event)
-    path.kill("e")
-    path.kill(path.owner())
+    cluster.post("e", "r1")
+    cluster.until(claims_path.Event)
+    cluster.kill("e")
+    cluster.kill(cluster.owner())
 
 
-def killed_and_restarted_twice(path):
-    """The agent comes back with nothing in memory, and dies again."""
+def killed_and_restarted_twice(cluster):
+    """The agent restarts without its state, twice."""
     for number in (1, 2):
-        path.post("e", f"r{number}")
-        path.until(actions.RunCall if number == 1 else messages.Dispatch)
-        owner = path.owner()
-        path.kill(owner)
-        path.settle(1.0)
-        path.start_agent(owner)
-
-
-def holder_paused_past_its_deadline(path):
-    """The holder is paused with its claim in flight and wakes much later."""
-    path.post("e", "r1")
-    path.until(stores.Write)
-    path.step()
-    owner = path.owner()
-    path.paused.add(claims_path.address(owner))
-    path.settle(15.0)
-    path.post("f", "r2")
-    path.settle(15.0)
-    path.resume(owner)
-
-
-def holder_paused_before_it_calls(path):
-    """The holder is paused at the call itself; its server is taken out."""
-    path.post("e", "r1")
-    path.until(actions.RunCall)
-    owner = path.owner()
-    path.paused.add(claims_path.address(owner))
-    path.declare_server(owner, declarations.ServerState.LEAVING)
-    path.post("f", "r2")
-    path.settle(1.0)
-    path.resume(owner)
-
-
-def both_entries_at_once(path):
-    """Two entries get the same order at the same time."""
-    path.post("e", "r1")
-    path.post("f", "r2")
-
-
-def both_agents_at_once(path):
-    """Two entries think of different owners, and both agents claim."""
-    path.post("e", "r1")
-    first = path.owner()
-    path.declare_server(first, declarations.ServerState.LEAVING)
-    path.post("f", "r2")
-    path.declare_server(first)
-
-
-def service_refuses_the_connection(path):
-    """The service beside the owner is down for a moment."""
-    path.service.down = True
-    path.post("e", "r1")
-    path.until(claims_path.Event)
-    path.service.down = False
-
-
-def service_answer_lost(path):
-    """The service runs the call, and its answer never reaches the agent."""
-    path.service.lose_answers = 1
-    path.post("e", "r1")
-
-
-def an_hour_without_store_and_all_entries_restarted(path):
-    """The store goes down during the run; then all entries start anew.
-
-    The agent alone knows the answer for an hour. A resend gets it, another
-    order is refused as not run, and the outcome is durable in the end.
+        cluster.post("e", f"r{number}")
+        cluster.until(actions.RunCall if number == 1 else messages.Dispatch)
+        owner = cluster.owner()
+        cluster.kill(owner)
+        cluster.settle(1.0)
+        cluster.start_agent(owner)
+
+
+def holder_paused_past_its_deadline(cluster):
+    """The agent is paused with its claim in flight, past the deadline."""
+    cluster.post("e", "r1")
+    cluster.until(stores.Write)
+    cluster.step()
+    owner = cluster.owner()
+    cluster.paused.add(claims_path.address(owner))
+    cluster.settle(15.0)
+    cluster.post("f", "r2")
+    cluster.settle(15.0)
+    cluster.resume(owner)
+
+
+def holder_paused_before_it_calls(cluster):
+    """The agent is paused before the call; its server is set to leaving."""
+    cluster.post("e", "r1")
+    cluster.until(actions.RunCall)
+    owner = cluster.owner()
+    cluster.paused.add(claims_path.address(owner))
+    cluster.declare_server(owner, declarations.ServerState.LEAVING)
+    cluster.post("f", "r2")
+    cluster.settle(1.0)
+    cluster.resume(owner)
+
+
+def both_entries_at_once(cluster):
+    """Two entries receive the same call at the same time."""
+    cluster.post("e", "r1")
+    cluster.post("f", "r2")
+
+
+def both_agents_at_once(cluster):
+    """Two entries choose different owners, and both agents claim."""
+    cluster.post("e", "r1")
+    first = cluster.owner()
+    cluster.declare_server(first, declarations.ServerState.LEAVING)
+    cluster.post("f", "r2")
+    cluster.declare_server(first)
+
+
+def service_refuses_the_connection(cluster):
+    """The owner's service refuses connections for a moment."""
+    cluster.service.down = True
+    cluster.post("e", "r1")
+    cluster.until(claims_path.Event)
+    cluster.service.down = False
+
+
+def service_answer_lost(cluster):
+    """The service runs the call, and its answer to the agent is lost."""
+    cluster.service.lose_answers = 1
+    cluster.post("e", "r1")
+
+
+def an_hour_without_store_and_all_entries_restarted(cluster):
+    """The store goes down during the run, and all entries restart.
+
+    For an hour only the agent has the answer. A retry gets it, a call with
+    another key is refused as not run, and the outcome is durable in the end.
     """
-    path.post("e", "r1")
-    path.until(actions.RunCall)
-    path.objects.down = True
-    path.settle(1.0)
+    cluster.post("e", "r1")
+    cluster.until(actions.RunCall)
+    cluster.objects.down = True
+    cluster.settle(1.0)
     for name in ("e", "f"):
-        path.kill(name)
-        path.start_entry(name)
-    path.settle(3600.0)
-    path.post("f", "r2")
-    path.post("e", "new", key="new")
-    path.settle(5.0)
-    assert outcome(path, "r2") == b"run 1 of card"
-    assert outcome(path, "new") == results.Ran.NOT_RUN
-    assert path.service.runs_by_key["new"] == 0
-    path.objects.down = False
-    path.settle(5.0)
-    path.kill(path.owner())
+        cluster.kill(name)
+        cluster.start_entry(name)
+    cluster.settle(3600.0)
+    cluster.post("f", "r2")
+    cluster.post("e", "new", key="new")
+    cluster.settle(5.0)
+    assert outcome(cluster, "r2") == b"run 1 of card"
+    assert outcome(cluster, "new") == results.Ran.NOT_RUN
+    assert cluster.service.runs_by_key["new"] == 0
+    cluster.objects.down = False
+    cluster.settle(5.0)
+    cluster.kill(cluster.owner())
 
 
 FAULTS = [
@@ -213,8 +213,8 @@
     service_answer_lost,
     an_hour_without_store_and_all_entries_restarted,
 ]
-# What the caller is told at last where no run can be known to have ended.
-UNKNOWN = {
+# Faults after which a retry is answered "outcome unknown".
+OUTCOME_UNKNOWN = {
     agent_killed_before_the_claim_lands,
     agent_killed_before_the_run,
     agent_killed_after_the_run,
@@ -222,8 +222,8 @@
     killed_and_restarted_twice,
     service_answer_lost,
 }
-# Faults that the first caller doesn't notice.
-UNNOTICED = {
+# Faults after which the first request still gets its answer.
+FIRST_REQUEST_ANSWERED = {
     lost_claim_answer,
     lost_claim,
     lost_outcome_answer,
@@ -234,9 +234,9 @@
 }
 
 
-def outcome(path, request) -> results.Ran | bytes | None:
-    """Returns the answer's body, or what an error says; checks it."""
-    replies = path.replies.get(request, [])
+def outcome(cluster, request) -> results.Ran | bytes | None:
+    """Returns the body of the only reply, or the outcome in its error."""
+    replies = cluster.replies.get(request, [])
     if not replies:
         return None
     (reply,) = replies
@@ -246,86 +246,88 @@
 
 
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda each: each.__name__)
-def test_one_run_and_true_answers(fault):
-    """The caller sends its order again, through the other entry.
+def test_at_most_one_run_and_correct_answers(fault):
+    """A client retries its call through the other entry after a fault.
 
-    Whatever happened to the first try: the service runs it at most once,
-    who is told an answer gets that run's, and "not run" is true.
+    Whatever happened to the first attempt, the service runs the call at most
+    once, each answer is that of this run, and "not run" is correct.
     """
-    path = claims_path.Path()
-    fault(path)
-    path.settle(20.0)
-    told = [outcome(path, request) for request in ("r1", "r2")]
-    if results.Ran.NOT_RUN in told and path.runs():
-        # Only another request with the key can have run.
-        assert [each for each in told if isinstance(each, bytes)]
-    if fault in UNNOTICED:
-        assert told[0] == b"run 1 of card"
-    path.post("f", "last")
-    path.settle(20.0)
-    assert path.runs() <= 1
-    last = outcome(path, "last")
-    if fault in UNKNOWN:
+    cluster = claims_path.Cluster()
+    fault(cluster)
+    cluster.settle(20.0)
+    outcomes = [outcome(cluster, request) for request in ("r1", "r2")]
+    if results.Ran.NOT_RUN in outcomes and cluster.runs():
+        # Then another request with the same key ran.
+        assert [each for each in outcomes if isinstance(each, bytes)]
+    if fault in FIRST_REQUEST_ANSWERED:
+        assert outcomes[0] == b"run 1 of card"
+    cluster.post("f", "last")
+    cluster.settle(20.0)
+    assert cluster.runs() <= 1
+    last = outcome(cluster, "last")
+    if fault in OUTCOME_UNKNOWN:
         assert last == results.Ran.UNKNOWN
     else:
-        assert path.runs() == 1
+        assert cluster.runs() == 1
         assert last == b"run 1 of card"
-    bodies = {each for each in told if isinstance(each, bytes)}
+    bodies = {each for each in outcomes if isinstance(each, bytes)}
     assert bodies <= {b"run 1 of card"}
 
 
 def test_a_refused_key_is_final():
-    """A key comes again with another body: one clear error, no search.
+    """A reused key with another body gets an error without failover.
 
-    Asking the next agent can't change it, and the last one's "no server"
-    would hide the caller's mistake.
+    Another agent would refuse it too, and the final "no server" error would
+    hide the client's mistake.
     """
-    path = claims_path.Path()
-    path.post("e", "r1")
-    path.settle()
-    path.post("f", "r2", body=b"other")
-    path.settle()
-    (reply,) = path.replies["r2"]
+    cluster = claims_path.Cluster()
+    cluster.post("e", "r1")
+    cluster.settle()
+    cluster.post("f", "r2", body=b"other")
+    cluster.settle()
+    (reply,) = cluster.replies["r2"]
     assert reply.error.code == results.Code.KEY_REUSED
-    assert path.claimed == ["granted", "KEY_REUSED"]
+    assert cluster.claimed == ["granted", "KEY_REUSED"]
 
 
 def test_a_dead_owner_is_passed_over():
-    """An agent's VM is gone: its keys go to the next one at once."""
-    path = claims_path.Path()
-    owner = path.owner()
-    keys = [f"key-{n}" for n in range(20) if path.owner(f"key-{n}") == owner]
-    path.kill(owner)
-    path.post("e", keys[0], key=keys[0])
-    path.settle(1.0)
+    """After an agent's VM failed, its keys move to the next one at once."""
+    cluster = claims_path.Cluster()
+    owner = cluster.owner()
+    keys = [f"key-{n}" for n in range(20) if cluster.owner(f"key-{n}") == owner]
+    cluster.kill(owner)
+    cluster.post("e", keys[0], key=keys[0])
+    cluster.settle(1.0)
     for key in keys[1:]:
-        path.post("e", key, key=key)
-    sent = [each.receiver for each in path.line]
-    # One of them may try whether it is back.
+        cluster.post("e", key, key=key)
+    sent = [each.receiver for each in cluster.queue]
+    # One of them may probe whether the owner is back.
     assert sent.count(claims_path.address(owner)) <= 1 < len(keys) - 1
-    path.settle(1.0)
-    replies = [path.replies[key][0] for key in keys]
+    cluster.settle(1.0)
+    replies = [cluster.replies[key][0] for key in keys]
     assert all(isinstance(each, actions.ReplyAnswer) for each in replies)
 
 
 def test_a_completion_with_a_key_runs_once():
-    """A caller sends a completion with a key again: the same text comes.
+    """A retried completion with a key returns the first run's text.
 
-    The first run's agent must settle its claim, or it would say "in
-    progress" for ever and never end gracefully.
+    The agent of the first run must settle its claim. Otherwise it would
+    report "in progress" forever and never shut down gracefully.
     """
-    path = claims_path.Path(kind=declarations.ServerKind.RUNNER)
+    cluster = claims_path.Cluster(kind=declarations.ServerKind.RUNNER)
     for request in ("r1", "r2"):
-        asked = messages.Completion(model="cards", prompt="x", max_tokens=9)
-        path.ask("e", request, completion=asked)
-        path.settle()
+        completion = messages.Completion(
+            model="cards", prompt="x", max_tokens=9
+        )
+        cluster.send_request("e", request, completion=completion)
+        cluster.settle()
         text = [
             each.text
-            for each in path.replies[request]
+            for each in cluster.replies[request]
             if isinstance(each, actions.ReplyText)
         ]
         assert "".join(text) == "It fits."
-        assert isinstance(path.replies[request][-1], actions.ReplyEnd)
-    assert path.runs() == 1
-    agents = [path.nodes[claims_path.address(each)] for each in ("a", "b")]
+        assert isinstance(cluster.replies[request][-1], actions.ReplyEnd)
+    assert cluster.runs() == 1
+    agents = [cluster.nodes[claims_path.address(each)] for each in ("a", "b")]
     assert all(each.idle() for each in agents)
--- a/pimentoledge/tests/test_conditional.py
+++ b/pimentoledge/tests/test_conditional.py
@@ -1,4 +1,4 @@
-"""Conditional updates whose answers get lost."""
+"""Tests of conditional updates with lost requests and answers."""
 
 import collections
 import random
@@ -15,11 +15,11 @@
 _FAULTS = strategies.sampled_from(["answer", "request", "down", "none"])
 
 
-def _adding(name):
-    """Returns a change that adds a name to a list, unless it is there."""
+def _add_name(name):
+    """Returns a change that adds a name to a list unless it is present."""
 
-    def change(found):
-        names = msgspec.json.decode(found.value) if found else []
+    def change(stored):
+        names = msgspec.json.decode(stored.value) if stored else []
         if name in names:
             return conditional_updates.Change(write=False)
         value = msgspec.json.encode([*names, name])
@@ -35,11 +35,11 @@
     order=strategies.randoms(use_true_random=False),
 )
 def test_lost_answers_never_lead_to_a_second_effect(faults, order):
-    """Several writers add their names while answers and requests get lost.
+    """Several writers add their names while answers and requests are lost.
 
-    A writer that takes a lost answer for a failed write adds its name again
-    over somebody else's; one that takes it for a success may never have
-    written. Each name must be there once, exactly when its update says so.
+    A writer that treats a lost answer as a failed write would add its name
+    twice; one that treats it as a success may never have written. Each name
+    must be present exactly once when its update reports success.
     """
     store = fake_objects.FakeObjects()
     queue = collections.deque()
@@ -60,8 +60,8 @@
         queue.rotate(order.randrange(4))
         name, action = queue.popleft()
         answer = _call(store, action, faults.pop() if faults else "none")
-        found, end = writers[name].handle(answer, now)
-        queue.extend((name, each) for each in found)
+        next_actions, end = writers[name].handle(answer, now)
+        queue.extend((name, each) for each in next_actions)
         if end is conditional_updates.UpdateOutcome.DOWN:
             queue.extend((name, each) for each in _start(writers[name], name))
         elif end is not None:
@@ -72,7 +72,7 @@
 
 
 def _start(writer, name):
-    return writer.start(_adding(name), 0.0)
+    return writer.start(_add_name(name), 0.0)
 
 
 def _call(store, action: actions.CallStore, fault):
@@ -82,17 +82,17 @@
     return store.call(action.call)
 
 
-def test_a_write_in_doubt_is_read_back_however_long_it_takes():
-    """The answer to a write is lost and the store goes down at once.
+def test_uncertain_write_is_read_back_however_long_it_takes():
+    """The answer to a write is lost, and the store goes down at once.
 
-    Ended as "down", the write would count as not made, and its owner would
-    act on that though it was.
+    If the update ended as "down", the writer would act as if the write had
+    not taken effect, although it had.
     """
     store = fake_objects.FakeObjects()
     writer = conditional_updates.ConditionalUpdate(
         path="p", name="w", life="1", generator=random.Random(1)
     )
-    calls = writer.start(_adding("w"), 0.0)
+    calls = writer.start(_add_name("w"), 0.0)
     calls, _ = writer.handle(_call(store, calls[0], "none"), 0.0)
     calls, _ = writer.handle(_call(store, calls[0], "answer"), 0.0)
     now = 0.0
