--- a/pimentoledge/decisions/orders.py
+++ b/pimentoledge/decisions/orders.py
@@ -253,7 +253,7 @@
         self.pending = None
         self.not_before = now + self.timing.retry
         if done.answer.reason == FENCED:
-            self.tenure.fenced(done.answer.highest)
+            self.tenure.mark_fenced(done.answer.highest)
 
     def _step(self, now: float) -> list[actions.Action]:
         self._stepped_at = now
@@ -265,7 +265,7 @@
         self.permits.set_want(self._wanted_permit(target, now))
         todo = []
         if self._needs_number(target):
-            todo += self.tenure.take(now)
+            todo += self.tenure.acquire(now)
         self.permits.number = self.tenure.number
         todo += self.permits.wake(now)
         self.closing = self._must_close(target)
--- a/pimentoledge/decisions/updates.py
+++ b/pimentoledge/decisions/updates.py
@@ -377,7 +377,7 @@
                 return self._accept(update, former.version, now)
         # A deletion is not a former version, so the history does not show it.
         in_history = update.value is not None
-        if in_history and history.reaches(update.event.expected):
+        if in_history and history.is_complete_since(update.event.expected):
             return self._end(update, _conflict(update, update.current))
         return self._fail(update, results.Code.UNCONFIRMED)
 
