--- a/pimentoledge/decisions/documents.py
+++ b/pimentoledge/decisions/documents.py
@@ -54,7 +54,7 @@
             return result.Failure(faults)
     for field in fields:
         if field not in kind.__annotations__:
-            return _fault(field, "unknown field")
+            return _fault(field, "there is no such field")
     try:
         declaration = msgspec.convert(fields, kind)
     except msgspec.ValidationError as error:
