--- a/pimentoledge/tests/test_limits.py
+++ b/pimentoledge/tests/test_limits.py
@@ -394,3 +394,18 @@
     max_examples=150, stateful_step_count=40, derandomize=True, deadline=None
 )
 TestLossyEntries = LossyEntries.TestCase
+
+
+def test_an_owner_that_ticks_late_keeps_its_own_limit():
+    """An owner that ticks late admits one request more than the limit.
+
+    While its request waits, it marks itself silent and uses its own share.
+    """
+    entries = LossyEntries()
+    entries.take(0, 1)
+    entries.take(2, 1)
+    entries.take(0, 4)
+    entries.carry_all()
+    entries.take(1, 1)
+    entries.wait(0.3)
+    entries.concurrency_holds()
