--- a/pimentoledge/decisions/claim_shards.py
+++ b/pimentoledge/decisions/claim_shards.py
@@ -287,7 +287,7 @@
                 claim.give_up_at = now + self.limits.outage_wait
             case Phase.RUNNING:
                 # The record stays CLAIMED without an outcome: whether the
-                # call ran can no longer be stored out, so no agent may run
+                # call ran can no longer be found out, so no agent may run
                 # it again.
                 del self.unsettled[claim.key]
         return self.step(now)
--- a/pimentoledge/decisions/streams.py
+++ b/pimentoledge/decisions/streams.py
@@ -66,7 +66,7 @@
         open: whether the current attempt may still deliver frames.
         buffered: frames received after a gap, by sequence number.
         kept_text: delivered text; None once it is too long to be kept.
-        kept_characters: characters in `kept`.
+        kept_characters: characters in `kept_text`.
     """
 
     request: str
