--- a/benches/configuration.py
+++ b/benches/configuration.py
@@ -172,7 +172,8 @@
                 pipe.send(
                     {
                         "whole": [
-                            node.core.configuration.is_whole() for node in nodes
+                            node.core.configuration.is_complete()
+                            for node in nodes
                         ],
                         "entries": [
                             len(node.core.configuration.entries())
--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -358,7 +358,7 @@
             )
             view.configuration = self._configuration
             view.members = self.plan.routers
-            view.want(MODEL, 1, 0.0)
+            view.set_wanted_version(MODEL, 1, 0.0)
             for engine in self.engines:
                 view.servers.put(self._registration(engine, 1))
             self.routers.append(
@@ -526,7 +526,7 @@
             now=now,
         )
         chosen = isinstance(choice, placements.Choice)
-        if chosen and len(client.tried) < retry_rules.MOST_SENDS:
+        if chosen and len(client.tried) < retry_rules.MAX_SENDS:
             self._send(router, client, route, choice)
         elif now - since < exchanges.WAIT_SHARE * route.objective_seconds:
             self.agenda.after(
@@ -654,7 +654,7 @@
         self.version += 1
         now = self.agenda.now
         for router in self.routers:
-            router.view.want(MODEL, self.version, now)
+            router.view.set_wanted_version(MODEL, self.version, now)
         waves = list(self.engines.values())
         size = max(1, int(len(waves) * rollouts.CONCURRENT_LOAD_SHARE))
         load = self.plan.shape.load_seconds
--- a/benches/orders.py
+++ b/benches/orders.py
@@ -79,7 +79,7 @@
                 f" {middles[1]:4.0f} ({max(columns[1])})"
                 f" {middles[2]:5.0f} ({max(columns[2])})"
                 f" {max(columns[3]):3} {min(columns[4]):3}"
-                f" of >={size - permits.most_out(size)}"
+                f" of >={size - permits.max_out_of_service(size)}"
                 f" {middles[5]:6.0f} ({max(columns[5])})"
                 f" {max(columns[6]):3} {max(columns[7]):3}"
             )
--- a/benches/server_limits.py
+++ b/benches/server_limits.py
@@ -109,7 +109,7 @@
             case=case.faults,
             organisations=[
                 quotas.Organisation(
-                    name=f"{ledgers.SERVER_MARK}s{number}",
+                    name=f"{ledgers.SERVER_PREFIX}s{number}",
                     share=1.0,
                     per_second=case.per_second,
                     burst=0.0,
--- a/pimentoledge/decisions/acceptance.py
+++ b/pimentoledge/decisions/acceptance.py
@@ -35,7 +35,7 @@
     Also checks that the model, adapter or service exists.
     """
     contract = view.contract_by_key(event.key_digest)
-    if contract is None and not view.is_whole():
+    if contract is None and not view.is_complete():
         # The contract may not have been received yet: an entry that has just
         # started must not reject a valid key as unknown.
         return _fail(results.Code.CONFIGURATION_INCOMPLETE)
--- a/pimentoledge/decisions/agent_subscriptions.py
+++ b/pimentoledge/decisions/agent_subscriptions.py
@@ -170,7 +170,10 @@
         answers. If all entries were replaced at other addresses, it would
         poll the old ones for ever.
         """
-        if now < self._next_introduction or not self.configuration.is_whole():
+        if (
+            now < self._next_introduction
+            or not self.configuration.is_complete()
+        ):
             return []
         self._next_introduction = now + INTRODUCE_SECONDS
         polled = {
--- a/pimentoledge/decisions/bucket_repairs.py
+++ b/pimentoledge/decisions/bucket_repairs.py
@@ -128,14 +128,14 @@
         summary = messages.Summary(**about_me)
         if digest.root != view.root or digest.known == configuration.UNKNOWN:
             summary.buckets = list(view.buckets)
-        if not view.is_whole():
+        if not view.is_complete():
             summary.whole = list(self.whole.items())
         return summary
 
     def compare(self, digest: messages.Digest | messages.Summary) -> None:
         """Adopts `known` and the floor of a node with the same objects."""
         view = self.configuration
-        if view.is_whole() and view.root == digest.root:
+        if view.is_complete() and view.root == digest.root:
             view.known = max(view.known, digest.known)
             # An object that neither node has was deleted, up to the other
             # node's floor.
@@ -155,7 +155,7 @@
             for number, digest in enumerate(summary.buckets)
             if digest != view.buckets[number]
         ]
-        full = summary.known >= 0 and not view.is_whole()
+        full = summary.known >= 0 and not view.is_complete()
         if full and self.snapshots(now) >= MAX_SNAPSHOTS:
             return []
         if full:
@@ -166,7 +166,7 @@
                 for number in range(configuration.BUCKETS)
                 if number not in self.whole and number not in numbers
             ]
-        elif not view.is_whole():
+        elif not view.is_complete():
             self.mark_complete(_complete_buckets(summary))
         if not numbers:
             return []
@@ -218,7 +218,7 @@
     ) -> Actions:
         """Fetches an agent's buckets while this entry is not complete."""
         view = self.configuration
-        if view.is_whole():
+        if view.is_complete():
             return []
         self.mark_complete(held)
         differ = [
@@ -233,7 +233,7 @@
     def mark_complete(self, held: list[messages.Held]) -> None:
         """Records buckets that equal a complete copy at another node."""
         view = self.configuration
-        if view.is_whole():
+        if view.is_complete():
             return
         # The digest is compared because a message with part of the bucket
         # may have been lost.
--- a/pimentoledge/decisions/conditional_updates.py
+++ b/pimentoledge/decisions/conditional_updates.py
@@ -56,14 +56,15 @@
         conflict: maximum backoff after the first conflict; it doubles with
             each further one, at most six times.
         first_retry: first backoff before a lost write is read back again.
-        last_retry: maximum backoff before a lost write is read back again.
+        max_retry_seconds: maximum backoff before a lost write is read
+            back again.
         answer: time after which a call counts as lost. The store client's
             own timeout is much shorter.
     """
 
     conflict: float = 0.02
     first_retry: float = 0.1
-    last_retry: float = 5.0
+    max_retry_seconds: float = 5.0
     answer: float = 30.0
 
 
@@ -246,7 +247,7 @@
     def _backoff(self) -> float:
         backoff = self.timing.first_retry * 2 ** min(self._attempts, 16)
         self._attempts += 1
-        wait = min(backoff, self.timing.last_retry)
+        wait = min(backoff, self.timing.max_retry_seconds)
         return wait * self._random.uniform(0.75, 1.25)
 
     def _pause(self, wait: float, now: float) -> None:
--- a/pimentoledge/decisions/configuration.py
+++ b/pimentoledge/decisions/configuration.py
@@ -216,7 +216,7 @@
         # deleted either.
         self._unproven_floor = 0
 
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Returns whether this node is complete up to some revision."""
         return self.known != UNKNOWN
 
--- a/pimentoledge/decisions/distribution.py
+++ b/pimentoledge/decisions/distribution.py
@@ -175,7 +175,7 @@
         )
         todo += self.registration.write_if_due(self.address, now)
         todo += self.agents.introduce(now)
-        if self.configuration.is_whole():
+        if self.configuration.is_complete():
             batch = self.joining.next_batch(now)
             todo += [self._send_digest(mailbox, now) for mailbox in batch]
         if now >= self._next_digest:
@@ -190,7 +190,7 @@
             watcher=self._is_watcher, sweeper=self._sweeper
         )
         times = [self._next_digest, follow]
-        if self.configuration.is_whole():
+        if self.configuration.is_complete():
             times.append(self.joining.next_batch_time())
         return min(each for each in times if each is not None)
 
@@ -260,7 +260,7 @@
     ) -> Actions:
         view = self.configuration
         complete = digest.known >= 0
-        if complete and not view.is_whole():
+        if complete and not view.is_complete():
             # The digest requests a summary, which starts a snapshot. A summary
             # sent to the complete entry would make it fetch from this one.
             if self.repairs.snapshots(now):
@@ -268,7 +268,7 @@
             return [self._send_digest(sender, now)]
         self.repairs.compare(digest)
         summary = self.repairs.summary(digest, self._own_state(now))
-        if not (complete or view.is_whole()):
+        if not (complete or view.is_complete()):
             self.joining.add_waiting(sender)
             if self.address in self.peers.first_seeds(now):
                 summary.scan = self.joining.grant(
@@ -279,7 +279,7 @@
     def _on_incomplete_summary(
         self, summary: messages.Summary, now: float
     ) -> None:
-        if summary.known >= 0 or self.configuration.is_whole():
+        if summary.known >= 0 or self.configuration.is_complete():
             return
         self.joining.on_summary(summary.scan)
         self._is_watcher = self._should_watch(now)
@@ -304,7 +304,7 @@
         the newest version that any other entry has announced, but only for a
         limited time, since that entry may be gone.
         """
-        if self.configuration.is_whole() or not self.repairs.all_complete():
+        if self.configuration.is_complete() or not self.repairs.all_complete():
             return
         if self._complete_since is None:
             self._complete_since = now
@@ -316,7 +316,7 @@
         self, answer: stores.StoreAnswer, now: float
     ) -> Actions:
         large = len(answer.objects) >= LARGE_ANSWER
-        starting = not self.configuration.is_whole()
+        starting = not self.configuration.is_complete()
         fresh = self.watching.handle(answer, now)
         if fresh is not None:
             todo = self._announce(fresh, now)
@@ -331,10 +331,10 @@
         view = self.configuration
         # An agent's copy may be stale. It serves an incomplete entry; at a
         # complete one it could only restore deleted objects.
-        if view.is_whole() and self.agents.is_agent(sender):
+        if view.is_complete() and self.agents.is_agent(sender):
             return []
         deletions = (
-            view.known_deletions(changes.objects) if view.is_whole() else []
+            view.known_deletions(changes.objects) if view.is_complete() else []
         )
         todo = self._apply(changes.objects, now, sender=sender)
         if deletions:
@@ -371,7 +371,7 @@
         # The objects that a starting entry reads are not new; sending them
         # to all agents would be thousands of messages at once. Between
         # entries, digests repair so many changes better.
-        if many or not self.configuration.is_whole():
+        if many or not self.configuration.is_complete():
             return []
         todo = [
             self._log_rejection(each)
@@ -422,7 +422,7 @@
         self.agents.declare(
             [each.mailbox for each in self.peers.usable(now) if each.declared]
         )
-        starting = not self.configuration.is_whole()
+        starting = not self.configuration.is_complete()
         pause = joining.RETRY_SECONDS if starting else DIGEST_SECONDS
         self._next_digest = now + pause * self._random.uniform(0.8, 1.2)
         near = self._random.randrange(2)
@@ -480,7 +480,7 @@
     def _should_watch(self, now: float) -> bool:
         """Returns whether this entry has to call the store for changes."""
         rank = self.peers.rank(now)
-        if not self.configuration.is_whole():
+        if not self.configuration.is_complete():
             return self._should_scan(rank, now)
         if rank < WATCHERS:
             return True
--- a/pimentoledge/decisions/fencing.py
+++ b/pimentoledge/decisions/fencing.py
@@ -43,13 +43,13 @@
             declaration takes to reach this process, so a process whose
             address is no longer declared has seen that by then, and acquires
             no number.
-        longest_retake: maximum of that backoff.
+        max_retake_seconds: maximum of that backoff.
     """
 
     confirm: float = 1.0
     retry: float = 1.0
     retake: float = 10.0
-    longest_retake: float = 600.0
+    max_retake_seconds: float = 600.0
 
 
 class Tenure:
@@ -157,7 +157,7 @@
         self.number = 0
         backoff = self.timing.retake * 2 ** min(self.superseded, 16)
         self.superseded += 1
-        self.retry_at = now + min(backoff, self.timing.longest_retake)
+        self.retry_at = now + min(backoff, self.timing.max_retake_seconds)
 
     def _acquire_change(
         self, stored: stores.Object | None
--- a/pimentoledge/decisions/loads.py
+++ b/pimentoledge/decisions/loads.py
@@ -18,7 +18,7 @@
 # lost, or its agent has restarted.
 UNCOVERED_SECONDS = 5.0
 _FIRST_BACKOFF = 0.5
-_LONGEST_BACKOFF = 8.0
+_MAX_BACKOFF = 8.0
 
 
 @attrs.define(kw_only=True)
@@ -115,7 +115,7 @@
 
     def failed(self, now: float):
         """Records a failure of the server or its agent; starts a backoff."""
-        seconds = min(_LONGEST_BACKOFF, _FIRST_BACKOFF * 2**self.failures)
+        seconds = min(_MAX_BACKOFF, _FIRST_BACKOFF * 2**self.failures)
         self.failures += 1
         self.retry_at = now + seconds
         self.uncovered.clear()
--- a/pimentoledge/decisions/permits.py
+++ b/pimentoledge/decisions/permits.py
@@ -106,7 +106,7 @@
     retry: float = 1.0
 
 
-def most_out(runners: int) -> int:
+def max_out_of_service(runners: int) -> int:
     """Returns how many runners of a model may be out at one time.
 
     At least half of them, rounded up, go on serving. A model's only runner
@@ -467,7 +467,7 @@
 
 def _may_leave_service(runners: int, out: list[PermitEntry]) -> bool:
     """Returns whether one more runner of a model may go out of service."""
-    if len(out) < most_out(runners):
+    if len(out) < max_out_of_service(runners):
         return True
     # Runners that stay out of service would block an upgrade, which may be
     # what repairs them. So beyond the limit the others go one at a time, as
--- a/pimentoledge/decisions/registration.py
+++ b/pimentoledge/decisions/registration.py
@@ -53,7 +53,7 @@
             now: the time.
         """
         waiting = self._write is not None or now < self._retry
-        if self.retired or waiting or not self.configuration.is_whole():
+        if self.retired or waiting or not self.configuration.is_complete():
             return []
         wanted = declarations.EntryNode(
             name=self.name, mailbox=address, data_centre=self.data_centre
--- a/pimentoledge/decisions/watching.py
+++ b/pimentoledge/decisions/watching.py
@@ -11,12 +11,12 @@
 # Pause between two watches, so that one answer carries changes that follow
 # each other closely.
 PAUSE_SECONDS = 0.1
-SHORTEST_RETRY_SECONDS = 0.25
+MIN_RETRY_SECONDS = 0.25
 # Bounds the delay of a change after the store was down.
-LONGEST_RETRY_SECONDS = 2.0
+MAX_RETRY_SECONDS = 2.0
 # A sweep scans all objects again. Its interval grows with their number, which
 # bounds the bytes read per second.
-SHORTEST_SWEEP_SECONDS = 10.0
+MIN_SWEEP_SECONDS = 10.0
 SWEEP_OBJECTS_PER_SECOND = 20.0
 # At most this many new objects of one answer are returned; the others are
 # applied only.
@@ -112,7 +112,7 @@
         return min(times, default=None)
 
     def _next_call(self) -> stores.Call:
-        if not self.configuration.is_whole():
+        if not self.configuration.is_complete():
             self._call = self._new_id("scan")
             return stores.Scan(call=self._call, prefix=declarations.ROOT)
         self._call = self._new_id("watch")
@@ -162,8 +162,8 @@
 
     def _back_off(self, now: float) -> None:
         self.failures += 1
-        pause = SHORTEST_RETRY_SECONDS * 2 ** min(self.failures - 1, 4)
-        pause = min(pause, LONGEST_RETRY_SECONDS)
+        pause = MIN_RETRY_SECONDS * 2 ** min(self.failures - 1, 4)
+        pause = min(pause, MAX_RETRY_SECONDS)
         self._retry = now + pause * self._random.uniform(0.5, 1.0)
 
     def _sweep_due(self, now: float) -> bool:
@@ -175,7 +175,7 @@
 
     def _schedule_sweep(self, now: float) -> None:
         size = len(self.configuration.paths) / SWEEP_OBJECTS_PER_SECOND
-        self._next_sweep = now + max(SHORTEST_SWEEP_SECONDS, size)
+        self._next_sweep = now + max(MIN_SWEEP_SECONDS, size)
 
     def _new_id(self, kind: str) -> str:
         return f"{kind}.{self._random.getrandbits(64):016x}"
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -170,7 +170,7 @@
 
     def ready(self) -> bool:
         """Returns whether the balancer should send callers here."""
-        return not self.leaving and self.core.configuration.is_whole()
+        return not self.leaving and self.core.configuration.is_complete()
 
     def alive(self) -> bool:
         """Returns whether the state machine's thread answers."""
--- a/pimentoledge/routing/attempts.py
+++ b/pimentoledge/routing/attempts.py
@@ -40,7 +40,7 @@
         dispatch: the data sent along with the client's request.
         pool: the pool that the connection returns to.
         connection: the connection, used by this attempt alone.
-        most_idle: maximum number of idle connections to the server, or None.
+        max_idle: maximum number of idle connections to the server, or None.
         speeds: prefill speeds estimated from earlier first events.
         account: adds the attempt to the server's estimated load.
         begun: whether the response head has arrived.
@@ -56,7 +56,7 @@
         dispatch: request_types.Dispatch,
         pool: server_connections.ConnectionPool,
         connection: server_connections.ServerConnection,
-        most_idle: int | None,
+        max_idle: int | None,
         speeds: wait_estimates.Speeds,
     ):
         self.client_request = client_request
@@ -64,7 +64,7 @@
         self.dispatch = dispatch
         self.pool = pool
         self.connection = connection
-        self.most_idle = most_idle
+        self.max_idle = max_idle
         self.speeds = speeds
         self.account = attempt_loads.AttemptLoad(
             client_request=client_request, backend=backend, dispatch=dispatch
@@ -165,5 +165,5 @@
         self.pool.release(
             self.connection,
             idle_seconds=max(0.0, idle - IDLE_MARGIN_SECONDS),
-            most_idle=self.most_idle,
+            max_idle=self.max_idle,
         )
--- a/pimentoledge/routing/cluster_views.py
+++ b/pimentoledge/routing/cluster_views.py
@@ -82,7 +82,7 @@
         prompts_sent: prompt reports not yet sent to the other routers.
         reaches_all: whether all routers send this one their load reports; if
             not, only those of its data centre do.
-        elsewhere: mean load of runners in other data centres.
+        remote_means: mean load of runners in other data centres.
         suspects: request content that was on servers when they crashed.
     """
 
@@ -114,7 +114,7 @@
     unshared: dict[str, memory_estimates.MeanTokens] = attrs.field(factory=dict)
     prompts_sent: list[peer_messages.PromptReport] = attrs.field(factory=list)
     reaches_all: bool = True
-    elsewhere: dict[str, wait_estimates.MeanLoad] = attrs.field(factory=dict)
+    remote_means: dict[str, wait_estimates.MeanLoad] = attrs.field(factory=dict)
     saved: saved_parts.SavedParts = attrs.field(factory=saved_parts.SavedParts)
     links: cache_sources.Links = attrs.field(factory=cache_sources.Links)
 
@@ -153,7 +153,7 @@
             budget.slack = self.bounds.budget_slack
             budget.window_seconds = self.bounds.budget_seconds
 
-    def want(
+    def set_wanted_version(
         self,
         model: str,
         version: int,
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -101,7 +101,7 @@
             view=self.view,
             lines=self.lines,
             on_change=self._send_heartbeat,
-            on_death=self._died,
+            on_death=self._on_death,
             lapse_ends=self._lapse_ends,
             on_restart=self._restarted,
         )
@@ -127,7 +127,7 @@
         answers = hedged_calls.AnswerSignal()
         self.kinds = {
             name: watchers.Watcher(
-                mirror=each,
+                cache=each,
                 store=self.store,
                 lines=self.lines,
                 bound_seconds=bounds[name],
@@ -226,7 +226,7 @@
         self.pool.forget(address)
         self.caller.pool.forget(address)
 
-    def _died(self, incarnation: str) -> None:
+    def _on_death(self, incarnation: str) -> None:
         self.peers.server_died(incarnation)
 
     def _page(self) -> bytes:
@@ -303,7 +303,7 @@
             pool=self.pool,
             lines=self.lines,
             active_exchanges=self.exchanges,
-            died=self._died,
+            died=self._on_death,
             recheck=self.rechecks.recheck,
             prompt_changed=self.peers.load_reports.prompt_changed,
             limiter=self.peers.limiter,
--- a/pimentoledge/routing/exchanges.py
+++ b/pimentoledge/routing/exchanges.py
@@ -476,7 +476,7 @@
             dispatch=self._dispatch(backend),
             pool=self.pool,
             connection=connection,
-            most_idle=selections.max_idle_connections(
+            max_idle=selections.max_idle_connections(
                 self.view, backend.registration.service
             ),
             speeds=selections.speeds_of(
--- a/pimentoledge/routing/load_reports.py
+++ b/pimentoledge/routing/load_reports.py
@@ -111,8 +111,8 @@
     ) -> None:
         """Sends a report to routers nearby if it is due or urgent."""
         before, when = self.last_report
-        has = self._has()
-        said = self._said(when, now)
+        has = self._own_loads()
+        said = self._reported_loads(when, now)
         forwarded, self.to_forward = self.to_forward[-MAX_PROMPTS:], []
         urgent = _differ(before, has) or any(map(_is_long, prompts + forwarded))
         if not urgent and now - when < REPEAT_SECONDS:
@@ -174,10 +174,10 @@
                 each.unread,
                 int((now - each.since) * 1000),
             )
-            for data_centre, each in self.view.elsewhere.items()
+            for data_centre, each in self.view.remote_means.items()
         }
 
-    def _has(self) -> OwnLoad:
+    def _own_loads(self) -> OwnLoad:
         servers = self.view.servers.by_incarnation
         return {
             name: (each.open, each.unbegun, each.unread_tokens)
@@ -185,7 +185,7 @@
             if each.open
         }
 
-    def _said(
+    def _reported_loads(
         self, since: float, now: float
     ) -> dict[str, tuple[int, int, int, int]]:
         """Returns load that servers reported to this router since a time."""
@@ -256,10 +256,10 @@
         if not near:
             self.to_forward += report.prompts
             return
-        self._merge_has(sender, report, now)
-        self._merge_said(report, now)
+        self._merge_own_loads(sender, report, now)
+        self._merge_reported_loads(report, now)
 
-    def _merge_has(
+    def _merge_own_loads(
         self, sender: str, report: peer_messages.LoadReport, now: float
     ) -> None:
         servers = self.view.servers.by_incarnation
@@ -292,7 +292,9 @@
         if not before or backend.outstanding() < before:
             backend.read_since = now
 
-    def _merge_said(self, report: peer_messages.LoadReport, now: float) -> None:
+    def _merge_reported_loads(
+        self, report: peer_messages.LoadReport, now: float
+    ) -> None:
         servers = self.view.servers.by_incarnation
         for name, (running, waiting, slots, age) in report.said.items():
             backend = servers.get(name)
@@ -306,7 +308,7 @@
     def _merge_means(
         self, report: peer_messages.LoadReport, now: float
     ) -> None:
-        known = self.view.elsewhere
+        known = self.view.remote_means
         for data_centre, (busy, queued, unread, age) in report.means.items():
             since = now - age / 1000
             if data_centre == self.view.data_centre:
@@ -317,7 +319,7 @@
                 )
 
     def _expire_means(self, now: float) -> None:
-        known = self.view.elsewhere
+        known = self.view.remote_means
         for data_centre in list(known):
             if now - known[data_centre].since > MEAN_EXPIRY_SECONDS:
                 del known[data_centre]
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -385,7 +385,7 @@
         for model, newest in beat.wanted.items():
             named = beat.named.get(model) or [(*newest, 0)]
             for version, age, source in reversed(named):
-                self.updater.want(
+                self.updater.set_wanted_version(
                     model,
                     version,
                     sent - age / 1000,
--- a/pimentoledge/routing/quotas/ledgers.py
+++ b/pimentoledge/routing/quotas/ledgers.py
@@ -17,7 +17,7 @@
 # more routers than this.
 SLOTS = 8
 # Longest Retry-After sent to a refused client.
-LONGEST_WAIT_SECONDS = 5.0
+MAX_WAIT_SECONDS = 5.0
 # A full pool that is unused for this long is dropped.
 IDLE_SECONDS = 30.0
 # Part of the tolerance that rights add as an allowance when they arrive at a
@@ -53,8 +53,8 @@
     window_seconds: float = 8.0
     over: float = 0.0
     slack: float = 0.0
-    longest_wait_seconds: float = LONGEST_WAIT_SECONDS
-    rights_wait_seconds: float = LONGEST_WAIT_SECONDS
+    longest_wait_seconds: float = MAX_WAIT_SECONDS
+    rights_wait_seconds: float = MAX_WAIT_SECONDS
 
     def top(self, limit: "Limit") -> float:
         """Returns the capacity of a pool that has all rights."""
@@ -78,7 +78,7 @@
 )
 # Prefix of the names of servers' limits. No organisation's name contains a line
 # break, because it is sent in a header.
-SERVER_MARK = "\n"
+SERVER_PREFIX = "\n"
 
 
 @attrs.frozen(kw_only=True)
--- a/pimentoledge/routing/quotas/rights.py
+++ b/pimentoledge/routing/quotas/rights.py
@@ -240,9 +240,9 @@
                 and self.share
                 and self._answered_recently(wanted, now)
             ):
-                self._lend(slot, wanted, now)
+                self._lease_to(slot, wanted, now)
             else:
-                self._keep(slot, now)
+                self._update_own_lease(slot, now)
             return
         state = self.owner_state(location.owner)
         if wanted != location.owner:
@@ -260,7 +260,7 @@
         if released or now >= location.until:
             self.take_back(slot, now)
 
-    def _keep(self, slot: int, now: float) -> None:
+    def _update_own_lease(self, slot: int, now: float) -> None:
         """Puts the rights into this router's ledger, or updates them there."""
         lease = self.ledger.slots[slot].leases.get(self.own)
         if self.share and (lease is None or lease.share != self.share):
@@ -286,7 +286,7 @@
         window = ledgers.longest_window(self.ledger.bounds)
         return now - location.brought_at >= window + ledgers.ALLOWANCE_SECONDS
 
-    def _lend(self, slot: int, owner: str, now: float) -> None:
+    def _lease_to(self, slot: int, owner: str, now: float) -> None:
         location = self.locations[slot]
         own_slot = self.ledger.slots[slot]
         unused = location.brought_to == self.own and not own_slot.pools
--- a/pimentoledge/routing/replicators.py
+++ b/pimentoledge/routing/replicators.py
@@ -82,11 +82,11 @@
         """
         return {
             name: (
-                each.mirror.changed_at,
-                int((now - each.mirror.known_at) * 1000),
+                each.cache.changed_at,
+                int((now - each.cache.known_at) * 1000),
             )
             for name, each in self.watching.items()
-            if each.mirror.revision is not None and each.mirror.known_at
+            if each.cache.revision is not None and each.cache.known_at
         }
 
     def merge_known(self, beat: peer_messages.Heartbeat, now: float) -> None:
@@ -97,11 +97,11 @@
         all of their versions.
         """
         for name, (changed_at, age) in beat.known.items():
-            mirror = self._mirror(name)
-            if mirror is None or mirror.revision is None:
+            cache = self._cache(name)
+            if cache is None or cache.revision is None:
                 continue
-            if name == "weights" or changed_at <= mirror.revision:
-                mirror.advance_known_at(now - age / 1000)
+            if name == "weights" or changed_at <= cache.revision:
+                cache.advance_known_at(now - age / 1000)
 
     def poll_rank(self) -> int:
         """Returns when this router polls the store, as an index of POLL_SHARES.
@@ -119,9 +119,9 @@
         )
         return 0 if first else 2
 
-    def _mirror(self, kind: str) -> object_caches.ObjectCache | None:
+    def _cache(self, kind: str) -> object_caches.ObjectCache | None:
         watcher = self.watching.get(kind)
-        return None if watcher is None else watcher.mirror
+        return None if watcher is None else watcher.cache
 
     def follows(self) -> bool:
         """Returns whether this router relies on the watches of others."""
@@ -190,7 +190,7 @@
     ) -> None:
         """Requests new changes from the first peer that offers them."""
         now = clocks.now()
-        servers = self._mirror("servers")
+        servers = self._cache("servers")
         if servers.revision is None or offer.changed_at <= servers.revision:
             return
         requested, when = self._last_request
@@ -216,7 +216,7 @@
         self, sender: str, watched: peer_messages.WatchedChanges
     ) -> None:
         """Applies and forwards changes that a peer's watch returned."""
-        servers = self._mirror("servers")
+        servers = self._cache("servers")
         if servers.revision is None:
             return
         if watched.after > servers.revision:
@@ -238,7 +238,7 @@
 
     def _lacks_servers(self, peer: rosters.Peer) -> bool:
         changed_at, _ = peer.beat.known.get("servers", (-1, 0))
-        revision = self._mirror("servers").revision
+        revision = self._cache("servers").revision
         return revision is None or changed_at > revision
 
     def catch_up(self, address: str) -> None:
@@ -256,7 +256,7 @@
             self._request_listing(address, "configuration")
         if not self._lacks_servers(peer):
             return
-        listed = self._mirror("servers").revision is not None
+        listed = self._cache("servers").revision is not None
         large_fleet = not self.roster.reaches_all()
         if large_fleet and listed and self.store_reached():
             # In a large fleet the list of all servers is too long to send.
@@ -276,11 +276,11 @@
 
     def send_listing(self, address: str, kind: str) -> None:
         """Sends all objects of a kind to a peer."""
-        mirror = self._mirror(kind)
-        if mirror is None or mirror.revision is None:
+        cache = self._cache(kind)
+        if cache is None or cache.revision is None:
             return
         full = peer_messages.FullListing(
-            kind=kind, listing=mirror.listing(), lapse_ms=self._lapse_ms()
+            kind=kind, listing=cache.listing(), lapse_ms=self._lapse_ms()
         )
         self.send(address, full)
 
@@ -288,18 +288,18 @@
         self, sender: str, full: peer_messages.FullListing
     ) -> None:
         """Applies all objects of a kind that a peer has sent."""
-        mirror = self._mirror(full.kind)
-        if mirror is None:
+        cache = self._cache(full.kind)
+        if cache is None:
             return
         self.lines.write(
             "told_by_router",
             router=sender,
             kind=full.kind,
             revision=full.listing.revision,
-            held=mirror.revision,
+            held=cache.revision,
         )
         # A server whose entry expired may still be alive. If it were dropped
         # because a peer's listing lacks it, it would be missing here until it
         # registers again.
         self._merge_lapse(full.lapse_ms)
-        mirror.apply(full.listing)
+        cache.apply(full.listing)
--- a/pimentoledge/routing/request_types.py
+++ b/pimentoledge/routing/request_types.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-MOST_URGENT = 0
+HIGHEST_URGENCY = 0
 
 
 @attrs.frozen(kw_only=True)
--- a/pimentoledge/routing/retry_rules.py
+++ b/pimentoledge/routing/retry_rules.py
@@ -77,10 +77,10 @@
 
 
 # Failed connections cause no load on servers, but cost time.
-MOST_UNSENT = 4
+MAX_UNSENT = 4
 # Limits retries after refusals, which count against the retry budget that all
 # routers share.
-MOST_SENDS = 4
+MAX_SENDS = 4
 
 
 def may_retry(history: AttemptHistory, route: configurations.Route) -> bool:
@@ -89,7 +89,7 @@
     A request that is not repeatable must not be sent again once a server may
     have run it: a duplicated order, for example, bills a customer twice.
     """
-    if history.unsent >= MOST_UNSENT or history.sends >= MOST_SENDS:
+    if history.unsent >= MAX_UNSENT or history.sends >= MAX_SENDS:
         return False
     if not history.ran_on:
         return True
--- a/pimentoledge/routing/rollouts.py
+++ b/pimentoledge/routing/rollouts.py
@@ -140,7 +140,7 @@
         for model, wanted in self.view.wanted.items():
             behind = self.behind(model)
             loading = [each for each in behind if self._is_loading(each, now)]
-            room = self._free_loads(model, loading, now)
+            free_loads = self._free_loads(model, loading, now)
             waiting = [
                 each
                 for each in behind
@@ -150,7 +150,7 @@
             rest = [each for each in waiting if each not in chosen]
             for group in self._by_age(model, rest):
                 taken = loading + chosen
-                chosen += _spread(group, taken, room - len(chosen), now)
+                chosen += _spread(group, taken, free_loads - len(chosen), now)
             orders += [
                 DueLoad(backend=each, model=model, version=wanted.version)
                 for each in chosen
@@ -210,10 +210,10 @@
             for each in runners
             if each not in loading and each.is_unreachable(now)
         ]
-        room = (
+        free_loads = (
             int(len(runners) * CONCURRENT_LOAD_SHARE) - len(loading) - len(down)
         )
-        return room if loading else max(1, room)
+        return free_loads if loading else max(1, free_loads)
 
     def progress_of(self, backend: backends.Backend) -> Progress:
         """Returns the progress of a runner."""
@@ -260,10 +260,10 @@
 def _spread(
     waiting: list[backends.Backend],
     loading: list[backends.Backend],
-    room: int,
+    free_loads: int,
     now: float,
 ) -> list[backends.Backend]:
-    """Returns up to `room` runners, from as many data centres as possible.
+    """Returns up to `free_loads` runners, spread over the data centres.
 
     So each data centre keeps runners that serve it. The least busy runners are
     first, so that weights change during as few requests as possible.
@@ -274,7 +274,7 @@
         taken[place] = taken.get(place, 0) + 1
     chosen: list[backends.Backend] = []
     rest = sorted(waiting, key=lambda each: each.estimated_requests(now))
-    while rest and len(chosen) < room:
+    while rest and len(chosen) < free_loads:
         best = min(
             rest, key=lambda each: taken.get(each.registration.data_centre, 0)
         )
--- a/pimentoledge/routing/router_responses.py
+++ b/pimentoledge/routing/router_responses.py
@@ -70,7 +70,7 @@
     """
     if wait_seconds is None:
         return None
-    if wait_seconds < ledgers.LONGEST_WAIT_SECONDS:
+    if wait_seconds < ledgers.MAX_WAIT_SECONDS:
         return wait_seconds
     return _spread(wait_seconds, LIMIT_RETRY_SPREAD)
 
--- a/pimentoledge/routing/selections.py
+++ b/pimentoledge/routing/selections.py
@@ -140,7 +140,7 @@
             remote=False,
         ),
         mean_unread=view.mean_unshared(model).mean(),
-        elsewhere=view.elsewhere,
+        remote_means=view.remote_means,
     )
 
 
@@ -153,7 +153,7 @@
     if not client_request.model:
         return None
     return capacity_checks.Demand(
-        urgent=route.urgency == request_types.MOST_URGENT,
+        urgent=route.urgency == request_types.HIGHEST_URGENCY,
         mean_tokens=view.mean_unshared(client_request.model).mean(),
         memory=None if service is None else service.cache_tokens,
         objective_seconds=route.objective_seconds,
--- a/pimentoledge/routing/server_connections.py
+++ b/pimentoledge/routing/server_connections.py
@@ -258,20 +258,20 @@
         connection: ServerConnection,
         *,
         idle_seconds: float,
-        most_idle: int | None = None,
+        max_idle: int | None = None,
     ) -> None:
         """Returns a connection to the pool after a complete response.
 
         Args:
             connection: the connection.
             idle_seconds: for how long it may be reused.
-            most_idle: maximum number of idle connections to its server, this
+            max_idle: maximum number of idle connections to its server, this
                 one included. A server resets the connections of all routers
                 that exceed its own limit.
         """
         connection.finish(idle_seconds=idle_seconds)
         waiting = self.idle.setdefault(connection.address, [])
-        full = most_idle is not None and len(waiting) >= most_idle
+        full = max_idle is not None and len(waiting) >= max_idle
         if full or not connection.reusable:
             connection.abort()
             return
--- a/pimentoledge/routing/server_permits.py
+++ b/pimentoledge/routing/server_permits.py
@@ -15,7 +15,7 @@
 from pimentoledge.routing.quotas import limiters
 
 # Shortest time after a refusal until the next permit is requested.
-SHORTEST_WAIT_SECONDS = 0.1
+MIN_WAIT_SECONDS = 0.1
 # That time if the owner does not have the rights of most routers yet.
 UNKNOWN_WAIT_SECONDS = 0.4
 
@@ -69,7 +69,7 @@
             return Permit(granted=False)
         charge = charges.Charge(
             limiter=self.limiter,
-            organisation=ledgers.SERVER_MARK + server,
+            organisation=ledgers.SERVER_PREFIX + server,
             limit=ledgers.server_limit(
                 per_second, self.limits.advertised[server].received_at
             ),
@@ -116,4 +116,4 @@
     wait = answer.decision.wait_seconds
     if wait is None:
         wait = ledgers.SERVER_BOUNDS.longest_wait_seconds
-    return max(SHORTEST_WAIT_SECONDS, wait)
+    return max(MIN_WAIT_SECONDS, wait)
--- a/pimentoledge/routing/view_updaters.py
+++ b/pimentoledge/routing/view_updaters.py
@@ -101,7 +101,9 @@
             named = self._decode(objects.named_weights, each)
             if named is None:
                 continue
-            self.want(named.model, named.version, since, "store", source=source)
+            self.set_wanted_version(
+                named.model, named.version, since, "store", source=source
+            )
 
     def _named_at(self) -> tuple[float, wanted_weights.Source]:
         """Returns when weights read now were named, and the source of the time.
@@ -135,7 +137,7 @@
         cache = self.view.caches_by_kind.get("weights")
         return cache.change_age_seconds if cache is not None else 0.0
 
-    def want(
+    def set_wanted_version(
         self,
         model: str,
         version: int,
@@ -145,7 +147,7 @@
         source: wanted_weights.Source,
     ) -> None:
         """Records a wanted version from the store, a router or a runner."""
-        if self.view.want(model, version, since, source=source):
+        if self.view.set_wanted_version(model, version, since, source=source):
             self.lines.write(
                 "weights_named",
                 model=model,
@@ -204,7 +206,9 @@
                 if not since:
                     since = self._assumed_named_at()
                     source = wanted_weights.Source.GUESSED
-                self.want(model, version, since, "runner", source=source)
+                self.set_wanted_version(
+                    model, version, since, "runner", source=source
+                )
 
     def _handle_restart(self, former: backends.Backend) -> None:
         """Handles the restart of a server under the same id.
--- a/pimentoledge/routing/wait_estimates.py
+++ b/pimentoledge/routing/wait_estimates.py
@@ -57,16 +57,16 @@
         token_seconds: additional time for each token to prefill.
         fetch_seconds: time to fetch a token within a data centre.
         mean_unread: mean number of prompt tokens of a request to prefill.
-        elsewhere: reported mean load of runners by other data centre. The load
-            of single runners there is not reported to this router, and without
-            the mean they would appear idle.
+        remote_means: reported mean load of runners by other data centre. The
+            load of single runners there is not reported to this router, and
+            without the mean they would appear idle.
     """
 
     base_seconds: float = 0.0
     token_seconds: float = 0.0
     fetch_seconds: float = 0.0
     mean_unread: float = 0.0
-    elsewhere: dict[str, MeanLoad] = attrs.field(factory=dict)
+    remote_means: dict[str, MeanLoad] = attrs.field(factory=dict)
 
 
 def prompt_work(
@@ -152,7 +152,7 @@
     backend: backends.Backend, speeds: Speeds, now: float
 ) -> float:
     """Returns the estimated number of requests at a server."""
-    mean = speeds.elsewhere.get(backend.registration.data_centre)
+    mean = speeds.remote_means.get(backend.registration.data_centre)
     return max(backend.estimated_requests(now), mean.busy if mean else 0)
 
 
@@ -167,7 +167,7 @@
     """
     queued = backend.queued(now)
     known = backend.unread(speeds.mean_unread, now, speeds.token_seconds)
-    mean = speeds.elsewhere.get(backend.registration.data_centre)
+    mean = speeds.remote_means.get(backend.registration.data_centre)
     if mean is not None and mean.unread > known:
         known, queued = mean.unread, max(queued, mean.queued)
     if not queued:
--- a/pimentoledge/routing/wanted_weights.py
+++ b/pimentoledge/routing/wanted_weights.py
@@ -85,7 +85,7 @@
 
     def add(self, named: NamedVersion) -> bool:
         """Adds a version; returns whether it is newer than all others."""
-        is_news = named.version > self.version
+        is_new = named.version > self.version
         by_version = {each.version: each for each in self.named}
         known = by_version.get(named.version)
         better = named if known is None else known.merge(named)
@@ -93,7 +93,7 @@
         self.named = _without_redundant(
             [by_version[version] for version in sorted(by_version)]
         )
-        return is_news
+        return is_new
 
 
 def _without_redundant(named: list[NamedVersion]) -> list[NamedVersion]:
--- a/pimentoledge/routing/watchers.py
+++ b/pimentoledge/routing/watchers.py
@@ -66,7 +66,7 @@
     """Keeps the copy of one kind of objects up to date, in one task.
 
     Attributes:
-        mirror: the copy that it maintains.
+        cache: the copy that it maintains.
         store: the store's client.
         lines: log of changes of the view.
         bound_seconds: returns the allowed age of the copy.
@@ -90,7 +90,7 @@
     def __init__(
         self,
         *,
-        mirror: object_caches.ObjectCache,
+        cache: object_caches.ObjectCache,
         store: stores.Store,
         lines: log_lines.Lines,
         bound_seconds: Callable[[], float],
@@ -103,7 +103,7 @@
         polls_in_outage: bool,
         arrived: Callable[[float], float] = lambda now: now,
     ):
-        self.mirror = mirror
+        self.cache = cache
         self.store = store
         self.lines = lines
         self.bound_seconds = bound_seconds
@@ -167,8 +167,8 @@
         self._poll_requested.set()
 
     async def _step(self) -> None:
-        since = self.mirror.revision
-        after = self.mirror.changed_at
+        since = self.cache.revision
+        after = self.cache.changed_at
         if self._relist or since is None:
             found = await self._list()
         elif not self.reached:
@@ -189,12 +189,12 @@
         self.watching = True
         self.lines.write(
             "store_watched",
-            kind=self.mirror.kind,
+            kind=self.cache.kind,
             since=since,
             wait_s=WATCH_SECONDS,
             known_age=self._known_age(),
         )
-        kind = self.mirror.kind
+        kind = self.cache.kind
         self._watch_sent_at = clocks.now()
         watch = self.store.watch(kind, since, WATCH_SECONDS)
         waiting = asyncio.ensure_future(watch)
@@ -232,10 +232,10 @@
     def _poll_due_at(self) -> float:
         """Returns when this router polls next, by the age of its copy."""
         share = POLL_SHARES[self.poll_rank()]
-        return self.mirror.known_at + share * self.bound_seconds()
+        return self.cache.known_at + share * self.bound_seconds()
 
     def _known_age(self) -> float:
-        return round(clocks.now() - self.mirror.known_at, 2)
+        return round(clocks.now() - self.cache.known_at, 2)
 
     async def _poll(
         self,
@@ -246,7 +246,7 @@
         sent = clocks.now()
         found = await hedged_calls.first_answer(
             call=lambda: self.store.watch(
-                self.mirror.kind, self.mirror.revision, 0.0
+                self.cache.kind, self.cache.revision, 0.0
             ),
             overdue=self._poll_overdue,
             failed=self._unanswered,
@@ -254,7 +254,7 @@
         if not _is_unchanged(found):
             self.lines.write(
                 "store_looked",
-                kind=self.mirror.kind,
+                kind=self.cache.kind,
                 found=type(found).__name__,
                 known_age=self._known_age(),
             )
@@ -286,7 +286,7 @@
     ) -> registrations.Listing | registrations.Unavailable:
         sent = clocks.now()
         found = await hedged_calls.first_answer(
-            call=lambda: self.store.list(self.mirror.kind),
+            call=lambda: self.store.list(self.cache.kind),
             overdue=self._list_overdue,
             failed=self._unanswered,
         )
@@ -309,7 +309,7 @@
         """
         now = clocks.now()
         if unavailable.overdue and self.arrived(now) == now:
-            self.mirror.silent_at = now
+            self.cache.silent_at = now
         self._record_failure(unavailable)
 
     async def _pause(self) -> None:
@@ -335,7 +335,7 @@
         """Records that a call failed."""
         if self.reached:
             self.lines.write(
-                "store_lost", kind=self.mirror.kind, why=unavailable.reason
+                "store_lost", kind=self.cache.kind, why=unavailable.reason
             )
         self._record_missing_answer()
         self.reached = False
@@ -344,13 +344,13 @@
     def _record_missing_answer(self) -> None:
         """Records when the store's responses began to be missing."""
         if self._missing_since is None:
-            self._missing_since = self.mirror.known_at
+            self._missing_since = self.cache.known_at
 
     def _record_answer(self) -> None:
         """Records that the store answered."""
         now = clocks.now()
         if not self.reached:
-            self.lines.write("store_back", kind=self.mirror.kind)
+            self.lines.write("store_back", kind=self.cache.kind)
             self.reached = True
         if self._missing_since is not None:
             if now - self._missing_since >= MIN_LAPSE_OUTAGE_SECONDS:
@@ -367,18 +367,18 @@
         count, since the bounds on the age of copies don't apply to it.
         """
         now = clocks.now()
-        if not self.mirror.known_at:
+        if not self.cache.known_at:
             return 0.0
         arrived = self.arrived(now)
         if found is self._watch_result and (
             arrived - self._watch_sent_at >= LIVE_WATCH_SECONDS
         ):
             return now - arrived
-        return now - max(self.mirror.known_at, self.mirror.silent_at)
+        return now - max(self.cache.known_at, self.cache.silent_at)
 
     def _log_unreadable(self, reasons: tuple[str, ...]) -> None:
         for why in reasons:
-            self.lines.write("unreadable", object=self.mirror.kind, why=why)
+            self.lines.write("unreadable", object=self.cache.kind, why=why)
 
     async def _follow(
         self,
@@ -394,7 +394,7 @@
         return await self._poll()
 
     async def _apply(self, found: object) -> None:
-        kind = self.mirror.kind
+        kind = self.cache.kind
         match found:
             case registrations.Unavailable():
                 self._record_failure(found)
@@ -405,8 +405,8 @@
             case registrations.Listing() | registrations.Changes():
                 self._record_answer()
                 self._log_unreadable(found.unreadable)
-                self.mirror.apply(found, self._change_age_seconds(found))
-                self.mirror.advance_known_at(self._complete_at)
+                self.cache.apply(found, self._change_age_seconds(found))
+                self.cache.advance_known_at(self._complete_at)
                 self._relist = False
 
 
--- a/pimentoledge/tests/test_distribution.py
+++ b/pimentoledge/tests/test_distribution.py
@@ -112,7 +112,7 @@
     net.store.down = True
     net.store.calls.clear()
     late = net.entry(2)
-    assert net.run(2, until=late.configuration.is_whole)
+    assert net.run(2, until=late.configuration.is_complete)
     assert len(late.configuration.contracts) == 20
     assert net.store.calls == [] or not any(
         isinstance(call, stores.Scan) for call in net.store.calls
@@ -138,9 +138,9 @@
     net.run(0.005)
     apart.append({late.address, fresh})
     net.run(1)
-    assert not late.configuration.is_whole()
+    assert not late.configuration.is_complete()
     apart.pop()
-    assert net.run(5, until=late.configuration.is_whole)
+    assert net.run(5, until=late.configuration.is_complete)
     assert late.configuration.newest(stored.path).version == stored.version
 
 
@@ -181,7 +181,8 @@
     for number in range(1, 5):
         net.entry(number)
     assert net.run(
-        10, until=lambda: all(e.configuration.is_whole() for e in net.entries())
+        10,
+        until=lambda: all(e.configuration.is_complete() for e in net.entries()),
     )
     for entry in net.entries():
         assert len(entry.configuration.contracts) == 20
@@ -203,7 +204,7 @@
         net.entry(number, ["north", "east", "south"][number % 3])
     joined = net.run(
         0.3,
-        until=lambda: all(e.configuration.is_whole() for e in net.entries()),
+        until=lambda: all(e.configuration.is_complete() for e in net.entries()),
     )
     scans = [c for c in net.store.calls if isinstance(c, stores.Scan)]
     assert joined
@@ -282,7 +283,7 @@
     net.cut = lambda sender, receiver: first.address in (sender, receiver)
     number = int(first.name.removeprefix("entry-"))
     again = net.entry(number, first.data_centre)
-    assert net.run(9, until=again.configuration.is_whole)
+    assert net.run(9, until=again.configuration.is_complete)
     assert "org-3" not in again.configuration.contracts
     net.cut = lambda sender, receiver: False
     views = [entry.configuration for entry in net.entries()]
--- a/pimentoledge/tests/test_orders.py
+++ b/pimentoledge/tests/test_orders.py
@@ -53,7 +53,7 @@
     _run_until_settled(fleet)
     assert sorted(_loads(fleet, "w2")) == sorted(fleet.nodes)
     assert 0 < fleet.most_loading <= limit
-    assert fleet.fewest >= size - permits.most_out(size)
+    assert fleet.fewest >= size - permits.max_out_of_service(size)
     assert fleet.broken == fleet.unplaced == 0
 
 
--- a/pimentoledge/tests/test_rollouts.py
+++ b/pimentoledge/tests/test_rollouts.py
@@ -24,7 +24,7 @@
     view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
     for number in range(count):
         view.servers.put(registration(number, place="abc"[number % 3]))
-    view.want(MODEL, version, 0.0)
+    view.set_wanted_version(MODEL, version, 0.0)
     return view, rollouts.Rollout(view=view)
 
 
@@ -65,7 +65,7 @@
 
 def test_weights_that_were_superseded_are_not_loaded():
     view, rollout = world(2)
-    view.want(MODEL, 5, 0.5)
+    view.set_wanted_version(MODEL, 5, 0.5)
     assert {each.version for each in rollout.due(1.0)} == {5}
 
 
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -197,7 +197,7 @@
 
 def test_no_runner_gets_a_load_order_before_its_retry_after():
     view = cluster_views.ClusterView(name="b", data_centre="a", born=0.0)
-    view.want(MODEL, 2, 0.0)
+    view.set_wanted_version(MODEL, 2, 0.0)
     backend = view.servers.put(REGISTRATION)
     taker(view.servers).apply(backend, busy(60.0))
     rollout = rollouts.Rollout(view=view)
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -231,16 +231,16 @@
     def test_the_earlier_of_two_times_of_an_announcement_is_kept(self):
         """Guards against a restarted router that uses old weights too long."""
         view = self.view()
-        view.want("m", 2, 50.0)
-        assert not view.want("m", 2, 42.0)
+        view.set_wanted_version("m", 2, 50.0)
+        assert not view.set_wanted_version("m", 2, 42.0)
         assert view.wanted["m"].since == 42.0
-        assert not view.want("m", 1, 10.0)
+        assert not view.set_wanted_version("m", 1, 10.0)
         assert view.wanted["m"].version == 2
 
     def test_requests_do_not_start_on_weights_that_are_too_old(self):
         view = self.view()
         old = view.servers.put(registration("i", weights={"m": 1}))
-        view.want("m", 2, 100.0)
+        view.set_wanted_version("m", 2, 100.0)
         most = view.bounds.weights_seconds
         margin = cluster_views.WEIGHTS_MARGIN_SECONDS
         allow = selections.weights_allow
@@ -696,7 +696,7 @@
             services=[],
             limits=configurations.ClientLimits(),
         )
-        view.want("m", 1, 0.0)
+        view.set_wanted_version("m", 1, 0.0)
         for number in range(6):
             view.servers.put(registration(str(number), weights={"m": 1}))
         holder = view.servers.by_server["4"]
@@ -810,7 +810,7 @@
         )
         if saved is not None:
             found.saved.note_saved("10.0.0.1:80", "1", self.PARTS, saved)
-        found.want("m", 2, 10.0)
+        found.set_wanted_version("m", 2, 10.0)
         return found
 
     def test_parts_saved_well_before_newer_weights_are_fetched(self):
--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -86,7 +86,7 @@
 async def test_a_delayed_heartbeat_does_not_refresh_listings(world):
     """Guards against stale listings that count as recent after a partition."""
     first, second = await meet(world)
-    mirror = second.kinds["servers"].mirror
+    mirror = second.kinds["servers"].cache
     beat = first.peers._own_heartbeat(clocks.now())
     mirror.known_at = before = clocks.now() - 4.0
     deliver(second, first, attrs.evolve(beat, known=_known(beat)))
@@ -102,7 +102,7 @@
 async def test_delayed_weights_count_from_before_the_partition(world):
     """Guards against using older weights for too long after a partition."""
     first, second = await meet(world)
-    first.view.want(MODEL, 2, clocks.now())
+    first.view.set_wanted_version(MODEL, 2, clocks.now())
     now = clocks.now()
     deliver(second, first, first.peers._own_heartbeat(now))
     [*_, newest] = second.view.wanted[MODEL].named
--- a/pimentoledge/tests/test_router_first_events.py
+++ b/pimentoledge/tests/test_router_first_events.py
@@ -199,7 +199,7 @@
     )
     mean = wait_estimates.MeanLoad(busy=5, queued=3, unread=9000, since=1.0)
     told = wait_estimates.Speeds(
-        base_seconds=0.09, token_seconds=3e-5, elsewhere={"b": mean}
+        base_seconds=0.09, token_seconds=3e-5, remote_means={"b": mean}
     )
     known = wait_estimates.expected_wait(
         there, wait_estimates.PromptWork(to_read=3000), told, 1.0
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -239,7 +239,7 @@
     entry that is missing after it belongs to a server that left.
     """
     servers = watchers.Watcher(
-        mirror=object_caches.ObjectCache(
+        cache=object_caches.ObjectCache(
             kind="servers", on_change=lambda changed, gone: None
         ),
         store=None,
@@ -248,14 +248,14 @@
         answers=hedged_calls.AnswerSignal(),
         polls_in_outage=False,
     )
-    servers.mirror.advance_known_at(clocks.now() - away)
+    servers.cache.advance_known_at(clocks.now() - away)
     servers._record_failure(
         registrations.Unavailable(reason="cut", maybe_done=False)
     )
     servers._record_answer()
     assert (servers.lapse_ends() > clocks.now()) is lapsed
     # Another lost call soon after doesn't change that.
-    servers.mirror.advance_known_at(clocks.now())
+    servers.cache.advance_known_at(clocks.now())
     servers._record_failure(
         registrations.Unavailable(reason="cut", maybe_done=False)
     )
@@ -284,7 +284,7 @@
     while clocks.now() < began + 4.0:
         await asyncio.sleep(0.05)
         ages = [
-            clocks.now() - each.kinds["servers"].mirror.known_at
+            clocks.now() - each.kinds["servers"].cache.known_at
             for each in world.routers
         ]
         oldest = max(oldest, *ages)
@@ -304,7 +304,7 @@
     await world.until(lambda: second.peers.roster.present(clocks.now()))
     await _all_wait(world)
     copies = second.peers.replicator
-    mirror = copies.watching["servers"].mirror
+    mirror = copies.watching["servers"].cache
     beat = first.peers._own_heartbeat(clocks.now())
     for ahead, age in ((1, -60_000), (0, -120_000)):
         # Negative ages, which no other source produces.
@@ -330,7 +330,7 @@
         each.reached = False
     first.kinds["servers"].recovered_at = clocks.now()
     world.store.remove("servers", "p0")
-    mirror = second.kinds["servers"].mirror
+    mirror = second.kinds["servers"].cache
     await world.until(lambda: "p0" in first.updater.lapsed)
     await world.until(lambda: "p0" not in mirror.objects)
     assert "p0" in second.view.servers.by_incarnation
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -99,7 +99,7 @@
 def test_a_restarted_runner_is_ordered_by_its_own_count_of_orders():
     """Guards against a refused order with a count from before a restart."""
     router = RouterState()
-    router.view.want("m", 2, 0.0)
+    router.view.set_wanted_version("m", 2, 0.0)
     rollout = rollouts.Rollout(view=router.view)
     rollout.progress_of(router.put()).orders_taken = 5
     after = router.put(born=2000)
--- a/pimentoledge/tests/test_router_logs.py
+++ b/pimentoledge/tests/test_router_logs.py
@@ -119,7 +119,7 @@
         await asyncio.sleep(watchers.BATCH_SECONDS + 0.05)
     calls = [e for e in lines["store_watched"] if e["kind"] == "servers"]
     call = calls[-1]
-    assert call["since"] == router.kinds["servers"].mirror.revision
+    assert call["since"] == router.kinds["servers"].cache.revision
     assert 0 <= call["known_age"] < 5
     page = router._page().decode()
     for kind in ("servers", "weights", "configuration"):
--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -204,7 +204,7 @@
 
 def test_no_order_goes_to_a_runner_that_said_it_leaves():
     view = cluster_views.ClusterView(name="b", data_centre="a", born=0.0)
-    view.want(MODEL, 2, 0.0)
+    view.set_wanted_version(MODEL, 2, 0.0)
     leaves = view.servers.put(REGISTRATION)
     stays = view.servers.put(attrs.evolve(REGISTRATION, server="s1"))
     new_notices(view.servers).apply(leaves, answer(leaving=True))
--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -595,7 +595,7 @@
 
 def test_the_longest_wait_is_spread():
     """Guards against clients that return together after the longest wait."""
-    longest = ledgers.LONGEST_WAIT_SECONDS
+    longest = ledgers.MAX_WAIT_SECONDS
     waits = {router_responses.limit_retry_seconds(longest) for _ in range(20)}
     assert len(waits) > 10
     assert router_responses.limit_retry_seconds(0.7) == 0.7
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -123,7 +123,7 @@
     ("share", "wait", "expected"),
     [
         (1.0, 8.0, 8.0),
-        (1.0, 0.0, server_permits.SHORTEST_WAIT_SECONDS),
+        (1.0, 0.0, server_permits.MIN_WAIT_SECONDS),
         (1.0, None, 10.0),
         (0.7, 8.0, 8.0),
         (0.2, 8.0, server_permits.UNKNOWN_WAIT_SECONDS),
--- a/pimentoledge/tests/test_router_store.py
+++ b/pimentoledge/tests/test_router_store.py
@@ -46,7 +46,7 @@
     lines = log_lines.Lines(counters=counters.Counters())
     found = {
         kind: watchers.Watcher(
-            mirror=object_caches.ObjectCache(
+            cache=object_caches.ObjectCache(
                 kind=kind, on_change=lambda new, gone: None
             ),
             store=store,
@@ -70,7 +70,7 @@
     """Returns how long it took until every kind was known."""
     began = clocks.now()
     async with asyncio.timeout(seconds):
-        while any(each.mirror.revision is None for each in found.values()):
+        while any(each.cache.revision is None for each in found.values()):
             await asyncio.sleep(0.01)
     return clocks.now() - began
 
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -68,8 +68,8 @@
     def test_a_further_version_does_not_prolong_the_use_of_the_first(self):
         view = view_of(1, 2)
         most = view.bounds.weights_seconds
-        view.want(MODEL, 2, 100.0)
-        view.want(MODEL, 3, 105.0)
+        view.set_wanted_version(MODEL, 2, 100.0)
+        view.set_wanted_version(MODEL, 3, 105.0)
         assert not self.allowed(view, "r0", 100.0 + most)
         assert self.allowed(view, "r1", 100.0 + most)
         assert not self.allowed(view, "r1", 105.0 + most)
@@ -77,8 +77,8 @@
     def test_a_version_received_after_a_newer_one_counts_too(self):
         view = view_of(1, 2)
         most = view.bounds.weights_seconds
-        view.want(MODEL, 3, 105.0)
-        view.want(MODEL, 2, 100.0)
+        view.set_wanted_version(MODEL, 3, 105.0)
+        view.set_wanted_version(MODEL, 2, 100.0)
         assert not self.allowed(view, "r0", 100.0 + most)
         assert self.allowed(view, "r1", 100.0 + most)
 
@@ -86,7 +86,7 @@
         view = view_of(1)
         most = view.bounds.weights_seconds
         for version in range(2, 40):
-            view.want(MODEL, version, 100.0 + 0.1 * version)
+            view.set_wanted_version(MODEL, version, 100.0 + 0.1 * version)
         for version in range(1, 39):
             view.servers.put(registration(0, version))
             late = 100.0 + 0.1 * (version + 1) + most
@@ -95,13 +95,13 @@
     def test_parts_of_the_first_are_not_fetched_once_runs_may_have_mixed(self):
         older = test_router_decisions.TestOlderWeights()
         view = older.view(saved=None)
-        view.want("m", 3, 14.0)
+        view.set_wanted_version("m", 3, 14.0)
         assert older.fetched(view, 14.1) is None
 
     def test_parts_saved_between_two_versions_are_not_fetched(self):
         older = test_router_decisions.TestOlderWeights()
         view = older.view(saved=12.0)
-        view.want("m", 3, 14.0)
+        view.set_wanted_version("m", 3, 14.0)
         assert older.fetched(view, 15.0) is None
 
 
@@ -173,7 +173,7 @@
         """Guards against excluding runners whose weights are still allowed."""
         view = self.started()
         self.list_second(view)
-        view.want(MODEL, 2, view.born - 1.0)
+        view.set_wanted_version(MODEL, 2, view.born - 1.0)
         assert view.begins_until(MODEL, 1) == view.born + 11.0
 
     def test_the_guess_of_a_start_does_not_replace_another_router_s_time(
@@ -181,8 +181,8 @@
     ):
         """Guards against a starting router excluding runners at others."""
         view = self.started()
-        view.want(MODEL, 2, view.born - 1.0)
-        view.want(
+        view.set_wanted_version(MODEL, 2, view.born - 1.0)
+        view.set_wanted_version(
             MODEL,
             2,
             view.born - 9.0,
@@ -198,14 +198,14 @@
             (-1.0, wanted_weights.Source.NOT_BEFORE),
             (-9.0, wanted_weights.Source.GUESSED),
         ):
-            view.want(MODEL, 2, view.born + since, source=source)
+            view.set_wanted_version(MODEL, 2, view.born + since, source=source)
         assert view.begins_until(MODEL, 1) == view.born + 11.0
 
     def test_of_two_lower_bounds_the_later_counts(self):
         """Guards against excluding runners by the oldest of several reads."""
         view = self.started()
         for since in (-8.0, -1.0, -5.0):
-            view.want(
+            view.set_wanted_version(
                 MODEL,
                 2,
                 view.born + since,
@@ -246,8 +246,8 @@
     """
     first, second = world.routers
     now = clocks.now()
-    first.view.want(MODEL, 2, now - 5.0)
-    first.view.want(MODEL, 3, now - 1.0)
+    first.view.set_wanted_version(MODEL, 2, now - 5.0)
+    first.view.set_wanted_version(MODEL, 3, now - 1.0)
     second.view.servers.put(attrs.evolve(registration(0, 1), server="other"))
     backend = second.view.servers.by_server["other"]
     late = now - 5.0 + second.view.bounds.weights_seconds
@@ -398,7 +398,7 @@
         """Guards against runners that serve no requests but wait to load."""
         view = view_of(*[1] * 9)
         rollout = rollouts.Rollout(view=view)
-        view.want(MODEL, 2, 0.0)
+        view.set_wanted_version(MODEL, 2, 0.0)
         assert len(self.ordered(rollout, 1.0)) == 3
         late = view.bounds.weights_seconds
         assert len(self.ordered(rollout, late)) == 9
@@ -411,8 +411,8 @@
         view = view_of(2, 2, 2, 2, 2, 2, 1, 1, 1)
         for each in view.servers.by_incarnation.values():
             each.open = 3 if each.registration.weights[MODEL] == 1 else 0
-        view.want(MODEL, 2, 0.0)
-        view.want(MODEL, 3, 2.0)
+        view.set_wanted_version(MODEL, 2, 0.0)
+        view.set_wanted_version(MODEL, 3, 2.0)
         rollout = rollouts.Rollout(view=view)
         assert sorted(self.ordered(rollout, 2.5)) == ["r6", "r7", "r8"]
 
@@ -429,7 +429,7 @@
             view.servers.by_server[f"r{number}"].note_connection_failure(
                 late - 0.1
             )
-        view.want(MODEL, 2, 0.0)
+        view.set_wanted_version(MODEL, 2, 0.0)
         rollout = rollouts.Rollout(view=view)
         assert len(self.ordered(rollout, late)) == 6
         assert (
@@ -459,7 +459,7 @@
         ),
         pool=server_connections.ConnectionPool(),
         connection=connection,
-        most_idle=None,
+        max_idle=None,
         speeds=wait_estimates.Speeds(),
     )
     assert attempt.has_begun()
@@ -632,7 +632,7 @@
             store = stores.Store(address="127.0.0.1:9", caller=None)
             store.watch = watch
             watcher = watchers.Watcher(
-                mirror=mirror,
+                cache=mirror,
                 store=store,
                 lines=log_lines.Lines(counters=counters.Counters()),
                 bound_seconds=lambda: 8.0,
--- a/pimentoledge/tests/test_router_work_reports.py
+++ b/pimentoledge/tests/test_router_work_reports.py
@@ -218,19 +218,19 @@
     many.tick(load_reports.REPEAT_SECONDS)
     for name in many.routers:
         if many.data_centre_of(name) == "d0":
-            mean = many.routers[name].view.elsewhere["d1"]
+            mean = many.routers[name].view.remote_means["d1"]
             assert mean.busy >= 10
             assert mean.unread >= 30000
-    assert "d0" not in many.routers["tcp://r0"].view.elsewhere
+    assert "d0" not in many.routers["tcp://r0"].view.remote_means
 
 
 def test_the_mean_load_of_an_unreachable_data_centre_expires(many):
     many.tick(load_reports.REPEAT_SECONDS)
     many.tick(load_reports.REPEAT_SECONDS)
     alone = many.routers["tcp://r0"]
-    assert alone.view.elsewhere
+    assert alone.view.remote_means
     alone.tick(many.now + load_reports.MEAN_EXPIRY_SECONDS + 1.0)
-    assert not alone.view.elsewhere
+    assert not alone.view.remote_means
 
 
 def test_a_router_without_a_configuration_accepts_reports(many):
