--- a/pimentoledge/routing/quotas/__init__.py
+++ b/pimentoledge/routing/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Organisations' limits, held over all routers together."""
+"""Organisations' limits, enforced over all routers."""
--- a/pimentoledge/routing/wanted_weights.py
+++ b/pimentoledge/routing/wanted_weights.py
@@ -1,4 +1,4 @@
-"""The wanted version of a model's weights, and when it was announced."""
+"""The wanted version of a model's weights, and when it was named."""
 
 import enum
 
@@ -10,9 +10,9 @@
 
 
 class Source(enum.IntEnum):
-    """Source of the time at which a version was announced, best first."""
+    """Source of the time at which a version was named, best first."""
 
-    # A router received the version when it was announced.
+    # A router received the version when it was named.
     HEARD = 0
     # Lower bound: a router had all versions at that time, without this one.
     NOT_BEFORE = 1
@@ -22,11 +22,11 @@
 
 @attrs.frozen(kw_only=True)
 class NamedVersion:
-    """A version that was announced.
+    """A version that was named.
 
     Attributes:
         version: its number.
-        since: when it was announced, in seconds of clocks.now.
+        since: when it was named, in seconds of clocks.now.
         source: source of that time.
     """
 
@@ -56,7 +56,7 @@
     """The wanted version of a model's weights.
 
     Attributes:
-        named: versions that were announced, oldest first, without those that
+        named: versions that were named, oldest first, without those that
             supersede no runner's weights earlier than a newer version does.
     """
 
@@ -65,7 +65,7 @@
 
     @property
     def newest(self) -> NamedVersion:
-        """The newest version that was announced."""
+        """The newest version that was named."""
         return self.named[-1]
 
     @property
@@ -75,11 +75,11 @@
 
     @property
     def since(self) -> float:
-        """When the newest version was announced, or may have been."""
+        """When the newest version was named, or may have been."""
         return self.newest.since
 
     def superseded(self, version: int) -> float | None:
-        """Returns when a newer version was first announced, or None."""
+        """Returns when a newer version was first named, or None."""
         times = [each.since for each in self.named if each.version > version]
         return min(times, default=None)
 
