--- a/pimentoledge/routing/rollouts.py
+++ b/pimentoledge/routing/rollouts.py
@@ -263,9 +263,10 @@
     free_loads: int,
     now: float,
 ) -> list[backends.Backend]:
-    """Returns up to `free_loads` runners, spread over the data centres.
+    """Returns up to `free_loads` runners.
 
-    So each data centre keeps runners that serve it. The least busy runners are
+    They are from as many data centres as possible, so each data centre keeps
+    runners that serve it. The least busy runners are
     first, so that weights change during as few requests as possible.
     """
     taken: dict[str, int] = {}
