--- a/pimentoledge/routing/rollouts.py
+++ b/pimentoledge/routing/rollouts.py
@@ -266,8 +266,8 @@
     """Returns up to `free_loads` runners.
 
     They are from as many data centres as possible, so each data centre keeps
-    runners that serve it. The least busy runners are
-    first, so that weights change during as few requests as possible.
+    runners that serve it. The least busy runners are first, so that weights
+    change during as few requests as possible.
     """
     taken: dict[str, int] = {}
     for each in loading:
--- a/pimentoledge/tests/test_limits.py
+++ b/pimentoledge/tests/test_limits.py
@@ -409,3 +409,5 @@
     entries.take(1, 1)
     entries.wait(0.3)
     entries.concurrency_holds()
+    # The invariant allows more while an owner is silent; none is here.
+    assert not entries.silent
