--- a/pimentoledge/platform/names.py
+++ b/pimentoledge/platform/names.py
@@ -4,36 +4,36 @@
 """
 
 # Headers of requests and answers.
-REQUEST = b"request-id"
+REQUEST_ID = b"request-id"
 DEADLINE = b"deadline-ms"
-PREFIX = b"prompt-prefix"
-LAST_EVENT = b"last-event-id"
+PROMPT_PREFIX = b"prompt-prefix"
+LAST_EVENT_ID = b"last-event-id"
 SIGNATURE = b"server-stamp"
 ORGANISATION = b"tenant"
 INCARNATION_ONLY = b"expect-instance"
-LOAD = b"server-load"
+SERVER_LOAD = b"server-load"
 NOT_RUN = b"not-run"
 RETRY_AFTER = b"retry-after"
 # "1" in all answers of a server that leaves.
-LEAVING = b"server-leaving"
+SERVER_LEAVING = b"server-leaving"
 # Requests a second that a server in need takes of all machines together.
-LIMIT = b"server-limit"
+SERVER_LIMIT = b"server-limit"
 INCARNATION = b"instance-id"
 MODEL = b"model"
 # Two numbers: tokens of the prompt, most tokens of the answer.
-TOKENS = b"token-usage"
+TOKEN_USAGE = b"token-usage"
 NAMESPACE = b"cache-salt"
 URGENCY = b"request-priority"
 FETCH = b"kv-fetch"
 SAVE = b"kv-save"
 # One integer in an answer's head, though the name is a plural.
-WEIGHTS = b"weight-versions"
+WEIGHT_VERSIONS = b"weight-versions"
 WEIGHTS_ONLY = b"expect-version"
 PIN = b"pin-ms"
 HOLD = b"hold"
 BACKUP = b"kv-backup"
 FROM_COPY = b"kv-from"
-KEY = b"authorization"
+AUTHORIZATION = b"authorization"
 KEY_SCHEME = b"bearer "
 
 # Connections only; never passed on in either direction.
@@ -55,7 +55,7 @@
 # Only the system may set these; a client's are dropped.
 SYSTEM_ONLY = frozenset(
     (
-        KEY,
+        AUTHORIZATION,
         DEADLINE,
         ORGANISATION,
         INCARNATION_ONLY,
@@ -68,7 +68,7 @@
         HOLD,
         BACKUP,
         FROM_COPY,
-        LAST_EVENT,
+        LAST_EVENT_ID,
         b"accept-encoding",
     )
 )
@@ -80,8 +80,8 @@
 OBJECTS_PATH = "/-/objects/"
 
 # Kinds of objects in the store.
-CONFIGURATIONS = "config"
+CONFIGURATION_KIND = "config"
 # The one object of that kind that is in force.
-CONFIGURATION = "main"
-SERVERS = "servers"
-WEIGHTS_NAMED = "versions"
+CONFIGURATION_NAME = "main"
+SERVER_KIND = "servers"
+WEIGHT_VERSION_KIND = "versions"
--- a/pimentoledge/platform/objects.py
+++ b/pimentoledge/platform/objects.py
@@ -18,7 +18,7 @@
 _MOST_PORT = 65535
 
 
-def stored(item: Any) -> registrations.Stored:
+def decode_stored(item: Any) -> registrations.Stored:
     """Returns an object of the store; raises ValueError on a bad one."""
     if not isinstance(item, dict):
         raise ValueError("an object that is no table")
@@ -46,7 +46,9 @@
     return value
 
 
-def registration(each: registrations.Stored) -> registrations.Registration:
+def decode_registration(
+    each: registrations.Stored,
+) -> registrations.Registration:
     """Returns a backend server's registration; raises ValueError."""
     spec = each.value
     if not isinstance(spec, dict):
@@ -66,7 +68,7 @@
     )
 
 
-def reported(body: Any) -> rollouts.RunnerReport:
+def decode_runner_report(body: Any) -> rollouts.RunnerReport:
     """Returns what a runner reports of itself; raises ValueError."""
     if not isinstance(body, dict):
         raise ValueError("a report that is no table")
@@ -111,7 +113,9 @@
     return found
 
 
-def named_weights(each: registrations.Stored) -> registrations.NamedWeights:
+def decode_named_weights(
+    each: registrations.Stored,
+) -> registrations.NamedWeights:
     """Returns which version of a model's weights is wanted."""
     spec = each.value
     if not isinstance(spec, dict):
@@ -121,7 +125,7 @@
     )
 
 
-def configuration(
+def decode_configuration(
     each: registrations.Stored,
 ) -> configurations.Configuration:
     """Returns a configuration; raises KeyError or ValueError on a bad one."""
--- a/pimentoledge/platform/orders.py
+++ b/pimentoledge/platform/orders.py
@@ -24,18 +24,19 @@
 
 
 @attrs.define(kw_only=True)
-class Runners:
+class RunnerClient:
     """Gives orders to runners.
 
     Attributes:
         caller: makes the calls.
         holder: the name under which this process gives orders.
-        heard: called with the runner that was called and its answer's head.
+        on_response: called with the runner that was called and its answer's
+            head.
     """
 
     caller: calls.Caller
     holder: str
-    heard: Callable[
+    on_response: Callable[
         [registrations.Registration, request_types.ServerResponse], None
     ] = lambda runner, answer: None
 
@@ -61,7 +62,7 @@
                 reason=f"status {reply.status}", maybe_done=False
             )
         try:
-            found = objects.reported(reply.body)
+            found = objects.decode_runner_report(reply.body)
         except ValueError as error:
             return registrations.Unavailable(
                 reason=f"unreadable: {error}", maybe_done=False
@@ -111,9 +112,9 @@
             keep_alive=True,
             ends_by_close=False,
         )
-        answer = requests.decode_answer(head)
+        answer = requests.decode_response_head(head)
         answer.leaving |= leaving
-        self.heard(runner, answer)
+        self.on_response(runner, answer)
 
 
 _VERDICTS = {
--- a/pimentoledge/platform/requests.py
+++ b/pimentoledge/platform/requests.py
@@ -68,7 +68,7 @@
     return low not in dropped and low not in names.HOP_BY_HOP
 
 
-def is_ready_call(head: http_messages.RequestHead) -> bool:
+def is_readiness_probe(head: http_messages.RequestHead) -> bool:
     """Returns whether this is the balancer's question."""
     return head.target.partition(b"?")[0] == names.READY_PATH
 
@@ -83,13 +83,13 @@
         body: its whole body.
         arrived: when it was read, in seconds of clocks.now.
     """
-    identity = head.values(names.REQUEST)
+    identity = head.values(names.REQUEST_ID)
     if not head.target.startswith(b"/"):
         return _bad("the target must be a path")
     if len(identity) != 1 or not identity[0].strip():
         return _bad("one request id is needed")
     wait = _number(head.value(names.DEADLINE))
-    prompt, answer = _token_counts(head.value(names.TOKENS))
+    prompt, answer = _token_counts(head.value(names.TOKEN_USAGE))
     host = _text(head.value(b"host")).lower().partition(":")[0]
     path = head.target.partition(b"?")[0].decode("latin-1")
     return result.Success(
@@ -99,13 +99,13 @@
             host=host,
             target=head.target,
             path=path,
-            key=_key(head.value(names.KEY)),
+            key=_key(head.value(names.AUTHORIZATION)),
             wait_seconds=None if wait is None else wait / 1000,
             model=_text(head.value(names.MODEL)),
             prompt_tokens=prompt,
             answer_tokens=answer,
-            parts=_parts(head.value(names.PREFIX)),
-            resume_after=_number(head.value(names.LAST_EVENT)),
+            parts=_parts(head.value(names.PROMPT_PREFIX)),
+            resume_after=_number(head.value(names.LAST_EVENT_ID)),
             passed_on=[
                 (name, value)
                 for name, value in head.headers
@@ -151,7 +151,7 @@
         (names.NAMESPACE, dispatch.namespace),
         (names.FETCH, dispatch.fetch_from),
         (names.SAVE, dispatch.save_to),
-        (names.LAST_EVENT, dispatch.resume_after),
+        (names.LAST_EVENT_ID, dispatch.resume_after),
     ]
     return [
         (name, str(value).encode("latin-1"))
@@ -160,26 +160,26 @@
     ]
 
 
-def decode_answer(
+def decode_response_head(
     head: http_messages.ResponseHead,
 ) -> request_types.ServerResponse:
     """Returns the head of a server's answer."""
-    identity = head.value(names.REQUEST)
+    identity = head.value(names.REQUEST_ID)
     return request_types.ServerResponse(
         status=head.status,
         request=None if identity is None else _text(identity),
         not_run=head.value(names.NOT_RUN) is not None or head.status == 421,
         signed=head.value(names.SIGNATURE) is not None,
         encoded=head.value(b"content-encoding") is not None,
-        load=_load(head.value(names.LOAD)),
-        weights=_number(head.value(names.WEIGHTS)),
+        load=_load(head.value(names.SERVER_LOAD)),
+        weights=_number(head.value(names.WEIGHT_VERSIONS)),
         server=_text(head.value(names.INCARNATION)) or None,
         idle_seconds=_idle_seconds(head.value(b"keep-alive")),
-        leaving=_text(head.value(names.LEAVING)) == "1",
+        leaving=_text(head.value(names.SERVER_LEAVING)) == "1",
         retry_seconds=_decimal(head.value(names.RETRY_AFTER)),
         retry_text=_text(head.value(names.RETRY_AFTER)),
-        limit=_decimal(head.value(names.LIMIT)),
-        limit_text=_text(head.value(names.LIMIT)),
+        limit=_decimal(head.value(names.SERVER_LIMIT)),
+        limit_text=_text(head.value(names.SERVER_LIMIT)),
         passed_on=[
             (name, value)
             for name, value in head.headers
@@ -210,7 +210,7 @@
     return None
 
 
-def encode_own_answer(
+def encode_router_response(
     *,
     status: int,
     request: str,
@@ -226,7 +226,7 @@
     ]
     if request:
         name = request.encode("latin-1")
-        lines.append(b"%b: %b" % (names.REQUEST, name))
+        lines.append(b"%b: %b" % (names.REQUEST_ID, name))
     if retry_seconds is not None:
         lines.append(b"%b: %.3f" % (names.RETRY_AFTER, retry_seconds))
     if closes:
@@ -250,7 +250,7 @@
 }
 
 
-def encode_answer_head(
+def encode_response_head(
     answer: request_types.ServerResponse, *, length: int | None, closes: bool
 ) -> bytes:
     """Returns the head of a server's answer for the client.
--- a/pimentoledge/platform/stand_in_platforms.py
+++ b/pimentoledge/platform/stand_in_platforms.py
@@ -40,7 +40,7 @@
 def configuration(
     version: int = 1,
     routes: list[dict] | None = None,
-    kept: str = "127.0.0.1:9",
+    kv_address: str = "127.0.0.1:9",
     **more: object,
 ) -> dict:
     """Returns a configuration as the operator writes it.
@@ -48,7 +48,7 @@
     Args:
         version: its version.
         routes: other routes than the usual four.
-        kept: address of the KV cache server.
+        kv_address: address of the KV cache server.
         **more: fields that differ from the usual.
     """
     return {
@@ -71,7 +71,7 @@
                     "models": [{"name": MODEL}],
                 },
             },
-            {"name": "kept", "kvStore": kept, "zone": "a"},
+            {"name": "kept", "kvStore": kv_address, "zone": "a"},
         ],
         "limits": {
             "maxHeaderBytes": 4096,
@@ -92,13 +92,13 @@
 
     Attributes:
         store: the stand-in of the store.
-        kept: the stand-in of the KV cache server.
+        kv_server: the stand-in of the KV cache server.
         servers: the stand-ins of backend servers, by incarnation.
     """
 
     def __init__(self, *, port: int = 0):
         self.store = stand_in_stores.StandInStore(port=port)
-        self.kept = stand_in_servers.StandInServer(
+        self.kv_server = stand_in_servers.StandInServer(
             incarnation="kept", service="kept"
         )
         self.servers: dict[str, stand_in_servers.StandInServer] = {}
@@ -106,11 +106,13 @@
     def start(self, *, plain: int = 2, runners: int = 2) -> None:
         """Listens, and writes what a router needs into the store."""
         self.store.start()
-        self.kept.start()
-        first = configuration(kept=self.kept.address)
-        self.store.put(names.CONFIGURATIONS, names.CONFIGURATION, first)
+        self.kv_server.start()
+        first = configuration(kv_address=self.kv_server.address)
+        self.store.put(
+            names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, first
+        )
         weights = {"model": MODEL, "version": 1}
-        self.store.put(names.WEIGHTS_NAMED, MODEL, weights)
+        self.store.put(names.WEIGHT_VERSION_KIND, MODEL, weights)
         for number in range(plain):
             self.add_server(f"p{number}", service="plain")
         for number in range(runners):
@@ -119,7 +121,7 @@
     def close(self) -> None:
         """Stops everything."""
         self.store.close()
-        self.kept.close()
+        self.kv_server.close()
         for each in self.servers.values():
             each.close()
 
@@ -135,15 +137,15 @@
             incarnation=incarnation, service=service, weights=weights
         )
         server.start()
-        server.on_loaded = lambda: self.tell(server)
+        server.on_loaded = lambda: self.write_registration(server)
         self.servers[incarnation] = server
-        self.tell(server)
+        self.write_registration(server)
         return server
 
-    def tell(
+    def write_registration(
         self, server: stand_in_servers.StandInServer, *, leaving: bool = False
     ) -> None:
         """Writes a server's entry into the store."""
         self.store.put(
-            names.SERVERS, server.incarnation, server.entry(leaving=leaving)
+            names.SERVER_KIND, server.incarnation, server.entry(leaving=leaving)
         )
--- a/pimentoledge/platform/stand_in_servers.py
+++ b/pimentoledge/platform/stand_in_servers.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define(kw_only=True)
-class Call:
+class ReceivedRequest:
     """A request as the server got it.
 
     Attributes:
@@ -50,8 +50,8 @@
         data_centre: where it stands.
         weights: version of each of its models.
         calls: requests that it got, in order.
-        reached: when anything reached it, orders and reports too, in seconds of
-            time.monotonic.
+        arrival_times: when anything reached it, orders and reports too, in
+            seconds of time.monotonic.
         orders: orders that it got, in order.
         taken: orders that it has taken.
         events: events of a stream.
@@ -66,7 +66,7 @@
         load_seconds: how long weights take to load.
         refuse_orders: number of next orders that it turns away with a 503.
         silent_orders: number of next orders that it takes without an answer.
-        at_work: requests that it works on now.
+        active_requests: requests that it works on now.
         leaving: whether all its answers say that it leaves.
         reports_leaving: whether its reports alone say so.
         retry_after: for how long its refusals ask for no request, or "".
@@ -85,8 +85,8 @@
         self.service = service
         self.data_centre = data_centre
         self.weights = dict(weights or {})
-        self.calls: list[Call] = []
-        self.reached: list[float] = []
+        self.calls: list[ReceivedRequest] = []
+        self.arrival_times: list[float] = []
         self.orders: list[dict] = []
         self.taken = 0
         self.events = 5
@@ -101,7 +101,7 @@
         self.load_seconds = 0.05
         self.refuse_orders = 0
         self.silent_orders = 0
-        self.at_work = 0
+        self.active_requests = 0
         self.leaving = False
         self.reports_leaving = False
         self.retry_after = ""
@@ -148,7 +148,7 @@
             name.decode().lower(): value.decode("latin-1")
             for name, value in request.inheaders.items()
         }
-        self.reached.append(time.monotonic())
+        self.arrival_times.append(time.monotonic())
         path = fake_http.path_of(request)
         body = fake_http.body_of(request)
         expected = headers.get(names.INCARNATION_ONLY.decode())
@@ -159,7 +159,7 @@
         elif path == names.REPORT_PATH:
             self._report(request)
         else:
-            call = Call(
+            call = ReceivedRequest(
                 method=request.method.decode(),
                 target=request.uri.decode(),
                 headers=headers,
@@ -177,7 +177,7 @@
             setattr(self, name, left - 1)
             return True
 
-    def _serve(self, request, call: Call) -> None:
+    def _serve(self, request, call: ReceivedRequest) -> None:
         wanted = call.headers.get(names.WEIGHTS_ONLY.decode())
         model = call.headers.get(names.MODEL.decode(), "")
         if wanted is not None and int(wanted) != self.weights.get(model):
@@ -192,11 +192,11 @@
         call.ran = True
         call.began = time.monotonic()
         call.weights = self.weights.get(model)
-        self.at_work += 1
+        self.active_requests += 1
         try:
             self._run(request, call)
         finally:
-            self.at_work -= 1
+            self.active_requests -= 1
 
     def _queue(self, request) -> bool:
         """Waits for a turn; returns whether the caller is still there."""
@@ -207,7 +207,7 @@
             time.sleep(QUEUE_STEP_SECONDS)
         return True
 
-    def _run(self, request, call: Call) -> None:
+    def _run(self, request, call: ReceivedRequest) -> None:
         if self._next("lose"):
             fake_http.cut(request)
             return
@@ -215,7 +215,7 @@
             time.sleep(self.work_seconds)
         head = self._head(call.headers)
         if self._next("misnumber"):
-            head[0] = (names.REQUEST, b"another-one")
+            head[0] = (names.REQUEST_ID, b"another-one")
         if self._next("fail"):
             fake_http.answer(request, b"failed", status=500, headers=head)
             return
@@ -225,23 +225,23 @@
         fake_http.answer(request, b"answer of " + call.body, headers=head)
 
     def _head(self, headers: dict[str, str]) -> list[tuple[bytes, bytes]]:
-        identity = headers.get(names.REQUEST.decode(), "").encode()
+        identity = headers.get(names.REQUEST_ID.decode(), "").encode()
         return [
-            (names.REQUEST, identity),
+            (names.REQUEST_ID, identity),
             (names.SIGNATURE, SIGNATURE),
-            (names.LOAD, b"%d,0,8" % self.at_work),
+            (names.SERVER_LOAD, b"%d,0,8" % self.active_requests),
             *self._notice(),
         ]
 
     def _notice(self) -> list[tuple[bytes, bytes]]:
         """Returns the headers of all its answers, whatever was asked."""
-        found = [(names.LEAVING, b"1")] if self.leaving else []
+        found = [(names.SERVER_LEAVING, b"1")] if self.leaving else []
         if self.limit:
-            found.append((names.LIMIT, self.limit.encode()))
+            found.append((names.SERVER_LIMIT, self.limit.encode()))
         return found
 
-    def _stream(self, request, call: Call, head: list) -> None:
-        first = int(call.headers.get(names.LAST_EVENT.decode(), 0)) + 1
+    def _stream(self, request, call: ReceivedRequest, head: list) -> None:
+        first = int(call.headers.get(names.LAST_EVENT_ID.decode(), 0)) + 1
         fake_http.begin(
             request,
             200,
@@ -260,7 +260,7 @@
         request.conn.wfile.write(b"0\r\n\r\n")
         request.chunked_write = False
 
-    def _piece(self, call: Call, number: int) -> bytes:
+    def _piece(self, call: ReceivedRequest, number: int) -> bytes:
         """Returns an event of a stream."""
         return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
@@ -309,6 +309,6 @@
         )
 
 
-def model_named(call: Call) -> bool:
+def model_named(call: ReceivedRequest) -> bool:
     """Returns whether a request is for a model, whose answers are streams."""
     return names.MODEL.decode() in call.headers
--- a/pimentoledge/platform/stand_in_stores.py
+++ b/pimentoledge/platform/stand_in_stores.py
@@ -73,7 +73,7 @@
         self._cuts += 1
         self._wake()
 
-    def forget_watches(self) -> None:
+    def silence_watches(self) -> None:
         """Lets all watches that wait hear nothing more, without an end."""
         self._forgotten += 1
         self._wake()
--- a/pimentoledge/platform/stores.py
+++ b/pimentoledge/platform/stores.py
@@ -20,7 +20,7 @@
 PAGE_RETRY_SECONDS = 0.5
 
 
-class Store:
+class StoreClient:
     """The store's client; every method answers with a typed result.
 
     Attributes:
@@ -78,7 +78,7 @@
                 return reply
             if reply.status != 200 or not _has(reply.body, "items"):
                 return _odd(reply)
-            page, bad = readable(reply.body["items"])
+            page, bad = decode_items(reply.body["items"])
             found += page
             unreadable += bad
             if revision is None:
@@ -143,7 +143,7 @@
             return None
         if reply.status != 200:
             return _odd(reply)
-        return objects.stored(reply.body)
+        return objects.decode_stored(reply.body)
 
     async def write(
         self, kind: str, name: str, value: object, *, revision: int | None
@@ -171,10 +171,10 @@
         if isinstance(reply, registrations.Unavailable):
             return reply
         if reply.status in (200, 201):
-            return objects.stored(reply.body)
+            return objects.decode_stored(reply.body)
         if reply.status == 409:
             try:
-                found = objects.stored(reply.body)
+                found = objects.decode_stored(reply.body)
             except (KeyError, TypeError):
                 found = None
             return registrations.Conflict(found=found)
@@ -192,7 +192,7 @@
     )
 
 
-def readable(
+def decode_items(
     items: list,
 ) -> tuple[list[registrations.Stored], list[str]]:
     """Returns the objects that can be read, and why others can't.
@@ -202,7 +202,7 @@
     found, bad = [], []
     for item in items:
         try:
-            found.append(objects.stored(item))
+            found.append(objects.decode_stored(item))
         except ValueError as error:
             bad.append(str(error))
     return found, bad
@@ -214,7 +214,7 @@
         if not isinstance(event, dict):
             unreadable.append("an event that is no table")
             continue
-        page, bad = readable([event.get("object")])
+        page, bad = decode_items([event.get("object")])
         unreadable += bad
         into, other = changed, removed
         if event.get("deleted"):
--- a/pimentoledge/routing/attempts.py
+++ b/pimentoledge/routing/attempts.py
@@ -115,7 +115,7 @@
         while True:
             match await self.connection.next():
                 case server_connections.HeadReceived(head=head):
-                    answer = requests.decode_answer(head)
+                    answer = requests.decode_response_head(head)
                     if answer.request == self.client_request.request:
                         self.begun = True
                         return answer, head
--- a/pimentoledge/routing/client_connections.py
+++ b/pimentoledge/routing/client_connections.py
@@ -122,9 +122,11 @@
 
     def _serve(self, head: http_messages.RequestHead, body: bytes) -> None:
         self._keep_alive = head.keep_alive
-        if requests.is_ready_call(head):
+        if requests.is_readiness_probe(head):
             status = 200 if self.ready() else 503
-            self.send(requests.encode_own_answer(status=status, request=""))
+            self.send(
+                requests.encode_router_response(status=status, request="")
+            )
             self.finished()
             return
         decoded = requests.decode_request(head, body, clocks.now())
--- a/pimentoledge/routing/client_responses.py
+++ b/pimentoledge/routing/client_responses.py
@@ -57,7 +57,7 @@
     ) -> None:
         """Sends a server's complete response."""
         self.client.send(
-            requests.encode_answer_head(
+            requests.encode_response_head(
                 answer, length=len(body), closes=self.client.closes
             )
             + body
@@ -95,7 +95,7 @@
             return
         self.head_sent = True
         self.client.send(
-            requests.encode_answer_head(
+            requests.encode_response_head(
                 answer, length=None, closes=self.client.closes
             )
         )
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -94,7 +94,7 @@
         self.caller = calls.Caller()
         self.connections: set[client_connections.ClientConnection] = set()
         self.exchanges: set[exchanges.Exchange] = set()
-        self.store = stores.Store(
+        self.store = stores.StoreClient(
             address=chosen.text("store-address"), caller=self.caller
         )
         self.updater = view_updaters.ViewUpdater(
@@ -107,14 +107,15 @@
         )
         kinds = {
             "configuration": object_caches.ObjectCache(
-                kind=names.CONFIGURATIONS,
+                kind=names.CONFIGURATION_KIND,
                 on_change=self.updater.apply_configuration,
             ),
             "servers": object_caches.ObjectCache(
-                kind=names.SERVERS, on_change=self.updater.apply_servers
+                kind=names.SERVER_KIND, on_change=self.updater.apply_servers
             ),
             "weights": object_caches.ObjectCache(
-                kind=names.WEIGHTS_NAMED, on_change=self.updater.apply_weights
+                kind=names.WEIGHT_VERSION_KIND,
+                on_change=self.updater.apply_weights,
             ),
         }
         self.view.caches_by_kind = kinds
@@ -166,8 +167,10 @@
         for name in ("servers", "weights"):
             self.kinds[name].follows = self.peers.replicator.follows
         self.kinds["servers"].on_changes = self.peers.replicator.forward_changes
-        runners = orders.Runners(
-            caller=self.caller, holder=holder, heard=self.notices.apply_reply
+        runners = orders.RunnerClient(
+            caller=self.caller,
+            holder=holder,
+            on_response=self.notices.apply_reply,
         )
         self.rechecks = rechecks.Rechecks(
             runners=runners, permits=self.permits, lines=self.lines
--- a/pimentoledge/routing/fleet_sizes.py
+++ b/pimentoledge/routing/fleet_sizes.py
@@ -54,7 +54,7 @@
         self,
         *,
         roster: rosters.Roster,
-        store: stores.Store,
+        store: stores.StoreClient,
         lines: log_lines.Lines,
         is_needed: Callable[[], bool],
         owners: Callable[[], list[str]],
--- a/pimentoledge/routing/pages.py
+++ b/pimentoledge/routing/pages.py
@@ -45,7 +45,7 @@
 
     def _respond(self, status: int, body: bytes) -> None:
         self._transport.write(
-            requests.encode_own_answer(
+            requests.encode_router_response(
                 status=status, request="", body=body, closes=True
             )
         )
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -74,7 +74,7 @@
         watching: dict[str, watchers.Watcher],
         updater: view_updaters.ViewUpdater,
         notices: server_notices.ServerNotices,
-        store: stores.Store,
+        store: stores.StoreClient,
         lines: log_lines.Lines,
         arrived: Callable[[float], float] = lambda now: now,
     ):
--- a/pimentoledge/routing/rechecks.py
+++ b/pimentoledge/routing/rechecks.py
@@ -31,7 +31,7 @@
     def __init__(
         self,
         *,
-        runners: orders.Runners,
+        runners: orders.RunnerClient,
         permits: server_permits.Permits,
         lines: log_lines.Lines,
     ):
--- a/pimentoledge/routing/router_responses.py
+++ b/pimentoledge/routing/router_responses.py
@@ -108,7 +108,7 @@
             }
         }
     )
-    return requests.encode_own_answer(
+    return requests.encode_router_response(
         status=status or meaning.status,
         request=request,
         body=body,
--- a/pimentoledge/routing/view_updaters.py
+++ b/pimentoledge/routing/view_updaters.py
@@ -60,7 +60,7 @@
     ) -> None:
         """Applies the configuration, if it is newer."""
         for each in changed:
-            if each.name == names.CONFIGURATION:
+            if each.name == names.CONFIGURATION_NAME:
                 self._apply_newer_configuration(each)
 
     def _decode(self, decode, each: registrations.Stored):
@@ -78,7 +78,7 @@
             return None
 
     def _apply_newer_configuration(self, each: registrations.Stored) -> None:
-        received = self._decode(objects.configuration, each)
+        received = self._decode(objects.decode_configuration, each)
         if received is None:
             return
         current = self.view.configuration
@@ -98,7 +98,7 @@
         since, source = self._named_at()
         self._weights_listed = True
         for each in changed:
-            named = self._decode(objects.named_weights, each)
+            named = self._decode(objects.decode_named_weights, each)
             if named is None:
                 continue
             self.set_wanted_version(
@@ -163,7 +163,7 @@
     ) -> None:
         """Applies changed and removed registrations of backend servers."""
         for each in changed:
-            registration = self._decode(objects.registration, each)
+            registration = self._decode(objects.decode_registration, each)
             if registration is None:
                 # An unreadable entry may say that the server is leaving.
                 if each.name in self.view.servers.by_server:
--- a/pimentoledge/routing/watchers.py
+++ b/pimentoledge/routing/watchers.py
@@ -91,7 +91,7 @@
         self,
         *,
         cache: object_caches.ObjectCache,
-        store: stores.Store,
+        store: stores.StoreClient,
         lines: log_lines.Lines,
         bound_seconds: Callable[[], float],
         poll_rank: Callable[[], int] = lambda: 0,
--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -69,8 +69,8 @@
         self.platform = stand_in_platforms.StandInPlatform()
         self.store = self.platform.store
         self.servers = self.platform.servers
-        self.kept = self.platform.kept
-        self.tell = self.platform.tell
+        self.kept = self.platform.kv_server
+        self.tell = self.platform.write_registration
         self.routers = []
         self._tasks = []
 
--- a/pimentoledge/tests/soak/checks.py
+++ b/pimentoledge/tests/soak/checks.py
@@ -303,7 +303,7 @@
 
 def drain(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that leaving servers are left alone."""
-    words = _words(record, names.LEAVING)
+    words = _words(record, names.SERVER_LEAVING)
     for arrival, request in _known(record):
         router, server = request.router, arrival.server
         known = {}
@@ -392,7 +392,7 @@
     known = list(_known(record))
     for server in list(record.limits):
         for begin, end in _limited_times(record, server):
-            told = _words(record, names.LIMIT, begin, end)
+            told = _words(record, names.SERVER_LIMIT, begin, end)
             came = [
                 arrival.at
                 for arrival, request in known
--- a/pimentoledge/tests/soak/servers.py
+++ b/pimentoledge/tests/soak/servers.py
@@ -82,11 +82,11 @@
             name.lower(): value for name, value in request.inheaders.items()
         }
         arrival = records.Arrival(
-            request=headers.get(names.REQUEST, b"").decode(),
+            request=headers.get(names.REQUEST_ID, b"").decode(),
             server=self.incarnation,
             service=self.service,
             at=time.monotonic(),
-            resumed=names.LAST_EVENT in headers,
+            resumed=names.LAST_EVENT_ID in headers,
         )
         with self._guard:
             self._present[request] = arrival
--- a/pimentoledge/tests/soak/worlds.py
+++ b/pimentoledge/tests/soak/worlds.py
@@ -224,7 +224,7 @@
         """Writes a server's entry; runners' threads do so, too."""
         with self._telling:
             if server.alive:
-                self.platform.tell(server)
+                self.platform.write_registration(server)
 
     def _usable(self, service: str) -> list[servers.Server]:
         """Returns servers that live and don't leave."""
@@ -253,7 +253,7 @@
         await asyncio.to_thread(server.crash)
         await asyncio.sleep(GONE_SECONDS)
         with self._telling:
-            self.platform.store.remove(names.SERVERS, server.incarnation)
+            self.platform.store.remove(names.SERVER_KIND, server.incarnation)
         del self.platform.servers[server.incarnation]
         if server.link is not None:
             await server.link.close()
@@ -402,7 +402,7 @@
         self._weights += 1
         self.record.note(f"weights {self._weights} named")
         named = {"model": MODEL, "version": self._weights}
-        self.platform.store.put(names.WEIGHTS_NAMED, MODEL, named)
+        self.platform.store.put(names.WEIGHT_VERSION_KIND, MODEL, named)
         self.record.named.append((self._weights, time.monotonic()))
 
     async def _versions(self, fault: plans.Fault) -> None:
@@ -433,14 +433,14 @@
             tenants.append({"name": "guest", "apiKeys": [GUEST_KEY]})
         found = stand_in_platforms.configuration(
             self._configurations,
-            kept=self.platform.kept.address,
+            kv_address=self.platform.kv_server.address,
             tenants=tenants,
         )
         for route in found["routes"]:
             if route["name"] == "notices":
                 route["service"] = moved
         self.platform.store.put(
-            names.CONFIGURATIONS, names.CONFIGURATION, found
+            names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, found
         )
         change = records.Change(
             at=time.monotonic(),
--- a/pimentoledge/tests/test_platform_adapter.py
+++ b/pimentoledge/tests/test_platform_adapter.py
@@ -184,7 +184,7 @@
             (name.replace("_", "-").encode(), value)
             for name, value in headers.items()
         ]
-        return requests.decode_answer(
+        return requests.decode_response_head(
             http_messages.ResponseHead(
                 status=status,
                 headers=pairs,
@@ -206,7 +206,7 @@
 
 def test_a_configuration_is_decoded_into_typed_fields():
     spec = stand_in_platforms.configuration(version=4)
-    built = objects.configuration(
+    built = objects.decode_configuration(
         registrations.Stored(name="main", revision=1, value=spec)
     )
     route = built.match("shop.example", "/lookups/1")
@@ -230,7 +230,7 @@
             }
         ],
     }
-    built = objects.configuration(
+    built = objects.decode_configuration(
         registrations.Stored(name="main", revision=1, value=spec)
     )
     route = built.match("h", "/x")
@@ -368,7 +368,7 @@
     calls away. Who began anew each time met too few good answers in a row.
     """
     pages = Pages(4)
-    store = stores.Store(address="s", caller=pages)
+    store = stores.StoreClient(address="s", caller=pages)
 
     async def play():
         first = await store.list("servers")
@@ -399,7 +399,7 @@
             keep_alive=True,
             ends_by_close=False,
         )
-        return requests.decode_answer(head).retry_seconds
+        return requests.decode_response_head(head).retry_seconds
 
     assert seconds(b" 3 ") == 3.0
     assert seconds(b"0.25") == 0.25
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -48,7 +48,7 @@
         "notices", service="plain", kind="safe", targetLatencyMs=OBJECTIVE_MS
     )
     changed = router_world.configuration(
-        version=2, routes=[route], kept=world.kept.address
+        version=2, routes=[route], kv_address=world.kept.address
     )
     world.store.put("config", "main", changed)
     [router] = world.routers
--- a/pimentoledge/tests/test_router_faults.py
+++ b/pimentoledge/tests/test_router_faults.py
@@ -162,7 +162,7 @@
 
     async def play(address):
         caller = calls.Caller()
-        store = stores.Store(address=address, caller=caller)
+        store = stores.StoreClient(address=address, caller=caller)
         async with asyncio.timeout(4):
             found = await store.watch("servers", 1, 0.1)
         assert isinstance(found, registrations.Unavailable)
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -118,7 +118,7 @@
     """
     [router] = world.routers
     await _all_wait(world)
-    world.store.forget_watches()
+    world.store.silence_watches()
     world.tell(world.servers["p0"], leaving=True)
     await world.until(lambda: has_seen_leaving(router), seconds=DRAIN_SECONDS)
 
@@ -170,7 +170,7 @@
     assert watching
     for each in watching if cut_off else ():
         _silence(each)
-    world.store.forget_watches()
+    world.store.silence_watches()
     world.tell(world.servers["p0"], leaving=True)
     await world.until(
         lambda: all(has_seen_leaving(each) for each in world.routers),
@@ -221,7 +221,7 @@
     """
     [router] = world.routers
     await _all_wait(world)
-    world.store.forget_watches()
+    world.store.silence_watches()
     world.tell(world.servers["p0"], leaving=True)
     await asyncio.sleep(0.1)
     assert not has_seen_leaving(router)
--- a/pimentoledge/tests/test_router_limits_path.py
+++ b/pimentoledge/tests/test_router_limits_path.py
@@ -11,7 +11,7 @@
     """Sets the organisation's limit; waits until all routers have it."""
     tenants = [{**ACME, **more}]
     changed = router_world.configuration(
-        version=version, kept=world.kept.address, tenants=tenants
+        version=version, kv_address=world.kept.address, tenants=tenants
     )
     world.store.put("config", "main", changed)
     await world.until(
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -126,7 +126,7 @@
 def test_a_report_of_another_incarnation_is_not_applied():
     """Guards against an order count read from a former incarnation."""
     backend = backends.Backend(
-        registration=objects.registration(stored("i", 1, born=2000))
+        registration=objects.decode_registration(stored("i", 1, born=2000))
     )
     assert not backend.is_other_incarnation(2000)
     assert not backend.is_other_incarnation(None)
@@ -137,7 +137,7 @@
 
 
 def test_without_a_start_time_the_id_is_the_incarnation():
-    found = objects.registration(stored("i", 1, born=None))
+    found = objects.decode_registration(stored("i", 1, born=None))
     assert found.incarnation == "i"
 
 
@@ -192,7 +192,7 @@
 @given(items=strategies.lists(ANYTHING, max_size=4))
 def test_a_page_with_unreadable_objects_still_lists_the_others(items):
     good = {"metadata": {"name": "good", "rev": 3}, "spec": ENTRY}
-    found, bad = stores.readable([*items, good])
+    found, bad = stores.decode_items([*items, good])
     assert found[-1].name == "good"
     assert len(found) + len(bad) == len(items) + 1
 
@@ -226,9 +226,9 @@
 def test_an_invalid_report_is_rejected(body):
     """Guards against a missing field of a report that is read as false."""
     with pytest.raises(ValueError, match="."):
-        objects.reported(body)
+        objects.decode_runner_report(body)
 
 
 def test_a_report_states_its_incarnation():
     body = {"models": [], "busy": False, "seq": 2, "born": 1000}
-    assert objects.reported(body).born == 1000
+    assert objects.decode_runner_report(body).born == 1000
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -213,9 +213,9 @@
     client = world.client()
     await client.open()
     client.send("/drafts/", headers=stream_headers())
-    await world.until(lambda: runner.at_work == 1)
+    await world.until(lambda: runner.active_requests == 1)
     client.close()
-    await world.until(lambda: runner.at_work == 0, seconds=1.0)
+    await world.until(lambda: runner.active_requests == 0, seconds=1.0)
 
 
 @played(plain=1)
@@ -225,7 +225,7 @@
     client.send("/cards/", body=b"card")
     await world.until(lambda: len(world.servers["p0"].calls) == 1)
     client.close()
-    await world.until(lambda: world.servers["p0"].at_work == 0)
+    await world.until(lambda: world.servers["p0"].active_requests == 0)
     got = await world.ask("/cards/", body=b"next")
     assert got.body == b"answer of next"
 
@@ -505,7 +505,7 @@
     call.send("/cards/", body=b"card")
     stream.send("/drafts/", headers=stream_headers())
     await world.until(lambda: len(router.exchanges) == 2)
-    await world.until(lambda: world.servers["r0"].at_work)
+    await world.until(lambda: world.servers["r0"].active_requests)
     router.view.bounds = attrs.evolve(router.view.bounds, grace_seconds=1.0)
     await router.drain()
     assert (await call.read()).status == 504
@@ -522,7 +522,7 @@
     client = world.client()
     await client.open()
     client.send("/cards/", body=b"card")
-    await world.until(lambda: world.servers["p0"].at_work)
+    await world.until(lambda: world.servers["p0"].active_requests)
     client.close()
     await world.until(lambda: not router.connections)
     assert len(router.exchanges) == 1
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -41,7 +41,7 @@
         keep_alive=True,
         ends_by_close=False,
     )
-    assert requests.decode_answer(head).limit == limit
+    assert requests.decode_response_head(head).limit == limit
 
 
 def test_each_change_of_a_limit_is_logged():
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -45,7 +45,7 @@
         server: the stand-in.
         since: earliest start of a window, in seconds of time.monotonic.
     """
-    came = sorted(at for at in server.reached if at >= since)
+    came = sorted(at for at in server.arrival_times if at >= since)
     return max(
         (
             sum(each <= at < each + WINDOW_SECONDS for at in came)
@@ -224,7 +224,7 @@
     await world.until(lambda: asked)
     other = world.servers["r1"]
     await world.until(lambda: other.weights[router_world.MODEL] == 2)
-    assert not runner.reached
+    assert not runner.arrival_times
 
 
 @played(plain=1, runners=2)
@@ -236,10 +236,10 @@
     [router] = world.routers
     backend = name_limit(router, "r0", 1.0)
     backend.limited_until = clocks.now() + 60.0
-    reached = len(world.servers["r0"].reached)
+    reached = len(world.servers["r0"].arrival_times)
     router.rechecks.recheck(backend)
     await world.until(lambda: not router.rechecks.pending)
-    assert len(world.servers["r0"].reached) == reached
+    assert len(world.servers["r0"].arrival_times) == reached
 
 
 @played(plain=2, runners=1)
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -269,7 +269,7 @@
     """
     [router] = world.routers
     await asyncio.sleep(0.3)
-    world.store.forget_watches()
+    world.store.silence_watches()
     await asyncio.sleep(0.1)
     named = clocks.now()
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
@@ -629,7 +629,7 @@
             )
             mirror.revision = 5
             mirror.known_at = clocks.now() - known_age
-            store = stores.Store(address="127.0.0.1:9", caller=None)
+            store = stores.StoreClient(address="127.0.0.1:9", caller=None)
             store.watch = watch
             watcher = watchers.Watcher(
                 cache=mirror,
