--- a/benches/admission.py
+++ b/benches/admission.py
@@ -124,7 +124,7 @@
                 model="m", prompt=job.prompt, max_tokens=job.tokens
             ),
         )
-        truth = messages.Truth(
+        truth = messages.ServerStatus(
             server="r1",
             incarnation=self.engine.incarnation,
             token_seconds=TOKEN_SECONDS,
@@ -511,7 +511,7 @@
         admitting = admission.Admission(
             server="r1", slots=SLOTS, queue_limit=1000
         )
-        truth = messages.Truth(server="r1", incarnation="i")
+        truth = messages.ServerStatus(server="r1", incarnation="i")
         count = SLOTS + waiting
 
         def offer(number, admitting=admitting, truth=truth):
--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -124,9 +124,9 @@
     )
 
 
-def truth(name: str) -> messages.Truth:
+def truth(name: str) -> messages.ServerStatus:
     """Returns a truth that a healthy runner would tell."""
-    return messages.Truth(
+    return messages.ServerStatus(
         server=name,
         incarnation="i" * 16,
         weights="w1",
--- a/benches/configuration.py
+++ b/benches/configuration.py
@@ -110,7 +110,7 @@
                 seeds=seeds,
             )
         )
-        self.loop = loops.Loop(
+        self.loop = loops.EventLoop(
             core=self.core, mailbox_address=address, perform=self.perform
         )
         self.store = store_tasks.StoreTask(
--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -51,8 +51,8 @@
     ]
 
 
-def _truth(name: str) -> messages.Truth:
-    return messages.Truth(
+def _truth(name: str) -> messages.ServerStatus:
+    return messages.ServerStatus(
         server=name,
         incarnation="i1",
         weights="w1",
--- a/benches/placement_runs.py
+++ b/benches/placement_runs.py
@@ -152,12 +152,12 @@
         while len(self.history) > 1 and self.history[1][0] <= now - lag:
             self.history.popleft()
 
-    def truth(self, entry: tuple[int, int]) -> messages.Truth:
+    def truth(self, entry: tuple[int, int]) -> messages.ServerStatus:
         """Returns the report for an entry."""
         load = self.history[0][1] if self.history else {"received": {}}
         values = load | {"received": load["received"].get(entry, 0)}
         pool = self.engine.pool
-        return messages.Truth(
+        return messages.ServerStatus(
             server=self.engine.name,
             incarnation=str(self.incarnation) if self.incarnation else "",
             weights=workloads.WEIGHTS,
@@ -346,7 +346,7 @@
         if entry.life == sender[1]:
             act(entry.placer, *args)
 
-    def learned(self, placer: placement.Placer, truth: messages.Truth):
+    def learned(self, placer: placement.Placer, truth: messages.ServerStatus):
         """A report reached an entry."""
         placer.learned(truth, self.now)
 
--- a/pimentoledge/agent.py
+++ b/pimentoledge/agent.py
@@ -66,7 +66,7 @@
             view=configuration.Configuration(),
             seeds=chosen.listed("peers"),
         )
-        self.loop = loops.Loop(
+        self.loop = loops.EventLoop(
             core=self.core,
             mailbox_address=chosen.text("mailbox"),
             perform=self.perform,
@@ -125,7 +125,7 @@
         """Refuses new work and finishes what runs."""
         self.loop.inbox.put(events.Drain())
         until = time.monotonic() + self.chosen.number("shutdown-seconds")
-        while time.monotonic() < until and not self.loop.ask(_is_idle):
+        while time.monotonic() < until and not self.loop.query(_is_idle):
             time.sleep(IDLE_CHECK_SECONDS)
 
     def close(self) -> None:
@@ -159,7 +159,7 @@
 
     def alive(self) -> bool:
         """Returns whether the state machine's thread answers."""
-        return self.loop.ask(_is_idle) is not None
+        return self.loop.query(_is_idle) is not None
 
     def ready(self) -> bool:
         """Returns whether new work should come here."""
--- a/pimentoledge/decisions/administration.py
+++ b/pimentoledge/decisions/administration.py
@@ -263,7 +263,9 @@
         return actions.ReplyOperator(request=request, status=200, fields=fields)
 
 
-def _row(tell: messages.StatusTell, age: float, root: int) -> dict[str, object]:
+def _row(
+    tell: messages.StatusAnswer, age: float, root: int
+) -> dict[str, object]:
     return {
         "name": tell.name,
         "data_centre": tell.data_centre,
--- a/pimentoledge/decisions/admission.py
+++ b/pimentoledge/decisions/admission.py
@@ -239,7 +239,7 @@
         self,
         dispatch: messages.Dispatch,
         sender: str,
-        truth: messages.Truth,
+        truth: messages.ServerStatus,
         now: float,
     ) -> Admit | Queue | Refuse:
         """Decides on a new dispatch.
@@ -433,7 +433,7 @@
         return min(times, default=None)
 
     def _find_mismatch(
-        self, dispatch: messages.Dispatch, truth: messages.Truth
+        self, dispatch: messages.Dispatch, truth: messages.ServerStatus
     ) -> results.Code | None:
         if dispatch.server != self.server:
             return results.Code.WRONG_SERVER
--- a/pimentoledge/decisions/agent_subscriptions.py
+++ b/pimentoledge/decisions/agent_subscriptions.py
@@ -279,11 +279,11 @@
                     self._kept_buckets.setdefault(name, []).append(number)
         return self._servers
 
-    def _held_by(self, server: str) -> list[messages.Held]:
+    def _held_by(self, server: str) -> list[messages.BucketState]:
         self._server_ring()
         view = self.configuration
         return [
-            messages.Held(
+            messages.BucketState(
                 number=number, digest=view.buckets[number], known=view.known
             )
             for number in self._kept_buckets.get(server, ())
--- a/pimentoledge/decisions/agents.py
+++ b/pimentoledge/decisions/agents.py
@@ -205,14 +205,14 @@
                 todo += self.refuse_and_release(run, refused, now)
         return todo
 
-    def truth(self, sender: str) -> messages.Truth:
+    def truth(self, sender: str) -> messages.ServerStatus:
         """Returns the server's current state, for one recipient."""
         declared = self.configuration.server(self.name)
         leaving = self.draining or (
             declared is not None
             and declared.state == declarations.ServerState.LEAVING
         )
-        return messages.Truth(
+        return messages.ServerStatus(
             server=self.name,
             incarnation=self.status.incarnation,
             weights=self.status.weights,
@@ -652,7 +652,8 @@
         """
         return [
             actions.Send(
-                address=each, message=messages.Report(truth=self.truth(each))
+                address=each,
+                message=messages.ProbeAnswer(truth=self.truth(each)),
             )
             for each in self.received
         ]
@@ -795,7 +796,7 @@
         """Replies to a probe with the requests that are unknown here."""
         known = {request for request, _ in self.runs}
         unknown = [each for each in message.requests if each not in known]
-        report = messages.Report(truth=self.truth(sender), unknown=unknown)
+        report = messages.ProbeAnswer(truth=self.truth(sender), unknown=unknown)
         return self.outbox.send(sender, report)
 
 
--- a/pimentoledge/decisions/bucket_repairs.py
+++ b/pimentoledge/decisions/bucket_repairs.py
@@ -21,18 +21,18 @@
 
 def bucket_fingerprints(
     view: configuration.Configuration, number: int
-) -> messages.Bucket:
+) -> messages.BucketContents:
     """Returns the fingerprints of a node's objects in a bucket."""
     bucket_records = view.records[number]
     fingerprints = [
         configuration.fingerprint(path, record.version)
         for path, record in bucket_records.items()
     ]
-    return messages.Bucket(number=number, fingerprints=fingerprints)
+    return messages.BucketContents(number=number, fingerprints=fingerprints)
 
 
 def missing(
-    view: configuration.Configuration, bucket: messages.Bucket
+    view: configuration.Configuration, bucket: messages.BucketContents
 ) -> list[stores.Object]:
     """Returns the objects of a bucket that another node does not have."""
     theirs = set(bucket.fingerprints)
@@ -45,7 +45,7 @@
 
 def answers(
     view: configuration.Configuration,
-    fetch: messages.Fetch,
+    fetch: messages.BucketRequest,
     *,
     known: int,
 ) -> list[messages.Changes]:
@@ -66,7 +66,7 @@
             parts[-1].objects.append(each)
             size += len(each.value or b"") + len(each.path)
     parts[-1].done = [
-        messages.Held(
+        messages.BucketState(
             number=bucket.number,
             digest=view.buckets[bucket.number],
             known=known,
@@ -199,7 +199,9 @@
             self.configuration.raise_floor(repair.floor)
         return []
 
-    def answer_fetch(self, fetch: messages.Fetch, sender: str) -> Actions:
+    def answer_fetch(
+        self, fetch: messages.BucketRequest, sender: str
+    ) -> Actions:
         """Answers a fetch, and fetches the objects that are missing here."""
         view = self.configuration
         todo: Actions = [
@@ -214,7 +216,7 @@
         return todo
 
     def fetch_from_agent(
-        self, held: list[messages.Held], sender: str
+        self, held: list[messages.BucketState], sender: str
     ) -> Actions:
         """Fetches an agent's buckets while this entry is not complete."""
         view = self.configuration
@@ -230,7 +232,7 @@
             return []
         return [self.fetch(sender, differ, answer=False)]
 
-    def mark_complete(self, held: list[messages.Held]) -> None:
+    def mark_complete(self, held: list[messages.BucketState]) -> None:
         """Records buckets that equal a complete copy at another node."""
         view = self.configuration
         if view.is_complete():
@@ -256,7 +258,7 @@
         """Returns the message that fetches some buckets."""
         view = self.configuration
         own = [bucket_fingerprints(view, number) for number in numbers]
-        fetch = messages.Fetch(buckets=own, answer=answer)
+        fetch = messages.BucketRequest(buckets=own, answer=answer)
         return actions.Send(address=mailbox, message=fetch)
 
     def _fetch_next(self, sender: str, now: float) -> Actions:
@@ -266,14 +268,14 @@
         repair.ends = now + REPAIR_TIMEOUT_SECONDS
         return [self.fetch(sender, numbers, answer=True)]
 
-    def _is_missing_objects(self, bucket: messages.Bucket) -> bool:
+    def _is_missing_objects(self, bucket: messages.BucketContents) -> bool:
         own = bucket_fingerprints(self.configuration, bucket.number)
         return not set(own.fingerprints).issuperset(bucket.fingerprints)
 
 
-def _complete_buckets(summary: messages.Summary) -> list[messages.Held]:
+def _complete_buckets(summary: messages.Summary) -> list[messages.BucketState]:
     return [
-        messages.Held(
+        messages.BucketState(
             number=number, digest=summary.buckets[number], known=known
         )
         for number, known in summary.whole
--- a/pimentoledge/decisions/distribution.py
+++ b/pimentoledge/decisions/distribution.py
@@ -67,7 +67,7 @@
         at: time of its arrival.
     """
 
-    tell: messages.StatusTell
+    tell: messages.StatusAnswer
     at: float
 
 
@@ -211,16 +211,16 @@
         self.peer_statuses = {
             m: t for m, t in self.peer_statuses.items() if m in mailboxes
         }
-        ask = messages.StatusAsk()
+        ask = messages.StatusRequest()
         return [
             actions.Send(address=peer.mailbox, message=ask) for peer in usable
         ]
 
-    def status(self, now: float) -> messages.StatusTell:
+    def status(self, now: float) -> messages.StatusAnswer:
         """Returns this entry's status report."""
         view = self.configuration
         count, behind = self.agents.counts(now)
-        return messages.StatusTell(
+        return messages.StatusAnswer(
             name=self.name,
             data_centre=self.data_centre,
             version=view.version,
@@ -243,15 +243,15 @@
                 self._note_peer(summary, event, now)
                 self._on_incomplete_summary(summary, now)
                 return self.repairs.start(summary, sender, now)
-            case messages.Fetch() as fetch:
+            case messages.BucketRequest() as fetch:
                 return self.repairs.answer_fetch(fetch, sender)
             case messages.Poll() as poll:
                 offered = self.repairs.fetch_from_agent(poll.held, sender)
                 return offered + self.agents.on_poll(poll, sender, now)
-            case messages.StatusAsk():
+            case messages.StatusRequest():
                 tell = self.status(now)
                 return [actions.Send(address=sender, message=tell)]
-            case messages.StatusTell() as tell:
+            case messages.StatusAnswer() as tell:
                 self.peer_statuses[sender] = PeerStatus(tell=tell, at=now)
         return []
 
--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -210,11 +210,11 @@
         match message:
             case messages.Frames():
                 return self.frames(message.frames, event.sender, now)
-            case messages.Borrow() | messages.Lend():
+            case messages.QuotaRequest() | messages.QuotaGrant():
                 return self.apply_limit_outputs(
                     self.limits.handle(event, now), now
                 )
-            case messages.Report():
+            case messages.ProbeAnswer():
                 return self.report(message, event.sender, now)
         ticket = self.current(message, event.sender)
         truth = getattr(message, "truth", None)
@@ -252,7 +252,7 @@
             return None
         return ticket
 
-    def learn(self, truth: messages.Truth, now: float) -> None:
+    def learn(self, truth: messages.ServerStatus, now: float) -> None:
         """Applies an agent's report about its server unless it is outdated."""
         order = self.membership.record_report(truth, now)
         if order is not membership.ReportOrder.PAST:
@@ -651,7 +651,7 @@
         return [cancel, *suspected, *self.handle_failure(ticket, failure, now)]
 
     def report(
-        self, message: messages.Report, sender: str, now: float
+        self, message: messages.ProbeAnswer, sender: str, now: float
     ) -> Actions:
         """Handles an agent's answer to a probe."""
         self.learn(message.truth, now)
--- a/pimentoledge/decisions/kept_completions.py
+++ b/pimentoledge/decisions/kept_completions.py
@@ -44,7 +44,7 @@
 
 
 def replay(
-    body: bytes, run: runs.Run, truth: messages.Truth
+    body: bytes, run: runs.Run, truth: messages.ServerStatus
 ) -> tuple[messages.Frames, messages.Finished]:
     """Returns the messages that stream a kept completion to a new request.
 
--- a/pimentoledge/decisions/lending.py
+++ b/pimentoledge/decisions/lending.py
@@ -13,17 +13,18 @@
 
 TOKEN_SECONDS = 2.0
 SLOT_SECONDS = 30.0
-# Longest wait for a token that a Lend announces, however low the rate is.
+# Longest wait for a token that a QuotaGrant announces, however low the rate is.
 MAX_WAIT_SECONDS = 60.0
-# An entry without tokens waits at least this long before its next Borrow, so
-# that a contract far above its limit costs few messages.
+# An entry without tokens waits at least this long before its next
+# QuotaRequest, so that a contract far above its limit costs few messages.
 MIN_WAIT_SECONDS = 0.05
-# How long the answer to a Borrow waits for recalled slots.
+# How long the answer to a QuotaRequest waits for recalled slots.
 RECALL_SECONDS = 0.05
 # How long slots count as scarce after a shortage. Meanwhile borrowers report
 # each freed slot at once.
 SCARCE_SECONDS = 1.0
-# The number of a Lend that recalls unused slots instead of answering a Borrow.
+# The number of a QuotaGrant that recalls unused slots instead of answering a
+# QuotaRequest.
 RECALL_NUMBER = 0
 
 
@@ -34,13 +35,13 @@
     Attributes:
         slots: number of slots.
         running: slots needed for running and waiting requests, as of the
-            borrower's last Borrow.
+            borrower's last QuotaRequest.
         until: when the lease expires.
         scarce: whether the borrower was notified that no slots are left and
             so reports each freed slot at once.
         recalled: whether a recall of unused slots was sent to the borrower.
-        life: the borrower's life in the Borrow behind this lease.
-        number: the number of that Borrow.
+        life: the borrower's life in the QuotaRequest behind this lease.
+        number: the number of that QuotaRequest.
     """
 
     slots: int
@@ -62,8 +63,8 @@
         until: when it is sent even if no slots have come back.
     """
 
-    borrow: messages.Borrow
-    answer: messages.Lend
+    borrow: messages.QuotaRequest
+    answer: messages.QuotaGrant
     until: float
 
 
@@ -72,7 +73,7 @@
     """A message to a borrower."""
 
     address: str
-    message: messages.Lend
+    message: messages.QuotaGrant
 
 
 @attrs.define(kw_only=True)
@@ -105,7 +106,7 @@
     pending: dict[str, Pending] = attrs.field(factory=dict)
 
     def lend(
-        self, borrower: str, borrow: messages.Borrow, now: float
+        self, borrower: str, borrow: messages.QuotaRequest, now: float
     ) -> list[Reply]:
         """Applies the borrower's report and lends what is available.
 
@@ -122,7 +123,7 @@
         self.refill(now)
         self.level += borrow.returned - borrow.debt
         self.level = min(self.level, self.burst)
-        answer = messages.Lend(
+        answer = messages.QuotaGrant(
             organisation=borrow.organisation,
             number=borrow.number,
             token_seconds=TOKEN_SECONDS,
@@ -163,7 +164,7 @@
             replies.append(Reply(address=borrower, message=pending.answer))
         return replies
 
-    def update_limits(self, borrow: messages.Borrow) -> None:
+    def update_limits(self, borrow: messages.QuotaRequest) -> None:
         """Applies the limits of a newer contract; ignores an older one."""
         if borrow.version <= self.version:
             return
@@ -194,7 +195,7 @@
         return not self.leases and self.level >= self.burst
 
     def _lend_tokens(
-        self, borrow: messages.Borrow, answer: messages.Lend
+        self, borrow: messages.QuotaRequest, answer: messages.QuotaGrant
     ) -> None:
         if not self.rate:
             answer.tokens = borrow.tokens
@@ -206,7 +207,9 @@
             wait = max(floor, (1.0 - self.level) / self.rate)
             answer.wait = min(wait, MAX_WAIT_SECONDS)
 
-    def _is_outdated(self, borrower: str, borrow: messages.Borrow) -> bool:
+    def _is_outdated(
+        self, borrower: str, borrow: messages.QuotaRequest
+    ) -> bool:
         lease = self.leases.get(borrower)
         if lease is None or lease.life != borrow.life:
             return False
@@ -215,8 +218,8 @@
     def _lend_slots(
         self,
         borrower: str,
-        borrow: messages.Borrow,
-        answer: messages.Lend,
+        borrow: messages.QuotaRequest,
+        answer: messages.QuotaGrant,
         now: float,
     ) -> list[Reply]:
         """Sets the slots of an answer; returns recalls if slots are short."""
@@ -256,7 +259,7 @@
             if address == borrower or lease.recalled or not unused:
                 continue
             lease.recalled = True
-            recall = messages.Lend(
+            recall = messages.QuotaGrant(
                 organisation=organisation, number=RECALL_NUMBER, scarce=True
             )
             replies.append(Reply(address=address, message=recall))
@@ -269,12 +272,12 @@
                 del self.leases[borrower]
 
 
-def burst_of(borrow: messages.Borrow) -> float:
+def burst_of(borrow: messages.QuotaRequest) -> float:
     """Returns the capacity of the token bucket, at least one request."""
     return max(1.0, float(borrow.burst))
 
 
-def open_ledger(borrow: messages.Borrow, now: float) -> Ledger:
+def open_ledger(borrow: messages.QuotaRequest, now: float) -> Ledger:
     """Returns a new ledger with a full bucket.
 
     After a change of owner the full bucket admits at most one burst too
--- a/pimentoledge/decisions/limit_accounts.py
+++ b/pimentoledge/decisions/limit_accounts.py
@@ -32,9 +32,9 @@
         promised_until: earliest retry time for the next refused caller;
             earlier times are already given to other callers.
         scarce: whether the owner has no slot left.
-        number: number of the last Borrow.
-        asked_at: when the last Borrow was sent; None once it is answered.
-        needed: slots that the last Borrow needed for running and waiting
+        number: number of the last QuotaRequest.
+        asked_at: when the last QuotaRequest was sent; None once it is answered.
+        needed: slots that the last QuotaRequest needed for running and waiting
             requests.
         arrival_seconds: moving average of the time between requests.
         hold_seconds: moving average of a request's running time.
--- a/pimentoledge/decisions/limits.py
+++ b/pimentoledge/decisions/limits.py
@@ -35,8 +35,8 @@
     Attributes:
         own_share: fraction of the limit that all entries together may use
             without borrowing from the owner.
-        chunk_seconds: duration of expected demand that one Borrow requests
-            tokens for.
+        chunk_seconds: duration of expected demand that one QuotaRequest
+            requests tokens for.
         answer_seconds: time after which an owner that has not answered
             counts as silent.
         probe_seconds: interval between Borrows sent to a silent owner.
@@ -87,7 +87,7 @@
 
 @attrs.frozen(kw_only=True)
 class Waiting:
-    """A Borrow is under way; a Decided follows within `answer_seconds`.
+    """A QuotaRequest is under way; a Decided follows within `answer_seconds`.
 
     Attributes:
         sends: messages to send, and decisions on other waiting requests.
@@ -141,7 +141,7 @@
             name: this entry's name.
             address: this entry's mailbox.
             seed: random number of this process's life, sent as `life` in
-                each Borrow, so that the owner can distinguish it from
+                each QuotaRequest, so that the owner can distinguish it from
                 earlier lives of this entry.
             policy: how limits are shared.
         """
@@ -244,14 +244,14 @@
         """Handles a message of another entry, or a tick.
 
         Args:
-            event: events.FromNode with a Borrow or a Lend, or
+            event: events.FromNode with a QuotaRequest or a QuotaGrant, or
                 events.Unreachable; any other value counts as a tick.
             now: monotonic time in seconds.
         """
         match event:
-            case events.FromNode(message=messages.Borrow() as borrow):
+            case events.FromNode(message=messages.QuotaRequest() as borrow):
                 return self._handle_borrow(event.sender, borrow, now)
-            case events.FromNode(message=messages.Lend() as lend):
+            case events.FromNode(message=messages.QuotaGrant() as lend):
                 return self._handle_lend(event.sender, lend, now)
             case events.Unreachable():
                 self._invalidate_leases(event.address, now)
@@ -392,7 +392,7 @@
     def _borrow_ahead(
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
-        """Sends a Borrow before the last token or slot is used."""
+        """Sends a QuotaRequest before the last token or slot is used."""
         contract = account.contract
         chunk = account.chunk(self.policy.chunk_seconds)
         few_tokens = contract.requests_per_second and (
@@ -413,7 +413,7 @@
     def _send_borrow(
         self, account: limit_accounts.Account, now: float, waiting: int = 0
     ) -> list[actions.Action | Decided]:
-        """Sends a Borrow, unless one is under way."""
+        """Sends a QuotaRequest, unless one is under way."""
         if account.asked_at is not None:
             return []
         borrow = self._make_borrow(account, now, waiting)
@@ -423,7 +423,7 @@
 
     def _make_borrow(
         self, account: limit_accounts.Account, now: float, waiting: int
-    ) -> messages.Borrow:
+    ) -> messages.QuotaRequest:
         contract = account.contract
         waiting += len(account.waiting)
         lapsed = account.tokens_until <= now
@@ -440,7 +440,7 @@
         account.number += 1
         account.asked_at = now
         account.needed = len(account.running) + waiting
-        borrow = messages.Borrow(
+        borrow = messages.QuotaRequest(
             organisation=contract.organisation,
             number=account.number,
             life=self.seed,
@@ -456,13 +456,13 @@
             slots=slots if contract.concurrency else 0,
         )
         account.debt = 0
-        # Slots that this Borrow gives back must not be used while the answer
-        # is under way: the owner may already have lent them again.
+        # Slots that this QuotaRequest gives back must not be used while the
+        # answer is under way: the owner may already have lent them again.
         account.slots = min(account.slots, borrow.slots)
         return borrow
 
     def _handle_borrow(
-        self, borrower: str, borrow: messages.Borrow, now: float
+        self, borrower: str, borrow: messages.QuotaRequest, now: float
     ) -> list[actions.Action | Decided]:
         ledger = self.ledgers.get(borrow.organisation)
         if ledger is None:
@@ -484,12 +484,12 @@
         return outputs
 
     def _handle_lend(
-        self, sender: str, lend: messages.Lend, now: float
+        self, sender: str, lend: messages.QuotaGrant, now: float
     ) -> list[actions.Action | Decided]:
         self.silent.pop(sender, None)
         account = self.accounts.get(lend.organisation)
-        # An answer to an older Borrow, or from a former owner, describes an
-        # outdated state; its tokens expire unspent.
+        # An answer to an older QuotaRequest, or from a former owner, describes
+        # an outdated state; its tokens expire unspent.
         if account is None or account.owner != sender:
             return []
         if lend.number == lending.RECALL_NUMBER:
@@ -514,7 +514,10 @@
             account.slots_until = min(account.slots_until, now)
 
     def _apply(
-        self, account: limit_accounts.Account, lend: messages.Lend, now: float
+        self,
+        account: limit_accounts.Account,
+        lend: messages.QuotaGrant,
+        now: float,
     ) -> None:
         asked_at = account.asked_at if account.asked_at is not None else now
         account.asked_at = None
@@ -574,9 +577,10 @@
             late = now - account.asked_at >= policy.answer_seconds
             if not late:
                 return []
-            # The Borrow or its answer is lost, or the owner is down or
+            # The QuotaRequest or its answer is lost, or the owner is down or
             # unreachable. Tokens lent in a lost answer are not recovered: a
-            # new Borrow may grant too few, but never the same tokens twice.
+            # new QuotaRequest may grant too few, but never the same tokens
+            # twice.
             account.asked_at = None
             self.silent.setdefault(account.owner, now)
             return self._decide_waiting(account, now)
--- a/pimentoledge/decisions/loads.py
+++ b/pimentoledge/decisions/loads.py
@@ -52,7 +52,7 @@
     """
 
     def __init__(self):
-        self.truth: messages.Truth | None = None
+        self.truth: messages.ServerStatus | None = None
         self.reported_at = 0.0
         self.backlog = 0.0
         self.drained_at = 0.0
@@ -88,7 +88,7 @@
         sent = Sent(number=self.count, tokens=tokens, at=now)
         self.uncovered.append(sent)
 
-    def reported(self, truth: messages.Truth, now: float):
+    def reported(self, truth: messages.ServerStatus, now: float):
         """Replaces the estimate by a report."""
         before = self.truth.received if self.truth else 0
         if truth.received < before:
--- a/pimentoledge/decisions/membership.py
+++ b/pimentoledge/decisions/membership.py
@@ -174,7 +174,9 @@
         """Records a timeout, which is weak evidence of a failure."""
         self._record_failure(server, now, soft=True)
 
-    def record_report(self, report: messages.Truth, now: float) -> ReportOrder:
+    def record_report(
+        self, report: messages.ServerStatus, now: float
+    ) -> ReportOrder:
         """Records an agent's report about its server.
 
         Args:
@@ -380,7 +382,7 @@
         if record.failures == 0 and not record.closed:
             del self.failure_records[server]
 
-    def _update_closed(self, report: messages.Truth, now: float) -> None:
+    def _update_closed(self, report: messages.ServerStatus, now: float) -> None:
         if report.leaving or report.loading:
             record = self._failure_record(report.server, now)
             if not record.closed:
@@ -400,7 +402,7 @@
         if record is not None and now >= record.left_at + self.timing.probe:
             record.closed = False
 
-    def _update_incarnation(self, report: messages.Truth) -> ReportOrder:
+    def _update_incarnation(self, report: messages.ServerStatus) -> ReportOrder:
         known = self.incarnations.get(report.server, ())
         if known and known[-1] == report.incarnation:
             return ReportOrder.CURRENT
--- a/pimentoledge/decisions/placement.py
+++ b/pimentoledge/decisions/placement.py
@@ -353,7 +353,7 @@
         pending.sent_at = now
         self.hints.add(pending.blocks, pending.life, now)
 
-    def learned(self, truth: messages.Truth, now: float):
+    def learned(self, truth: messages.ServerStatus, now: float):
         """Updates a server's load and engine life from its agent's report.
 
         A new incarnation or weights version invalidates the server's hints.
--- a/pimentoledge/decisions/quarantine.py
+++ b/pimentoledge/decisions/quarantine.py
@@ -270,7 +270,7 @@
         record = self.records.pop(fingerprint, None)
         if record is None or record.until <= now:
             return []
-        released = messages.Released(
+        released = messages.SuspectCleared(
             fingerprint=fingerprint, crashes=sorted(record.crashes)
         )
         fields: dict[str, object] = {
@@ -289,7 +289,7 @@
             case events.FromNode(message=messages.Suspects() as report):
                 self._merge(report, now)
                 return self._write(now)
-            case events.FromNode(message=messages.Released() as released):
+            case events.FromNode(message=messages.SuspectCleared() as released):
                 self._release(released)
                 return []
             case stores.StoreAnswer(call=call) if (
@@ -430,7 +430,7 @@
             # than the lifetime of a suspect's record.
             record.until = now + self.vanished_seconds
 
-    def _release(self, released: messages.Released) -> None:
+    def _release(self, released: messages.SuspectCleared) -> None:
         record = self.records.get(released.fingerprint)
         if record is None:
             return
@@ -562,7 +562,9 @@
         crash = self.crashes.pop(key, None)
         self.unwritten.pop(key, None)
         for fingerprint in crash.report.fingerprints if crash else ():
-            released = messages.Released(fingerprint=fingerprint, crashes=[key])
+            released = messages.SuspectCleared(
+                fingerprint=fingerprint, crashes=[key]
+            )
             self._release(released)
 
     def _clean_up(self, now: float) -> None:
--- a/pimentoledge/decisions/subscription.py
+++ b/pimentoledge/decisions/subscription.py
@@ -59,7 +59,7 @@
                 self._add_entry(event.sender, now)
             case events.FromNode(message=messages.PollAnswer() as answer):
                 return self._on_poll_answer(answer, event.sender)
-            case events.FromNode(message=messages.Fetch() as fetch):
+            case events.FromNode(message=messages.BucketRequest() as fetch):
                 return self._answer_fetch(fetch, event.sender)
             case events.Unreachable(address=address):
                 self._unreachable_until[address] = now + UNREACHABLE_SECONDS
@@ -113,7 +113,7 @@
             for path, record in bucket_records.items()
         ]
         held = [
-            messages.Held(
+            messages.BucketState(
                 number=number, digest=self.kept.buckets[number], known=known
             )
             for number, known in self._complete_to.items()
@@ -174,17 +174,19 @@
             bucket_repairs.bucket_fingerprints(self.kept, number)
             for number in differ
         ]
-        fetch = messages.Fetch(buckets=buckets, answer=False)
+        fetch = messages.BucketRequest(buckets=buckets, answer=False)
         return [actions.Send(address=sender, message=fetch)]
 
-    def _mark_complete(self, held: list[messages.Held]) -> None:
+    def _mark_complete(self, held: list[messages.BucketState]) -> None:
         for each in held:
             same = self.kept.buckets[each.number] == each.digest
             if each.number in self._complete_to and same:
                 known = max(self._complete_to[each.number], each.known)
                 self._complete_to[each.number] = known
 
-    def _answer_fetch(self, fetch: messages.Fetch, sender: str) -> Actions:
+    def _answer_fetch(
+        self, fetch: messages.BucketRequest, sender: str
+    ) -> Actions:
         fetch.buckets = [
             b for b in fetch.buckets if b.number in self._complete_to
         ]
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -65,11 +65,11 @@
             seeds=chosen.listed("peers"),
             first_key=chosen.text("operator-key-digest"),
         )
-        self.loop = loops.Loop(
+        self.loop = loops.EventLoop(
             core=self.core,
             mailbox_address=chosen.text("mailbox"),
             perform=self.perform,
-            on_defect=_answer_defect,
+            on_error=_answer_defect,
         )
         self.store = store_tasks.StoreTask(
             client=self.object_client(), deliver=self.loop.inbox.put
@@ -138,7 +138,7 @@
         time.sleep(self.chosen.number("drain-seconds"))
         self.loop.inbox.put(events.Drain())
         until = time.monotonic() + self.chosen.number("shutdown-seconds")
-        while time.monotonic() < until and not self.loop.ask(_is_idle):
+        while time.monotonic() < until and not self.loop.query(_is_idle):
             time.sleep(IDLE_CHECK_SECONDS)
 
     def close(self) -> None:
@@ -174,7 +174,7 @@
 
     def alive(self) -> bool:
         """Returns whether the state machine's thread answers."""
-        return self.loop.ask(_is_idle) is not None
+        return self.loop.query(_is_idle) is not None
 
     def refresh_metrics(self) -> None:
         """Brings the gauges up to date."""
@@ -202,7 +202,7 @@
             contract = core.configuration.contract_by_key(key_digest)
             return None if contract is None else list(contract.models)
 
-        return self.loop.ask(find)
+        return self.loop.query(find)
 
     def perform(self, todo: list[actions.Action]) -> None:
         """Carries out actions other than sending."""
--- a/pimentoledge/nodes/configuration_messages.py
+++ b/pimentoledge/nodes/configuration_messages.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define(kw_only=True)
-class Held:
+class BucketState:
     """A bucket as a node has it.
 
     Attributes:
@@ -31,7 +31,7 @@
     """
 
     objects: list[stores.Object]
-    done: list[Held] = attrs.field(factory=list)
+    done: list[BucketState] = attrs.field(factory=list)
 
 
 @attrs.define(kw_only=True)
@@ -87,7 +87,7 @@
 
 
 @attrs.define(kw_only=True)
-class Bucket:
+class BucketContents:
     """What the sender has in one bucket.
 
     Attributes:
@@ -100,7 +100,7 @@
 
 
 @attrs.define(kw_only=True)
-class Fetch:
+class BucketRequest:
     """Send me what these buckets hold beyond what I list.
 
     Attributes:
@@ -108,7 +108,7 @@
         answer: whether the receiver may ask back for what it lacks itself.
     """
 
-    buckets: list[Bucket]
+    buckets: list[BucketContents]
     answer: bool = True
 
 
@@ -124,7 +124,7 @@
 
     server: str
     versions: list[tuple[str, int]]
-    held: list[Held]
+    held: list[BucketState]
 
 
 @attrs.define(kw_only=True)
@@ -141,18 +141,18 @@
 
     known: int
     entries: list[str]
-    held: list[Held]
+    held: list[BucketState]
     runners: int = 0
 
 
 @attrs.define(kw_only=True)
-class StatusAsk:
+class StatusRequest:
     """Entry to entry: an operator asks what is in force at you."""
 
 
 @attrs.define(kw_only=True)
-class StatusTell:
-    """Entry to entry: answer to StatusAsk.
+class StatusAnswer:
+    """Entry to entry: answer to StatusRequest.
 
     Attributes:
         name: the sender's name.
@@ -179,9 +179,9 @@
     50: Changes,
     51: Digest,
     52: Summary,
-    53: Fetch,
+    53: BucketRequest,
     54: Poll,
     55: PollAnswer,
-    56: StatusAsk,
-    57: StatusTell,
+    56: StatusRequest,
+    57: StatusAnswer,
 }
--- a/pimentoledge/nodes/loops.py
+++ b/pimentoledge/nodes/loops.py
@@ -20,11 +20,11 @@
 ASK_SECONDS = 5.0
 # Events handled before the actions are carried out: bounds the delay of the
 # first of them under a burst.
-BATCH = 64
+MAX_BATCH = 64
 
 
 @attrs.define(kw_only=True)
-class Question:
+class Query:
     """Asks something of the state machine, from another thread.
 
     Attributes:
@@ -36,7 +36,7 @@
     answer: queue.SimpleQueue[object] = attrs.field(factory=queue.SimpleQueue)
 
 
-class Loop:
+class EventLoop:
     """Gives events to a state machine and carries out its actions.
 
     Attributes:
@@ -45,7 +45,7 @@
         inbox: events from the other threads.
         mailbox: connection to the other processes.
         perform: carries out every action other than Send.
-        on_defect: what to do about an event that met a defect.
+        on_error: what to do about an event that met a defect.
         closing: whether `close` was called.
         stopped: whether the thread handles nothing more.
     """
@@ -56,11 +56,11 @@
         core: object,
         mailbox_address: str,
         perform: Callable[[list[actions.Action]], None],
-        on_defect: Callable[[object], list[actions.Action]] = lambda _: [],
+        on_error: Callable[[object], list[actions.Action]] = lambda _: [],
     ):
         self.core = core
         self.perform = perform
-        self.on_defect = on_defect
+        self.on_error = on_error
         self.inbox: queue.SimpleQueue[object] = queue.SimpleQueue()
         self.mailbox = mailboxes.Mailbox(
             address=mailbox_address, deliver=self.inbox.put
@@ -68,7 +68,7 @@
         self.thread = threading.Thread(target=self.run, name="loop")
         self.closing = False
         self.stopped = False
-        self.expired = 0.0
+        self.last_expiry = 0.0
 
     def start(self) -> None:
         """Opens the mailbox; `run_thread` then starts the work."""
@@ -86,13 +86,13 @@
             self.thread.join()
         self.mailbox.close()
 
-    def ask(self, function: Callable[[object], object]) -> object:
+    def query(self, function: Callable[[object], object]) -> object:
         """Calls a function with the state machine, in its own thread.
 
         For other threads; returns its result, or None while closing and
         when the state machine did not answer in ASK_SECONDS.
         """
-        question = Question(function=function)
+        question = Query(function=function)
         self.inbox.put(question)
         until = time.monotonic() + ASK_SECONDS
         while not self.closing and time.monotonic() < until:
@@ -105,9 +105,9 @@
     def run(self) -> None:
         """Handles events until closed."""
         while not self.stopped:
-            self.turn(self.gather())
+            self.handle_batch(self.collect_batch())
 
-    def gather(self) -> list[object]:
+    def collect_batch(self) -> list[object]:
         """Waits for events until the next timer, and takes a batch."""
         wait = LONGEST_WAIT
         wake = self.core.next_wake()
@@ -117,11 +117,11 @@
             batch = [self.inbox.get(timeout=wait)]
         except queue.Empty:
             return []
-        while len(batch) < BATCH and not self.inbox.empty():
+        while len(batch) < MAX_BATCH and not self.inbox.empty():
             batch.append(self.inbox.get())
         return batch
 
-    def turn(self, batch: list[object]) -> None:
+    def handle_batch(self, batch: list[object]) -> None:
         """Handles a batch and whatever timer is due."""
         now = time.monotonic()
         todo: list[actions.Action] = []
@@ -131,9 +131,9 @@
         if wake is not None and wake <= now:
             todo += self.guarded(None, self.core.tick, now)
         todo += self.guarded(None, self.core.flush)
-        self.guarded(None, self.carry_out, todo, now)
-        if now - self.expired > LONGEST_WAIT:
-            self.expired = now
+        self.guarded(None, self.dispatch_actions, todo, now)
+        if now - self.last_expiry > LONGEST_WAIT:
+            self.last_expiry = now
             self.mailbox.expire(now, self.core.partners())
 
     def guarded(
@@ -149,14 +149,14 @@
             return function(*arguments) or []
         except Exception:
             logger.critical("defect: {}", traceback.format_exc())
-            return self.on_defect(event)
+            return self.on_error(event)
 
     def handle(self, event: object, now: float) -> list[actions.Action]:
         """Handles one event."""
         match event:
             case None:
                 self.stopped = True
-            case Question():
+            case Query():
                 event.answer.put(event.function(self.core))
             case mailboxes.PeerUp() | mailboxes.PeerDown():
                 self.mailbox.handle(event)
@@ -164,7 +164,7 @@
                 return self.core.handle(event, now)
         return []
 
-    def carry_out(self, todo: list[actions.Action], now: float) -> None:
+    def dispatch_actions(self, todo: list[actions.Action], now: float) -> None:
         """Sends what is to be sent and hands the rest to the daemon."""
         rest = []
         version = self.core.configuration.version
--- a/pimentoledge/nodes/messages.py
+++ b/pimentoledge/nodes/messages.py
@@ -56,7 +56,7 @@
 
 
 @attrs.define(kw_only=True)
-class Truth:
+class ServerStatus:
     """What an agent knows of its own backend server; corrects hints.
 
     Attributes:
@@ -147,7 +147,7 @@
 
     request: str
     attempt: int
-    truth: Truth
+    truth: ServerStatus
 
 
 @attrs.define(kw_only=True)
@@ -165,7 +165,7 @@
     request: str
     attempt: int
     code: int
-    truth: Truth
+    truth: ServerStatus
     retry_after: float = 0.0
 
 
@@ -219,7 +219,7 @@
     prompt_tokens: int
     cached_tokens: int
     completion_tokens: int
-    truth: Truth
+    truth: ServerStatus
 
 
 @attrs.define(kw_only=True)
@@ -241,7 +241,7 @@
     status: int
     headers: list[tuple[str, str]]
     body: bytes
-    truth: Truth
+    truth: ServerStatus
     replayed: bool = False
 
 
@@ -263,7 +263,7 @@
     attempt: int
     code: int
     ran: str
-    truth: Truth
+    truth: ServerStatus
     suspects: list[bytes] = attrs.field(factory=list)
     incarnation: str = ""
 
@@ -288,7 +288,7 @@
 
 
 @attrs.define(kw_only=True)
-class Report:
+class ProbeAnswer:
     """Agent to entry: answer to Probe.
 
     Attributes:
@@ -296,12 +296,12 @@
         unknown: requests named in the probe that are not held here.
     """
 
-    truth: Truth
+    truth: ServerStatus
     unknown: list[str] = attrs.field(factory=list)
 
 
 @attrs.define(kw_only=True)
-class Borrow:
+class QuotaRequest:
     """Entry to the entry that owns a contract's limits: lend to me.
 
     Levels (`running`, `slots`) are absolute, so a lost or repeated message
@@ -340,16 +340,16 @@
 
 
 @attrs.define(kw_only=True)
-class Lend:
-    """Answer to Borrow, or a recall of slots that are lent and unused.
+class QuotaGrant:
+    """Answer to QuotaRequest, or a recall of slots that are lent and unused.
 
     Attributes:
         organisation: whose contract.
-        number: that of the Borrow; 0 for a recall.
+        number: that of the QuotaRequest; 0 for a recall.
         tokens: tokens lent; they lapse after `token_seconds`.
         slots: concurrent requests that the receiver may run, in all.
-        token_seconds: from the sending of the Borrow.
-        slot_seconds: from the sending of the Borrow.
+        token_seconds: from the sending of the QuotaRequest.
+        slot_seconds: from the sending of the QuotaRequest.
         wait: seconds until a token will be there; 0 when some were lent or
             none was wanted.
         scarce: whether no slot is free now; who ends a request says so at
@@ -385,7 +385,7 @@
 
 
 @attrs.define(kw_only=True)
-class Released:
+class SuspectCleared:
     """Entry to entry: an engine completed this suspect.
 
     Attributes:
@@ -411,10 +411,10 @@
     8: Failed,
     9: Cancel,
     10: Probe,
-    11: Report,
-    30: Borrow,
-    31: Lend,
+    11: ProbeAnswer,
+    30: QuotaRequest,
+    31: QuotaGrant,
     40: Suspects,
-    41: Released,
+    41: SuspectCleared,
     **configuration_messages.NUMBERS,
 }
--- a/pimentoledge/tests/test_admission.py
+++ b/pimentoledge/tests/test_admission.py
@@ -17,7 +17,7 @@
         "slots": 4,
         "token_seconds": 0.001,
     }
-    return messages.Truth(**{**fields, **changes})
+    return messages.ServerStatus(**{**fields, **changes})
 
 
 def dispatch(request, organisation="o", **changes):
--- a/pimentoledge/tests/test_entry_streams.py
+++ b/pimentoledge/tests/test_entry_streams.py
@@ -53,7 +53,7 @@
     runs: list[Run] = attrs.field(factory=list)
 
     def truth(self):
-        return messages.Truth(
+        return messages.ServerStatus(
             server=self.name,
             incarnation=f"{self.name}-{self.life}",
             weights="w1",
@@ -276,7 +276,7 @@
                 running = {run.request for run in agent.runs}
                 unknown = [r for r in message.requests if r not in running]
                 agent.outbox.append(
-                    messages.Report(truth=agent.truth(), unknown=unknown)
+                    messages.ProbeAnswer(truth=agent.truth(), unknown=unknown)
                 )
 
     def generate(self, agent, run, count):
--- a/pimentoledge/tests/test_limits.py
+++ b/pimentoledge/tests/test_limits.py
@@ -248,7 +248,7 @@
 
 
 def borrow(number, **fields):
-    return messages.Borrow(
+    return messages.QuotaRequest(
         organisation="acme", version=1, number=number, concurrency=6, **fields
     )
 
@@ -270,8 +270,9 @@
 def test_a_slot_under_return_is_not_used():
     """A slot that is being given back would be used by two entries.
 
-    A request arrives while the Borrow that gives back unused slots is under
-    way. The owner lends them to another entry when it receives the message.
+    A request arrives while the QuotaRequest that gives back unused slots is
+    under way. The owner lends them to another entry when it receives the
+    message.
     """
     address, other = [
         each for each in ENTRIES if each != Net().nodes[each].owner_of("acme")
@@ -284,7 +285,7 @@
     for number in range(3):
         node.release(f"r{number}", 0.1)
     account = node.accounts["acme"]
-    recall = messages.Lend(organisation="acme", number=0, scarce=True)
+    recall = messages.QuotaGrant(organisation="acme", number=0, scarce=True)
     event = events.FromNode(sender=account.owner, message=recall)
     (send,) = node.handle(event, 0.2)
     assert send.message.slots == 1
--- a/pimentoledge/tests/test_membership.py
+++ b/pimentoledge/tests/test_membership.py
@@ -19,7 +19,9 @@
 
 
 def _truth(server="a", incarnation="1", **fields):
-    return messages.Truth(server=server, incarnation=incarnation, **fields)
+    return messages.ServerStatus(
+        server=server, incarnation=incarnation, **fields
+    )
 
 
 def _fleet():
--- a/pimentoledge/tests/test_nodes.py
+++ b/pimentoledge/tests/test_nodes.py
@@ -49,7 +49,7 @@
 
 
 def test_every_message_survives_the_codec():
-    truth = messages.Truth(server="s")
+    truth = messages.ServerStatus(server="s")
     dispatch = messages.Dispatch(
         request="r",
         attempt=1,
@@ -175,11 +175,11 @@
     frame and break; if the thread ended, all would hang.
     """
     core, defects = Core(), []
-    loop = loops.Loop(
+    loop = loops.EventLoop(
         core=core,
         mailbox_address="tcp://127.0.0.1:0",
         perform=lambda todo: None,
-        on_defect=lambda event: defects.append(event) or [],
+        on_error=lambda event: defects.append(event) or [],
     )
     loop.start()
     for event in ("one", "bad", "two"):
--- a/pimentoledge/tests/test_openai_client.py
+++ b/pimentoledge/tests/test_openai_client.py
@@ -45,7 +45,7 @@
     entry = emulator.add_entry("entry")
     until(entry.ready)
     until(
-        lambda: entry.loop.ask(
+        lambda: entry.loop.query(
             lambda core: len(core.configuration.servers("runner", "m")) == 2
             and len(core.configuration.servers("service", "cards")) == 1
         )
--- a/pimentoledge/tests/test_outages.py
+++ b/pimentoledge/tests/test_outages.py
@@ -255,7 +255,7 @@
     def kept():
         found = set()
         for each in [*emulator.runners.values(), *emulator.services.values()]:
-            found |= each.daemon.loop.ask(paths_kept)
+            found |= each.daemon.loop.query(paths_kept)
         return wanted <= found
 
     processes.until(kept)
--- a/pimentoledge/tests/test_path.py
+++ b/pimentoledge/tests/test_path.py
@@ -31,7 +31,7 @@
     servers = len(emulator.runners) + len(emulator.services)
     processes.until(
         lambda: len(
-            daemon.loop.ask(
+            daemon.loop.query(
                 lambda core: core.configuration.servers("runner", "m")
                 + core.configuration.servers("service", "cards")
             )
@@ -136,7 +136,7 @@
     response.read(64)
     response.close()
     processes.until(
-        lambda: not runner.daemon.loop.ask(lambda core: list(core.runs))
+        lambda: not runner.daemon.loop.query(lambda core: list(core.runs))
     )
     processes.until(lambda: not runner.engine.streams)
 
@@ -168,7 +168,7 @@
     draining = threading.Thread(target=entry.drain)
     draining.start()
     processes.until(lambda: not entry.ready())
-    processes.until(lambda: entry.loop.ask(lambda core: core.draining))
+    processes.until(lambda: entry.loop.query(lambda core: core.draining))
     late = ask(entry)
     assert late.status == 503
     error = json.loads(late.read())["error"]
@@ -232,7 +232,7 @@
     )
     emulator.vm_list.put(vm)
     processes.until(
-        lambda: entry.loop.ask(lambda core: core.membership.leaving_vms)
+        lambda: entry.loop.query(lambda core: core.membership.leaving_vms)
     )
     refused = ask(entry)
     error = json.loads(refused.read())["error"]
--- a/pimentoledge/tests/test_placement.py
+++ b/pimentoledge/tests/test_placement.py
@@ -27,7 +27,7 @@
         "slots": 8,
         "token_seconds": 0.001,
     }
-    return messages.Truth(server=name, **(values | fields))
+    return messages.ServerStatus(server=name, **(values | fields))
 
 
 def _wanted(request="r1", *, text=_TEXT, organisation="o", **fields):
--- a/pimentoledge/tests/test_streams.py
+++ b/pimentoledge/tests/test_streams.py
@@ -9,7 +9,7 @@
 from pimentoledge.nodes import messages
 
 REQUEST = "r-1"
-TRUTH = messages.Truth(server="runner-1")
+TRUTH = messages.ServerStatus(server="runner-1")
 
 
 def frame(sequence, attempt=1, request=REQUEST, text=None):
