--- a/benches/callers.py
+++ b/benches/callers.py
@@ -42,9 +42,9 @@
         self.gone: set[str] = set()
         self.stopped = False
 
-    def submit(self, request) -> replies.Replies:
+    def submit(self, request) -> replies.ReplyQueue:
         """Takes a request, as an entry's core does."""
-        waiting = replies.Replies(limit_bytes=_BUFFER)
+        waiting = replies.ReplyQueue(limit_bytes=_BUFFER)
         self.fresh.put((request, waiting))
         return waiting
 
@@ -110,7 +110,7 @@
         max_body_bytes=1 << 20,
         buffer_bytes=_BUFFER,
         submit=core.submit,
-        gone=core.gone.add,
+        on_caller_left=core.gone.add,
         models=lambda key: [],
         ready=lambda: True,
     )
--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -268,13 +268,13 @@
     """Processor time of a token from the state machine to its thread."""
     points = []
     for pieces in (1, 4, 16):
-        waiting = replies.Replies(limit_bytes=1 << 20)
+        waiting = replies.ReplyQueue(limit_bytes=1 << 20)
         text = actions.ReplyText(request="r", text=" word", tokens=1)
 
         def one(waiting=waiting, text=text, pieces=pieces):
             for _ in range(pieces):
                 waiting.put(text)
-            waiting.take(0)
+            waiting.get_all(0)
 
         points.append((pieces, cpu(one, 5000)))
     what = "entry: processor time of putting and taking texts, by their number"
--- a/pimentoledge/callers/answers.py
+++ b/pimentoledge/callers/answers.py
@@ -13,7 +13,7 @@
 from pimentoledge.callers import faults
 from pimentoledge.decisions import actions
 
-DONE = b"data: [DONE]\n\n"
+DONE_EVENT = b"data: [DONE]\n\n"
 
 _encode = msgspec.json.Encoder().encode
 # Stands for the text while a template is encoded; cut out again afterwards.
@@ -34,7 +34,7 @@
     return b"data: " + _encode(content) + b"\n\n"
 
 
-class CallerAnswer:
+class CompletionEncoder:
     """Builds the answer to one completion.
 
     Attributes:
@@ -46,7 +46,7 @@
 
     __slots__ = ("asked", "before", "behind", "common")
 
-    def __init__(self, *, request: str, asked: completions.Asked):
+    def __init__(self, *, request: str, asked: completions.CompletionRequest):
         self.asked = asked
         prefix = "chatcmpl-" if asked.chat else "cmpl-"
         self.common = {
@@ -59,7 +59,7 @@
         # The last mark is the text; a model's name could hold another.
         self.before, _, self.behind = template.rpartition(_ENCODED_MARK)
 
-    def first(self) -> bytes:
+    def encode_start(self) -> bytes:
         """Returns what a stream begins with: the role, in a chat."""
         if not self.asked.chat:
             return b""
@@ -67,18 +67,18 @@
         choice = {"index": 0, "delta": delta, "finish_reason": None}
         return _event(self._chunk([choice]))
 
-    def piece(self, text: str) -> bytes:
+    def encode_text(self, text: str) -> bytes:
         """Returns the event of one piece of text."""
         return self.before + _encode(text) + self.behind
 
-    def last(self, end: actions.ReplyEnd) -> bytes:
+    def encode_end(self, end: actions.ReplyEnd) -> bytes:
         """Returns what a complete stream ends with."""
         events = _event(self._chunk([self._last_choice(end.reason)]))
         if self.asked.include_usage:
             events += _event({**self._chunk([]), "usage": _usage(end)})
-        return events + DONE
+        return events + DONE_EVENT
 
-    def whole(self, text: str, end: actions.ReplyEnd) -> bytes:
+    def encode_response(self, text: str, end: actions.ReplyEnd) -> bytes:
         """Returns an answer that isn't streamed."""
         choice = {"index": 0, "logprobs": None, "finish_reason": end.reason}
         if self.asked.chat:
@@ -117,12 +117,12 @@
         return choice
 
 
-def failure(error: results.Error) -> bytes:
+def encode_failure(error: results.Error) -> bytes:
     """Returns the event that ends a stream that can't be completed."""
-    return b"data: " + faults.body(error) + b"\n\n"
+    return b"data: " + faults.error_body(error) + b"\n\n"
 
 
-def models(names: list[str]) -> bytes:
+def encode_models(names: list[str]) -> bytes:
     """Returns the answer to GET /v1/models."""
     data = [
         {
--- a/pimentoledge/callers/completions.py
+++ b/pimentoledge/callers/completions.py
@@ -114,7 +114,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Asked:
+class CompletionRequest:
     """A completion that a caller asked for.
 
     Attributes:
@@ -135,7 +135,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Fault:
+class BodyError:
     """A body that can't be taken.
 
     Attributes:
@@ -153,7 +153,9 @@
 _encode = msgspec.json.Encoder().encode
 
 
-def read(body: bytes, *, chat: bool) -> result.Result[Asked, Fault]:
+def parse(
+    body: bytes, *, chat: bool
+) -> result.Result[CompletionRequest, BodyError]:
     """Reads the body of a completion.
 
     Args:
@@ -161,7 +163,7 @@
         chat: whether it came to /v1/chat/completions.
 
     Returns:
-        What was asked for, or the Fault that makes the body unusable.
+        What was asked for, or the BodyError that makes the body unusable.
     """
     try:
         fields = _decode_fields(body)
@@ -177,31 +179,31 @@
     return result.Success(_asked(asked, fields, chat))
 
 
-def _not_json(text: str) -> Fault:
+def _not_json(text: str) -> BodyError:
     message = f"the body is not valid JSON: {text}"
     error = results.Error(code=results.Code.BAD_JSON, text=message)
-    return Fault(error=error)
+    return BodyError(error=error)
 
 
-def _invalid(text: str) -> Fault:
+def _invalid(text: str) -> BodyError:
     place = _PLACE.search(text)
     param = place.group(1) if place is not None else None
     error = results.Error(code=results.Code.BAD_FIELD, text=text)
-    return Fault(error=error, param=param)
+    return BodyError(error=error, param=param)
 
 
-def _unsupported(fields: dict[str, msgspec.Raw]) -> Fault | None:
+def _unsupported(fields: dict[str, msgspec.Raw]) -> BodyError | None:
     for name in _UNSUPPORTED:
         if name in fields and bytes(fields[name]) not in _EMPTY:
             text = f"the field {name} is not supported"
             error = results.Error(code=results.Code.BAD_FIELD, text=text)
-            return Fault(error=error, param=name)
+            return BodyError(error=error, param=name)
     return None
 
 
 def _asked(
     body: _ChatBody | _TextBody, fields: dict[str, msgspec.Raw], chat: bool
-) -> Asked:
+) -> CompletionRequest:
     model, _, adapter = body.model.partition(":")
     limit = body.max_completion_tokens or body.max_tokens or DEFAULT_MAX_TOKENS
     for name in _OWN_FIELDS:
@@ -214,7 +216,7 @@
         parameters=_encode(fields),
     )
     options = body.stream_options
-    return Asked(
+    return CompletionRequest(
         completion=completion,
         name=body.model,
         chat=chat,
--- a/pimentoledge/callers/faults.py
+++ b/pimentoledge/callers/faults.py
@@ -9,7 +9,7 @@
 _encode = msgspec.json.Encoder().encode
 
 
-def body(error: results.Error, param: str | None = None) -> bytes:
+def error_body(error: results.Error, param: str | None = None) -> bytes:
     """Returns the error object as JSON.
 
     Args:
@@ -19,7 +19,7 @@
     return _encode({"error": error.fields(param)})
 
 
-def headers(error: results.Error) -> list[tuple[str, str]]:
+def error_headers(error: results.Error) -> list[tuple[str, str]]:
     """Returns the headers that go with an error."""
     found = [("Content-Type", "application/json")]
     if error.retry_after > 0:
--- a/pimentoledge/callers/gateways.py
+++ b/pimentoledge/callers/gateways.py
@@ -24,8 +24,8 @@
 from pimentoledge.callers import answers
 from pimentoledge.callers import completions
 from pimentoledge.callers import faults
-from pimentoledge.callers import passing
 from pimentoledge.callers import replies
+from pimentoledge.callers import service_calls
 from pimentoledge.callers import writers
 from pimentoledge.decisions import actions
 from pimentoledge.decisions import events
@@ -78,12 +78,12 @@
     trace: str
 
 
-def digest(key: str) -> str:
+def digest_key(key: str) -> str:
     """Returns the hexadecimal BLAKE2b-256 digest of an API key."""
     return hashlib.blake2b(key.encode(), digest_size=32).hexdigest()
 
 
-class Gateway(server.Gateway):
+class CallerGateway(server.Gateway):
     """Answers one request.
 
     Attributes:
@@ -128,7 +128,7 @@
             return self._models()
         if self.path in _COMPLETIONS:
             return self._admit(self._completion, methods=("POST",))
-        if self.path.startswith(passing.ROOT):
+        if self.path.startswith(service_calls.SERVICES_ROOT):
             return self._admit(self._service, methods=None)
         return self._refuse(results.Code.NOT_FOUND)
 
@@ -143,7 +143,7 @@
         names = self.owner.models(self._key_digest())
         if names is None:
             return self._refuse(results.Code.BAD_KEY)
-        return self._send(200, [_JSON], answers.models(names))
+        return self._send(200, [_JSON], answers.encode_models(names))
 
     def _admit(self, serve, *, methods: tuple[str, ...] | None) -> None:
         if methods is not None and self._method() not in methods:
@@ -177,7 +177,7 @@
 
     def _completion(self, head: _Head, body: bytes) -> None:
         chat = _COMPLETIONS[self.path]
-        match completions.read(body, chat=chat):
+        match completions.parse(body, chat=chat):
             case result.Failure(fault):
                 return self._fail(fault.error, fault.param)
             case result.Success(asked):
@@ -188,13 +188,13 @@
         # answers of services only, would refuse each resend as running.
         request.idempotency_key = ""
         request.completion = asked.completion
-        answer = answers.CallerAnswer(request=request.request, asked=asked)
+        answer = answers.CompletionEncoder(request=request.request, asked=asked)
         waiting = self.owner.submit(request)
         relay = self._stream if asked.stream else self._whole
         return self._relay(request.request, relay, waiting, answer)
 
     def _service(self, head: _Head, body: bytes) -> None:
-        call = passing.call(
+        call = service_calls.parse_call(
             method=self._method(),
             target=self.req.uri.decode("latin-1"),
             headers=self._headers(),
@@ -213,10 +213,10 @@
         except _CutError:
             raise
         except Exception:
-            self.owner.gone(request)
+            self.owner.on_caller_left(request)
             raise
 
-    def _answer(self, waiting: replies.Replies) -> None:
+    def _answer(self, waiting: replies.ReplyQueue) -> None:
         for reply in self._first(waiting):
             match reply:
                 case actions.ReplyAnswer():
@@ -225,7 +225,7 @@
                     self._fail(reply.error)
 
     def _whole(
-        self, waiting: replies.Replies, answer: answers.CallerAnswer
+        self, waiting: replies.ReplyQueue, answer: answers.CompletionEncoder
     ) -> None:
         texts = []
         for reply in self._all(waiting):
@@ -233,7 +233,7 @@
                 case actions.ReplyText():
                     texts.append(reply.text)
                 case actions.ReplyEnd():
-                    body = answer.whole("".join(texts), reply)
+                    body = answer.encode_response("".join(texts), reply)
                     self._send(200, [_JSON], body)
                 case actions.ReplyAnswer():
                     self._pass_back(reply)
@@ -241,57 +241,59 @@
                     self._fail(reply.error)
 
     def _stream(
-        self, waiting: replies.Replies, answer: answers.CallerAnswer
+        self, waiting: replies.ReplyQueue, answer: answers.CompletionEncoder
     ) -> None:
         # Until the first reply it is open whether there will be a stream.
         for reply in self._first(waiting):
             match reply:
                 case actions.ReplyText():
-                    self._event_out(answer, answer.piece(reply.text))
+                    self._event_out(answer, answer.encode_text(reply.text))
                 case actions.ReplyEnd():
-                    return self._event_out(answer, answer.last(reply))
+                    return self._event_out(answer, answer.encode_end(reply))
                 case actions.ReplyAnswer():
                     return self._pass_back(reply)
                 case actions.ReplyError():
                     return self._break(reply.error)
         return self._rest(waiting, answer)
 
-    def _event_out(self, answer: answers.CallerAnswer, piece: bytes) -> None:
+    def _event_out(
+        self, answer: answers.CompletionEncoder, piece: bytes
+    ) -> None:
         if not self.req.sent_headers:
             self._begin(200, list(_STREAM))
-            piece = answer.first() + piece
+            piece = answer.encode_start() + piece
         self.req.write(piece)
 
     def _rest(
-        self, waiting: replies.Replies, answer: answers.CallerAnswer
+        self, waiting: replies.ReplyQueue, answer: answers.CompletionEncoder
     ) -> None:
         """Has the writer send the rest of a stream, and waits for its end."""
         sock = self.req.conn.socket
-        stream = writers.Stream(
-            waiting=waiting,
-            answer=answer,
+        stream = writers.OutgoingStream(
+            replies=waiting,
+            encoder=answer,
             sock=sock,
             chunked=self.req.chunked_write,
         )
         timeout = sock.gettimeout()
         sock.setblocking(False)
         match self.owner.writer.write(stream):
-            case writers.End.WHOLE:
+            case writers.StreamEnd.WHOLE:
                 sock.settimeout(timeout)
-            case writers.End.CUT:
+            case writers.StreamEnd.CUT:
                 raise _CutError
-            case writers.End.GONE:
+            case writers.StreamEnd.GONE:
                 raise _GoneError
 
-    def _first(self, waiting: replies.Replies) -> list[replies.Reply]:
-        while not (ready := waiting.take(POLL_SECONDS)):
+    def _first(self, waiting: replies.ReplyQueue) -> list[replies.Reply]:
+        while not (ready := waiting.get_all(POLL_SECONDS)):
             self._check_caller()
         return ready
 
-    def _all(self, waiting: replies.Replies) -> Iterator[replies.Reply]:
+    def _all(self, waiting: replies.ReplyQueue) -> Iterator[replies.Reply]:
         """Gives out all replies; wakes only for the last, and now and then."""
         over = threading.Event()
-        waiting.follow(lambda last: last and over.set())
+        waiting.set_listener(lambda last: last and over.set())
         while True:
             if not over.wait(POLL_SECONDS):
                 self._check_caller()
@@ -307,7 +309,7 @@
             return self._fail(error)
         # Neither [DONE] nor the last chunk follows: a client that overlooks
         # the error still can't take what it got for a whole answer.
-        self.req.write(answers.failure(error))
+        self.req.write(answers.encode_failure(error))
         raise _CutError
 
     def _abort(self) -> None:
@@ -332,7 +334,7 @@
             return
 
     def _pass_back(self, reply: actions.ReplyAnswer) -> None:
-        headers = passing.answer_headers(reply.headers)
+        headers = service_calls.answer_headers(reply.headers)
         if reply.replayed:
             headers.append(REPLAYED_HEADER)
         self._send(reply.status, headers, reply.body)
@@ -344,12 +346,16 @@
         error = results.Error(code=results.Code.METHOD_NOT_ALLOWED)
         allow = ("Allow", ", ".join(methods))
         self._send(
-            error.status(), [*faults.headers(error), allow], faults.body(error)
+            error.status(),
+            [*faults.error_headers(error), allow],
+            faults.error_body(error),
         )
 
     def _fail(self, error: results.Error, param: str | None = None) -> None:
         self._send(
-            error.status(), faults.headers(error), faults.body(error, param)
+            error.status(),
+            faults.error_headers(error),
+            faults.error_body(error, param),
         )
 
     def _text(self, status: int, body: bytes) -> None:
@@ -389,7 +395,7 @@
         scheme, _, key = self._header(b"Authorization").partition(" ")
         if scheme.lower() != "bearer" or not key.strip():
             return ""
-        return digest(key.strip())
+        return digest_key(key.strip())
 
     def _head(self) -> result.Result[_Head, results.Error]:
         key_digest = self._key_digest()
--- a/pimentoledge/callers/replies.py
+++ b/pimentoledge/callers/replies.py
@@ -19,7 +19,7 @@
 )
 
 
-class Replies:
+class ReplyQueue:
     """Replies to one request; one thread puts, one other thread takes.
 
     A caller that reads slowly must cost only its own stream, and no more
@@ -31,8 +31,9 @@
         limit_bytes: most text that may wait; one character counts as one.
         overrun: whether the bound was passed.
         waiting: replies not yet taken.
-        notify: told of replies that wait, instead of whoever waits in `take`;
-            its argument says whether the last reply may be among them.
+        notify: told of replies that wait, instead of whoever waits in
+            `get_all`; its argument says whether the last reply may be among
+            them.
         notified: whether `notify` was told of what waits now.
         put_bytes: text put so far; written only by the putting thread.
         taken_bytes: text taken so far; written only by the taking thread.
@@ -79,7 +80,7 @@
             self.notify(last)
         return True
 
-    def follow(self, notify: Callable[[bool], None]) -> None:
+    def set_listener(self, notify: Callable[[bool], None]) -> None:
         """Has a function told of replies, from now on.
 
         Replies may have been put before, even the last one, so the function
@@ -88,7 +89,7 @@
         self.notify = notify
         notify(True)
 
-    def take(self, timeout: float) -> list[Reply]:
+    def get_all(self, timeout: float) -> list[Reply]:
         """Waits for replies and takes all that there are.
 
         Args:
--- a/pimentoledge/callers/servers.py
+++ b/pimentoledge/callers/servers.py
@@ -62,7 +62,7 @@
         threads = owner.threads + SPARE_THREADS
         super().__init__(
             bind,
-            gateways.Gateway,
+            gateways.CallerGateway,
             minthreads=threads,
             maxthreads=threads,
             server_name="pimentoledge",
@@ -97,9 +97,9 @@
         threads: requests served at one time.
         max_body_bytes: largest body.
         buffer_bytes: bytes of an answer that the kernel may keep for a slow
-            caller, beside those that its Replies keep.
-        submit: hands a request to the core and returns its Replies.
-        gone: tells the core that a request's caller went away.
+            caller, beside those that its ReplyQueue keeps.
+        submit: hands a request to the core and returns its ReplyQueue.
+        on_caller_left: tells the core that a request's caller went away.
         models: models that an API key's digest may use; None for no such key.
         ready: whether the balancer should send callers here.
         writer: sends the streams.
@@ -114,8 +114,8 @@
         threads: int,
         max_body_bytes: int,
         buffer_bytes: int,
-        submit: Callable[[events.CallerRequest], replies.Replies],
-        gone: Callable[[str], None],
+        submit: Callable[[events.CallerRequest], replies.ReplyQueue],
+        on_caller_left: Callable[[str], None],
         models: Callable[[str], list[str] | None],
         ready: Callable[[], bool],
     ):
@@ -124,7 +124,7 @@
         self.max_body_bytes = max_body_bytes
         self.buffer_bytes = buffer_bytes
         self.submit = submit
-        self.gone = gone
+        self.on_caller_left = on_caller_left
         self.models = models
         self.ready = ready
         self.reading: dict[server.HTTPConnection, float] = {}
@@ -133,7 +133,7 @@
         self._numbers = itertools.count(1)
         self._open = threading.Semaphore(threads)
         self._closing = threading.Event()
-        self.writer = writers.Writer()
+        self.writer = writers.StreamWriter()
         self._server: _Server | None = None
         self._tasks: list[threading.Thread] = []
 
--- a/pimentoledge/callers/passing.py
+++ b/pimentoledge/callers/service_calls.py
@@ -4,7 +4,7 @@
 
 from pimentoledge.nodes import messages
 
-ROOT = "/services/"
+SERVICES_ROOT = "/services/"
 
 # Headers that belong to one connection, and those that the sender's HTTP
 # library sets by itself.
@@ -30,10 +30,10 @@
 )
 
 
-def call(
+def parse_call(
     *, method: str, target: str, headers: list[tuple[str, str]], body: bytes
 ) -> messages.ServiceCall | None:
-    """Returns the call that a request below ROOT asks for.
+    """Returns the call that a request below SERVICES_ROOT asks for.
 
     Args:
         method: HTTP method.
@@ -44,7 +44,7 @@
     Returns:
         The call; None if the path names no service.
     """
-    path, _, query = target.removeprefix(ROOT).partition("?")
+    path, _, query = target.removeprefix(SERVICES_ROOT).partition("?")
     service, _, rest = path.partition("/")
     if not service:
         return None
@@ -53,17 +53,17 @@
         method=method,
         path="/" + rest,
         query=query,
-        headers=without(headers, _HOP_BY_HOP | _OWN),
+        headers=remove_headers(headers, _HOP_BY_HOP | _OWN),
         body=body,
     )
 
 
 def answer_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
     """Returns the headers of a service's answer that go to the caller."""
-    return without(headers, _HOP_BY_HOP)
+    return remove_headers(headers, _HOP_BY_HOP)
 
 
-def without(
+def remove_headers(
     headers: list[tuple[str, str]], names: frozenset[str]
 ) -> list[tuple[str, str]]:
     """Returns headers without those named, or named by Connection."""
--- a/pimentoledge/callers/writers.py
+++ b/pimentoledge/callers/writers.py
@@ -31,7 +31,7 @@
 _log = logbook.Logger("writers")
 
 
-class End(enum.Enum):
+class StreamEnd(enum.Enum):
     """How the sending of a stream ended."""
 
     WHOLE = "whole"
@@ -40,31 +40,31 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Stream:
+class OutgoingStream:
     """A stream that the writer sends.
 
     Attributes:
-        waiting: where its replies come from.
-        answer: gives them their form.
+        replies: where its replies come from.
+        encoder: gives them their form.
         sock: the caller's socket, not blocking; the writer's until the end.
         chunked: whether the answer is sent in HTTP chunks.
-        rest: bytes that the socket did not take yet.
-        stuck: when it last took some, while there is a rest.
+        unsent: bytes that the socket did not take yet.
+        stalled_since: when it last took some, while there is a rest.
         end: how it ends once the rest is sent; None while it goes on.
         over: set when the writer is done with it.
     """
 
-    waiting: replies.Replies
-    answer: answers.CallerAnswer
+    replies: replies.ReplyQueue
+    encoder: answers.CompletionEncoder
     sock: socket.socket
     chunked: bool
-    rest: bytes = b""
-    stuck: float = 0.0
-    end: End | None = None
+    unsent: bytes = b""
+    stalled_since: float = 0.0
+    end: StreamEnd | None = None
     over: threading.Event = attrs.field(factory=threading.Event)
 
 
-class Writer:
+class StreamWriter:
     """Sends streams from a thread of its own.
 
     Attributes:
@@ -76,8 +76,10 @@
     """
 
     def __init__(self):
-        self.streams: dict[int, Stream] = {}
-        self.ready: collections.deque[Stream | None] = collections.deque()
+        self.streams: dict[int, OutgoingStream] = {}
+        self.ready: collections.deque[OutgoingStream | None] = (
+            collections.deque()
+        )
         self.sleeping = False
         self.blocked: set[int] = set()
         self.closing = False
@@ -102,15 +104,15 @@
         self.epoll.close()
         os.close(self.alarm)
 
-    def write(self, stream: Stream) -> End:
+    def write(self, stream: OutgoingStream) -> StreamEnd:
         """Sends a stream to its end; called by the caller's thread."""
-        stream.waiting.follow(functools.partial(self.notify, stream))
+        stream.replies.set_listener(functools.partial(self.notify, stream))
         while not stream.over.wait(STUCK_SECONDS):
             if not self.thread.is_alive():
-                return End.GONE
+                return StreamEnd.GONE
         return stream.end
 
-    def notify(self, stream: Stream | None, last: bool) -> None:
+    def notify(self, stream: OutgoingStream | None, last: bool) -> None:
         """Says that a stream has replies; any thread may call it."""
         del last  # The writer takes whatever there is.
         self.ready.append(stream)
@@ -129,7 +131,7 @@
                 checked = now
                 self._give_up_stuck(now)
         for stream in list(self.streams.values()):
-            self._finish(stream, End.GONE)
+            self._finish(stream, StreamEnd.GONE)
 
     def _wait(self) -> None:
         # `sleeping` is set before `ready` is looked at: whoever appends after
@@ -149,7 +151,7 @@
         if stream is None:
             return
         if seen & _CLOSED:
-            self._finish(stream, End.GONE)
+            self._finish(stream, StreamEnd.GONE)
         elif seen & select.EPOLLOUT:
             self._send(stream, b"")
 
@@ -164,60 +166,60 @@
                 self.epoll.register(fileno, _WATCHED)
             # While the socket is full, what comes waits in the bounded
             # Replies; there it may end the stream, but it takes no memory.
-            if not stream.rest:
+            if not stream.unsent:
                 self._send_or_cut(stream)
 
-    def _send_or_cut(self, stream: Stream) -> None:
+    def _send_or_cut(self, stream: OutgoingStream) -> None:
         try:
             self._send_replies(stream)
         except Exception:  # A defect met by one stream must not end them all.
             _log.critical("defect: {}", traceback.format_exc())
-            self._finish(stream, End.CUT)
+            self._finish(stream, StreamEnd.CUT)
 
-    def _send_replies(self, stream: Stream) -> None:
+    def _send_replies(self, stream: OutgoingStream) -> None:
         data = b""
-        for reply in stream.waiting.take_ready():
+        for reply in stream.replies.take_ready():
             match reply:
                 case actions.ReplyText():
-                    data += stream.answer.piece(reply.text)
+                    data += stream.encoder.encode_text(reply.text)
                 case actions.ReplyEnd():
-                    data += stream.answer.last(reply)
-                    stream.end = End.WHOLE
+                    data += stream.encoder.encode_end(reply)
+                    stream.end = StreamEnd.WHOLE
                 case actions.ReplyError():
-                    data += answers.failure(reply.error)
-                    stream.end = End.CUT
+                    data += answers.encode_failure(reply.error)
+                    stream.end = StreamEnd.CUT
         if data and stream.chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         if data:
             self._send(stream, data)
 
-    def _send(self, stream: Stream, data: bytes) -> None:
-        was_full = bool(stream.rest)
-        data = stream.rest + data
+    def _send(self, stream: OutgoingStream, data: bytes) -> None:
+        was_full = bool(stream.unsent)
+        data = stream.unsent + data
         try:
             sent = stream.sock.send(data)
         except BlockingIOError:
             sent = 0
         except OSError:
-            self._finish(stream, End.GONE)
+            self._finish(stream, StreamEnd.GONE)
             return
-        stream.rest = data[sent:]
-        if stream.rest:
+        stream.unsent = data[sent:]
+        if stream.unsent:
             self._block(stream, was_full, sent)
         elif stream.end is not None:
             self._finish(stream, stream.end)
         elif was_full:
             self._unblock(stream)
 
-    def _block(self, stream: Stream, was_full: bool, sent: int) -> None:
+    def _block(self, stream: OutgoingStream, was_full: bool, sent: int) -> None:
         if sent or not was_full:
-            stream.stuck = time.monotonic()
+            stream.stalled_since = time.monotonic()
         if not was_full:
             fileno = stream.sock.fileno()
             self.blocked.add(fileno)
             self.epoll.modify(fileno, _WATCHED | select.EPOLLOUT)
 
-    def _unblock(self, stream: Stream) -> None:
+    def _unblock(self, stream: OutgoingStream) -> None:
         fileno = stream.sock.fileno()
         self.blocked.discard(fileno)
         self.epoll.modify(fileno, _WATCHED)
@@ -226,10 +228,10 @@
     def _give_up_stuck(self, now: float) -> None:
         for fileno in list(self.blocked):
             stream = self.streams[fileno]
-            if now - stream.stuck > STUCK_SECONDS:
-                self._finish(stream, End.GONE)
+            if now - stream.stalled_since > STUCK_SECONDS:
+                self._finish(stream, StreamEnd.GONE)
 
-    def _finish(self, stream: Stream, end: End) -> None:
+    def _finish(self, stream: OutgoingStream, end: StreamEnd) -> None:
         fileno = stream.sock.fileno()
         if self.streams.pop(fileno, None) is None:
             return
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -100,11 +100,11 @@
             max_body_bytes=chosen.whole("max-body-bytes"),
             buffer_bytes=chosen.whole("stream-buffer-bytes"),
             submit=self.submit,
-            gone=self.gone,
+            on_caller_left=self.gone,
             models=self.models,
             ready=self.ready,
         )
-        self.replies: dict[str, replies.Replies] = {}
+        self.replies: dict[str, replies.ReplyQueue] = {}
         self.operators: dict[str, queue.SimpleQueue] = {}
         self.leaving = False
 
@@ -151,9 +151,9 @@
         self.loop.close()
         self.store.close()
 
-    def submit(self, event: events.CallerRequest) -> replies.Replies:
+    def submit(self, event: events.CallerRequest) -> replies.ReplyQueue:
         """Hands a request to the state machine; any thread may call it."""
-        answer = replies.Replies(
+        answer = replies.ReplyQueue(
             limit_bytes=self.chosen.whole("stream-buffer-bytes")
         )
         self.replies[event.request] = answer
--- a/pimentoledge/tests/test_callers.py
+++ b/pimentoledge/tests/test_callers.py
@@ -42,14 +42,14 @@
             max_body_bytes=LIMIT,
             buffer_bytes=16 * 1024,
             submit=self.submit,
-            gone=self.left.put,
+            on_caller_left=self.left.put,
             models=lambda key: ["m"] if key == DIGEST else None,
             ready=lambda: self.is_ready,
         )
         self.pool = urllib3.PoolManager(retries=False, timeout=WAIT)
 
     def submit(self, request):
-        waiting = replies.Replies(limit_bytes=LIMIT)
+        waiting = replies.ReplyQueue(limit_bytes=LIMIT)
         self.asked.put(request)
         self.script(request, waiting)
         return waiting
@@ -72,7 +72,7 @@
         return self.call("POST", "/v1/chat/completions", {**CHAT, **fields})
 
 
-DIGEST = gateways.digest("sesame")
+DIGEST = gateways.digest_key("sesame")
 
 
 @pytest.fixture(name="running", scope="module")
@@ -90,7 +90,7 @@
     running.is_ready = True
     running.asked = queue.Queue()
     running.left = queue.Queue()
-    running.server.gone = running.left.put
+    running.server.on_caller_left = running.left.put
     return running
 
 
--- a/pimentoledge/tests/test_entry_streams.py
+++ b/pimentoledge/tests/test_entry_streams.py
@@ -17,7 +17,7 @@
 from pimentoledge.decisions import stores
 from pimentoledge.nodes import messages
 
-KEY = gateways.digest("k")
+KEY = gateways.digest_key("k")
 TOKENS = 4
 SECONDS = 2.5
 SERVERS = 3
