--- a/benches/fakes.py
+++ b/benches/fakes.py
@@ -69,7 +69,7 @@
         token_seconds=1e-6,
         step_seconds=step_seconds,
     )
-    server = fake_servers.EngineServer(engine=engine)
+    server = fake_servers.FakeEngineServer(engine=engine)
     server.start()
     pipe.send(server.url)
     while pipe.recv() != "end":
@@ -155,7 +155,7 @@
     for number in range(count):
         run = run_of(number=number, tokens=1_000_000)
         if by == "receiver":
-            client.begin(run, "s", counter.take)
+            client.start_run(run, "s", counter.take)
             continue
         thread = threading.Thread(
             target=iterate, args=(client.run(run, "s"), counter)
--- a/benches/path.py
+++ b/benches/path.py
@@ -188,8 +188,10 @@
             model=_MODEL, prompt=prompt, max_tokens=tokens
         ),
     )
-    body = wires.encode(wires.Submission(run=run, salt="o"))
-    head = clients.head_of(path=wires.COMPLETIONS, key="", length=len(body))
+    body = wires.encode(wires.CompletionBody(run=run, salt="o"))
+    head = clients.head_of(
+        path=wires.COMPLETIONS_PATH, key="", length=len(body)
+    )
     return head + body
 
 
--- a/pimentoledge/agent.py
+++ b/pimentoledge/agent.py
@@ -178,11 +178,11 @@
         for action in todo:
             match action:
                 case actions.RunCompletion():
-                    self.backend.begin(action, action.salt, self.take)
+                    self.backend.start_run(action, action.salt, self.take)
                 case actions.RunCall():
                     self.pool.submit(self.run_call, action)
                 case actions.ResumeRun():
-                    self.backend.begin_resume(
+                    self.backend.start_resume(
                         action.request,
                         action.attempt,
                         action.index,
--- a/pimentoledge/commands/fakes.py
+++ b/pimentoledge/commands/fakes.py
@@ -16,7 +16,7 @@
 
 Server = (
     object_servers.ObjectServer
-    | engine_servers.EngineServer
+    | engine_servers.FakeEngineServer
     | fake_services.ServiceServer
     | stand_in_platforms.StandInPlatform
 )
@@ -78,7 +78,7 @@
                     token_seconds=float(self.option("token-seconds")),
                     step_seconds=float(self.option("step-seconds")),
                 )
-                return engine_servers.EngineServer(engine=engine, port=port)
+                return engine_servers.FakeEngineServer(engine=engine, port=port)
             case "platform":
                 return stand_in_platforms.StandInPlatform(port=port)
             case "service":
--- a/pimentoledge/emulators.py
+++ b/pimentoledge/emulators.py
@@ -34,7 +34,7 @@
 
     name: str
     engine: fake_engines.FakeEngine
-    server: engine_servers.EngineServer
+    server: engine_servers.FakeEngineServer
     daemon: agent.AgentDaemon
 
 
@@ -134,7 +134,7 @@
         fake = fake_engines.FakeEngine(
             name=name, slots=slots, cache_blocks=cache_blocks, **engine
         )
-        server = engine_servers.EngineServer(engine=fake)
+        server = engine_servers.FakeEngineServer(engine=fake)
         server.start()
         daemon = self.start_agent(
             name, "runner", server.url, slots, data_centre
--- a/pimentoledge/runners/engines.py
+++ b/pimentoledge/runners/engines.py
@@ -45,7 +45,7 @@
         self.pool = None
         self.starters = None
         self.closing = False
-        self.opening: set[stream_tasks.Reading] = set()
+        self.opening: set[stream_tasks.OpenStream] = set()
         self.task = stream_tasks.StreamTask(silence=silence)
 
     def start(self) -> None:
@@ -69,7 +69,7 @@
         # process until the engine speaks; the pool no longer knows its
         # connection.
         for reading in list(self.opening):
-            reading.cut()
+            reading.disconnect()
         self.starters.shutdown()
         self.task.close()
 
@@ -88,16 +88,16 @@
                 adapter and weights version.
         """
         return _Events(
-            begin=lambda deliver: self.begin(run, salt, deliver),
+            begin=lambda deliver: self.start_run(run, salt, deliver),
             abandon=self.abandon,
         )
 
-    def begin(
+    def start_run(
         self,
         run: actions.RunCompletion,
         salt: str,
         deliver: stream_tasks.Deliver,
-    ) -> stream_tasks.Reading:
+    ) -> stream_tasks.OpenStream:
         """Runs a completion and gives its events to a receiver.
 
         Returns at once. The receiver is called from the client's threads, one
@@ -110,11 +110,11 @@
             deliver: the receiver; it must not block.
         """
         reader = streams.StreamReader(request=run.request, attempt=run.attempt)
-        body = wires.encode(wires.Submission(run=run, salt=salt))
+        body = wires.encode(wires.CompletionBody(run=run, salt=salt))
         headers = {"traceparent": run.trace} if run.trace else {}
         call = Call(
             method="POST",
-            url=self.url + wires.COMPLETIONS,
+            url=self.url + wires.COMPLETIONS_PATH,
             body=body,
             headers=headers,
         )
@@ -131,19 +131,19 @@
             index: number of the first token that is still needed.
         """
         return _Events(
-            begin=lambda deliver: self.begin_resume(
+            begin=lambda deliver: self.start_resume(
                 request, attempt, index, deliver
             ),
             abandon=self.abandon,
         )
 
-    def begin_resume(
+    def start_resume(
         self,
         request: str,
         attempt: int,
         index: int,
         deliver: stream_tasks.Deliver,
-    ) -> stream_tasks.Reading:
+    ) -> stream_tasks.OpenStream:
         """Goes on with a stream, and gives its events to a receiver.
 
         Args:
@@ -159,7 +159,7 @@
         call = Call(method="GET", url=self._url(wires.RESUME, fields))
         return self._begin(reader, call, deliver)
 
-    def abandon(self, reading: stream_tasks.Reading) -> None:
+    def abandon(self, reading: stream_tasks.OpenStream) -> None:
         """Closes a stream's connection; the engine itself goes on."""
         self.task.abandon(reading)
 
@@ -171,7 +171,7 @@
 
     def status(self) -> events.EngineStatus:
         """Returns what the engine says; empty when it can't be reached."""
-        answer = self._call("GET", wires.STATUS)
+        answer = self._call("GET", wires.STATUS_PATH)
         status = _decoded(answer, wires.status_decoder)
         return status or events.EngineStatus()
 
@@ -195,12 +195,14 @@
             seconds: how long the engine may wait for the first one.
         """
         fields = {"after": after, "seconds": seconds}
-        answer = self._call("GET", wires.EVENTS, fields=fields, seconds=seconds)
+        answer = self._call(
+            "GET", wires.EVENTS_PATH, fields=fields, seconds=seconds
+        )
         return _decoded(answer, wires.cache_events_decoder)
 
     def export_kv(self, blocks: list[bytes]) -> messages.KvBlocks | None:
         """Returns cached blocks from the start of a chain; None on a fault."""
-        body = wires.encode(wires.Chain(blocks=blocks))
+        body = wires.encode(wires.ExportRequest(blocks=blocks))
         answer = self._call("POST", wires.KV_EXPORT, body=body)
         return _decoded(answer, wires.kv_decoder)
 
@@ -242,8 +244,8 @@
         reader: streams.StreamReader,
         call: "Call",
         deliver: stream_tasks.Deliver,
-    ) -> stream_tasks.Reading:
-        reading = stream_tasks.Reading(reader=reader, deliver=deliver)
+    ) -> stream_tasks.OpenStream:
+        reading = stream_tasks.OpenStream(reader=reader, deliver=deliver)
         try:
             self.starters.submit(self._open, reading, call)
         except RuntimeError:
@@ -251,7 +253,7 @@
             reading.deliver([reader.broken(CLOSED, results.Ran.NOT_RUN)])
         return reading
 
-    def _open(self, reading: stream_tasks.Reading, call: "Call") -> None:
+    def _open(self, reading: stream_tasks.OpenStream, call: "Call") -> None:
         self.opening.add(reading)
         try:
             going_on = self._first(reading, call)
@@ -267,7 +269,7 @@
         elif reading.answer is not None:
             reading.answer.close()
 
-    def _first(self, reading: stream_tasks.Reading, call: "Call") -> bool:
+    def _first(self, reading: stream_tasks.OpenStream, call: "Call") -> bool:
         """Sends a request; returns whether the stream task reads on."""
         reader = reading.reader
         if self.closing:
@@ -292,7 +294,7 @@
             reading.deliver([_refused(reader, reading.answer)])
             return False
         if self.closing:
-            reading.cut()
+            reading.disconnect()
         chunked = "transfer-encoding" in reading.answer.headers
         reading.read()
         while chunked and not reader.over and not reading.abandoned:
@@ -347,7 +349,10 @@
     except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
         # Some other server's words, or half an answer: it may have run.
         return reader.broken(f"status {answer.status}")
-    if answer.status != wires.REFUSED or refusal.ran != results.Ran.NOT_RUN:
+    if (
+        answer.status != wires.REFUSED_STATUS
+        or refusal.ran != results.Ran.NOT_RUN
+    ):
         return reader.broken(refusal.reason)
     return reader.broken(refusal.reason, results.Ran.NOT_RUN)
 
--- a/pimentoledge/runners/fake_answers.py
+++ b/pimentoledge/runners/fake_answers.py
@@ -36,7 +36,7 @@
     return zlib.crc32(prompt)
 
 
-def text(seed: int, first: int, count: int) -> str:
+def generate_text(seed: int, first: int, count: int) -> str:
     """Returns so many tokens of an answer, a numbered word for each."""
     size = len(WORDS)
     if count == 1:
--- a/pimentoledge/runners/fake_engines.py
+++ b/pimentoledge/runners/fake_engines.py
@@ -43,7 +43,7 @@
         count: tokens.
     """
     seed = fake_answers.seed_of(prompt.encode("utf-8"))
-    return fake_answers.text(seed, first, count)
+    return fake_answers.generate_text(seed, first, count)
 
 
 @attrs.define(kw_only=True)
@@ -183,9 +183,9 @@
         self.now = now
         key = (run.request, run.attempt)
         if key in self.streams:
-            return fake_streams.broken(key, results.Ran.RAN, "duplicate")
+            return fake_streams.broken_event(key, results.Ran.RAN, "duplicate")
         if reason := self._refusal(run):
-            return fake_streams.broken(key, results.Ran.NOT_RUN, reason)
+            return fake_streams.broken_event(key, results.Ran.NOT_RUN, reason)
         stream = self._stream(run, salt, chain)
         self.streams[key] = stream
         self._queue_of(stream).append(stream)
@@ -232,7 +232,7 @@
         self.counters.cancelled += 1
         ran = results.Ran.RAN if started else results.Ran.NOT_RUN
         self.output.append(
-            fake_streams.broken((request, attempt), ran, CANCELLED)
+            fake_streams.broken_event((request, attempt), ran, CANCELLED)
         )
         self._begin_prefill(now)
         self._changed(now)
@@ -347,7 +347,7 @@
         for key in self.streams:
             # From outside nobody can tell whether a stream had begun.
             self.output.append(
-                fake_streams.broken(key, results.Ran.RAN, CRASHED)
+                fake_streams.broken_event(key, results.Ran.RAN, CRASHED)
             )
         self._empty()
         self.incarnation = ""
@@ -371,16 +371,18 @@
         self._empty()
 
     def _empty(self) -> None:
-        self.streams: dict[tuple[str, int], fake_streams.Stream] = {}
+        self.streams: dict[tuple[str, int], fake_streams.FakeStream] = {}
         self.ended: collections.OrderedDict[
-            tuple[str, int], fake_streams.Stream
+            tuple[str, int], fake_streams.FakeStream
         ] = collections.OrderedDict()
-        self.interactive: collections.deque[fake_streams.Stream] = (
+        self.interactive: collections.deque[fake_streams.FakeStream] = (
             collections.deque()
         )
-        self.batch: collections.deque[fake_streams.Stream] = collections.deque()
-        self.prefill: fake_streams.Stream | None = None
-        self.decoding: list[fake_streams.Stream] = []
+        self.batch: collections.deque[fake_streams.FakeStream] = (
+            collections.deque()
+        )
+        self.prefill: fake_streams.FakeStream | None = None
+        self.decoding: list[fake_streams.FakeStream] = []
         self.loading = ""
         self.imports: list[tuple[float, list[bytes]]] = []
         self.reports: collections.deque[tuple[float, events.EngineStatus]] = (
@@ -417,7 +419,7 @@
         run: actions.RunCompletion,
         salt: str,
         chain: list[bytes] | None,
-    ) -> fake_streams.Stream:
+    ) -> fake_streams.FakeStream:
         prompt = run.completion.prompt.encode("utf-8")
         if chain is None:
             chain = blocks.chain(
@@ -432,8 +434,8 @@
         return stream
 
     def _queue_of(
-        self, stream: fake_streams.Stream
-    ) -> collections.deque[fake_streams.Stream]:
+        self, stream: fake_streams.FakeStream
+    ) -> collections.deque[fake_streams.FakeStream]:
         return self.interactive if stream.interactive else self.batch
 
     def _next_due(self) -> float:
@@ -513,7 +515,9 @@
         if self._advance(list(self.decoding), now):
             self._begin_prefill(now)
 
-    def _advance(self, streams: list[fake_streams.Stream], now: float) -> bool:
+    def _advance(
+        self, streams: list[fake_streams.FakeStream], now: float
+    ) -> bool:
         """Gives each stream a token; False when that crashed the engine."""
         every = self.text_every
         ended = []
@@ -537,7 +541,7 @@
             self._changed(now)
         return True
 
-    def _finish(self, ended: list[fake_streams.Stream]) -> None:
+    def _finish(self, ended: list[fake_streams.FakeStream]) -> None:
         for stream in ended:
             self._forget(stream)
             self.ended[(stream.request, stream.attempt)] = stream
@@ -547,7 +551,7 @@
         if not self.decoding:
             self.tick_due = math.inf
 
-    def _forget(self, stream: fake_streams.Stream) -> None:
+    def _forget(self, stream: fake_streams.FakeStream) -> None:
         del self.streams[(stream.request, stream.attempt)]
         self.cache.release(stream.chain[: stream.pinned])
 
--- a/pimentoledge/runners/fake_servers.py
+++ b/pimentoledge/runners/fake_servers.py
@@ -17,10 +17,10 @@
 EVENT_POLL_SECONDS = 0.05
 DRAIN_SECONDS = 10.0
 
-Key = tuple[str, int]
+StreamKey = tuple[str, int]
 
 
-class Sink:
+class StreamSink:
     """The connection that one stream goes to.
 
     The thread that steps the engine writes here without ever blocking, so
@@ -86,7 +86,7 @@
             fake_http.cut(self.request)
 
 
-class EngineServer:
+class FakeEngineServer:
     """Serves a fake engine: its streams, orders, status, events and KV.
 
     A crash cuts all connections and closes the port, as the end of a process
@@ -114,7 +114,7 @@
         self.lose_writes = 0
         self.latency = 0.0
         self.chunked = False
-        self.sinks: dict[Key, Sink] = {}
+        self.sinks: dict[StreamKey, StreamSink] = {}
         self.closing = threading.Event()
         self.thread = None
         self.serving = False
@@ -126,12 +126,12 @@
             threads=engine.slots + CONTROL_THREADS,
         )
         self.routes = {
-            wires.COMPLETIONS: self.complete,
+            wires.COMPLETIONS_PATH: self.complete,
             wires.RESUME: self.resume,
             wires.CANCEL: self.cancel,
-            wires.STATUS: self.status,
+            wires.STATUS_PATH: self.status,
             wires.ORDERS: self.order,
-            wires.EVENTS: self.events,
+            wires.EVENTS_PATH: self.events,
             wires.KV_EXPORT: self.export_kv,
             wires.KV_IMPORT: self.import_kv,
         }
@@ -217,7 +217,9 @@
             sink.wait()
             return
         refusal = wires.Refusal(ran=refused.ran, reason=refused.text)
-        fake_http.answer(request, wires.encode(refusal), status=wires.REFUSED)
+        fake_http.answer(
+            request, wires.encode(refusal), status=wires.REFUSED_STATUS
+        )
 
     def resume(self, request: cheroot.server.HTTPRequest) -> None:
         """Goes on with a stream on a new connection."""
@@ -236,7 +238,7 @@
         if found is None:
             refusal = wires.Refusal(ran="ran", reason="unknown stream")
             fake_http.answer(
-                request, wires.encode(refusal), status=wires.REFUSED
+                request, wires.encode(refusal), status=wires.REFUSED_STATUS
             )
             return
         sink.wait()
@@ -298,21 +300,23 @@
             seconds = self.engine.import_kv(given, time.monotonic())
             self.lock.notify_all()
         if seconds is None:
-            self._answer(request, b"{}", status=wires.DOWN)
+            self._answer(request, b"{}", status=wires.DOWN_STATUS)
             return
-        self._answer(request, wires.encode(wires.Seconds(seconds=seconds)))
+        self._answer(request, wires.encode(wires.ImportAnswer(seconds=seconds)))
 
     def _answer(self, request, body: bytes, status: int = 200) -> None:
         if self.latency > 0:
             time.sleep(self.latency)
         fake_http.answer(request, body, status=status)
 
-    def _open(self, request: cheroot.server.HTTPRequest, key: Key) -> Sink:
+    def _open(
+        self, request: cheroot.server.HTTPRequest, key: StreamKey
+    ) -> StreamSink:
         headers = [(b"Content-Type", fake_http.EVENT_STREAM)]
         if not self.chunked:
             fake_http.end_with_connection(request, headers)
         fake_http.begin(request, 200, headers)
-        sink = Sink(request=request, chunked=self.chunked)
+        sink = StreamSink(request=request, chunked=self.chunked)
         sink.write(wires.ACCEPTED)
         self.sinks[key] = sink
         return sink
@@ -340,7 +344,7 @@
             if sink is not None:
                 self._write(key, sink, found)
 
-    def _write(self, key: Key, sink: Sink, found: list) -> None:
+    def _write(self, key: StreamKey, sink: StreamSink, found: list) -> None:
         last = found[-1]
         crashed = (
             isinstance(last, events.EngineBroken)
@@ -356,7 +360,7 @@
                 if not isinstance(each, events.EngineText)
             ]
         if found:
-            sink.write(b"".join([wires.block_of(each) for each in found]))
+            sink.write(b"".join([wires.encode_event(each) for each in found]))
         if crashed:
             sink.cut()
             del self.sinks[key]
--- a/pimentoledge/runners/fake_streams.py
+++ b/pimentoledge/runners/fake_streams.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Stream:
+class FakeStream:
     """One completion in the engine.
 
     Attributes:
@@ -50,7 +50,7 @@
 
     def text(self, first: int, count: int) -> str:
         """Returns text of the whole answer."""
-        return fake_answers.text(self.seed, first, count)
+        return fake_answers.generate_text(self.seed, first, count)
 
     def piece(self, index: int, count: int) -> events.EngineText:
         """Returns the event for tokens of this attempt."""
@@ -76,7 +76,7 @@
 
 def begin(
     run: actions.RunCompletion, prompt: bytes, chain: list[bytes]
-) -> Stream:
+) -> FakeStream:
     """Returns the stream of a completion.
 
     Args:
@@ -87,7 +87,7 @@
     completion = run.completion
     end = fake_answers.end_of(completion)
     first = completion.continued_tokens
-    return Stream(
+    return FakeStream(
         request=run.request,
         attempt=run.attempt,
         adapter=completion.adapter,
@@ -101,7 +101,7 @@
     )
 
 
-def broken(
+def broken_event(
     key: tuple[str, int], ran: results.Ran, text: str
 ) -> events.EngineBroken:
     """Returns the event for a stream that ends without being complete."""
--- a/pimentoledge/runners/stream_tasks.py
+++ b/pimentoledge/runners/stream_tasks.py
@@ -21,14 +21,14 @@
 
 
 @attrs.define(kw_only=True, eq=False)
-class Reading:
+class OpenStream:
     """A stream that is being read.
 
     Attributes:
         reader: makes events of its bytes.
         answer: the HTTP answer that it comes in.
         deliver: gets the events.
-        heard: when the last bytes came.
+        last_received: when the last bytes came.
         descriptor: file descriptor of its socket while a task reads it.
         abandoned: whether nobody wants the rest.
     """
@@ -36,11 +36,11 @@
     reader: streams.StreamReader
     answer: urllib3.BaseHTTPResponse | None = None
     deliver: Deliver
-    heard: float = 0.0
+    last_received: float = 0.0
     descriptor: int = -1
     abandoned: bool = False
 
-    def take(self) -> list[streams.Event]:
+    def receive(self) -> list[streams.Event]:
         """Reads what has arrived; waits for it if nothing has.
 
         Nothing stays behind in the HTTP library's buffer, unless the answer
@@ -60,11 +60,11 @@
 
     def read(self) -> None:
         """Reads, and gives the receiver what came."""
-        if found := self.take():
+        if found := self.receive():
             self.deliver(found)
 
-    def cut(self) -> None:
-        """Ends the connection, from any thread; `take` then sees the end."""
+    def disconnect(self) -> None:
+        """Ends the connection, from any thread; `receive` then sees the end."""
         try:
             copy = socket.socket(fileno=os.dup(self.answer.fileno()))
         except (AttributeError, OSError, ValueError):
@@ -96,8 +96,8 @@
     def __init__(self, *, silence: float):
         self.silence = silence
         self.selector = None
-        self.inbox: collections.deque[Reading] = collections.deque()
-        self.readings: set[Reading] = set()
+        self.inbox: collections.deque[OpenStream] = collections.deque()
+        self.readings: set[OpenStream] = set()
         self.closing = False
         self.thread = None
 
@@ -119,12 +119,12 @@
         self.waker.close()
         self.wakened.close()
 
-    def add(self, reading: Reading) -> None:
+    def add(self, reading: OpenStream) -> None:
         """Begins to read a stream; from any thread."""
         self.inbox.append(reading)
         self.wake()
 
-    def abandon(self, reading: Reading) -> None:
+    def abandon(self, reading: OpenStream) -> None:
         """Ends a stream that nobody wants any more, without an event."""
         reading.abandoned = True
         self.wake()
@@ -163,8 +163,8 @@
                 # It was abandoned, and dropped earlier in this round. Its
                 # descriptor may already be another stream's.
                 continue
-            found = reading.take()
-            reading.heard = now
+            found = reading.receive()
+            reading.last_received = now
             if found:
                 batches.setdefault(reading.deliver, []).extend(found)
             if reading.reader.over:
@@ -181,14 +181,14 @@
     def _register(self, now: float) -> None:
         while self.inbox:
             reading = self.inbox.popleft()
-            reading.heard = now
+            reading.last_received = now
             self.readings.add(reading)
             reading.descriptor = reading.answer.fileno()
             self.selector.register(
                 reading.descriptor, selectors.EVENT_READ, reading
             )
 
-    def _drop(self, reading: Reading) -> None:
+    def _drop(self, reading: OpenStream) -> None:
         self.readings.remove(reading)
         self.selector.unregister(reading.descriptor)
         reading.answer.close()
@@ -197,7 +197,7 @@
         # An engine whose VM froze sends nothing and closes nothing: the
         # stream just stands still. Its reader must not wait for ever.
         for reading in list(self.readings):
-            if now - reading.heard > self.silence:
+            if now - reading.last_received > self.silence:
                 self._drop(reading)
                 event = reading.reader.broken("the engine fell silent")
                 reading.deliver([event])
--- a/pimentoledge/runners/streams.py
+++ b/pimentoledge/runners/streams.py
@@ -119,7 +119,7 @@
     for head, decoder in (
         (wires.STARTED, wires.started_decoder),
         (wires.ENDED, wires.ended_decoder),
-        (wires.BROKEN, wires.broken_decoder),
+        (wires.BROKEN_EVENT, wires.broken_decoder),
     ):
         if block.startswith(head):
             return decoder.decode(block[len(head) :])
--- a/pimentoledge/runners/wires.py
+++ b/pimentoledge/runners/wires.py
@@ -13,28 +13,28 @@
 from pimentoledge.decisions import events
 from pimentoledge.runners import messages
 
-COMPLETIONS = "/v1/completions"
+COMPLETIONS_PATH = "/v1/completions"
 CANCEL = "/cancel"
 RESUME = "/resume"
-STATUS = "/status"
+STATUS_PATH = "/status"
 ORDERS = "/orders"
-EVENTS = "/events"
+EVENTS_PATH = "/events"
 KV_EXPORT = "/kv/export"
 KV_IMPORT = "/kv/import"
 # Status with which an engine refuses a completion; the body is a Refusal.
-REFUSED = 409
-DOWN = 503
+REFUSED_STATUS = 409
+DOWN_STATUS = 503
 DATA = b"data: "
 STARTED = b"event: started\ndata: "
 ENDED = b"event: ended\ndata: "
-BROKEN = b"event: broken\ndata: "
+BROKEN_EVENT = b"event: broken\ndata: "
 BLOCK_END = b"\n\n"
 COMMENT = b":"
 ACCEPTED = b": accepted\n\n"
 
 
 @attrs.define(kw_only=True)
-class Submission:
+class CompletionBody:
     """Body of a completion request."""
 
     run: actions.RunCompletion
@@ -64,14 +64,14 @@
 
 
 @attrs.define(kw_only=True)
-class Chain:
+class ExportRequest:
     """Body of an export request."""
 
     blocks: list[bytes]
 
 
 @attrs.define(kw_only=True)
-class Seconds:
+class ImportAnswer:
     """Body of the answer to an import."""
 
     seconds: float
@@ -82,18 +82,18 @@
 started_decoder = msgspec.json.Decoder(events.EngineStarted)
 ended_decoder = msgspec.json.Decoder(events.EngineEnded)
 broken_decoder = msgspec.json.Decoder(events.EngineBroken)
-submission_decoder = msgspec.json.Decoder(Submission)
+submission_decoder = msgspec.json.Decoder(CompletionBody)
 refusal_decoder = msgspec.json.Decoder(Refusal)
 status_decoder = msgspec.json.Decoder(events.EngineStatus)
 order_decoder = msgspec.json.Decoder(messages.Order)
 order_answer_decoder = msgspec.json.Decoder(messages.OrderAnswer)
 cache_events_decoder = msgspec.json.Decoder(messages.CacheEvents)
-chain_decoder = msgspec.json.Decoder(Chain)
+chain_decoder = msgspec.json.Decoder(ExportRequest)
 kv_decoder = msgspec.json.Decoder(messages.KvBlocks)
-seconds_decoder = msgspec.json.Decoder(Seconds)
+seconds_decoder = msgspec.json.Decoder(ImportAnswer)
 
 
-def block_of(
+def encode_event(
     event: (
         events.EngineStarted
         | events.EngineText
@@ -113,4 +113,4 @@
         case events.EngineEnded():
             return ENDED + encode(event) + BLOCK_END
         case events.EngineBroken():
-            return BROKEN + encode(event) + BLOCK_END
+            return BROKEN_EVENT + encode(event) + BLOCK_END
--- a/pimentoledge/tests/test_engine_clients.py
+++ b/pimentoledge/tests/test_engine_clients.py
@@ -28,7 +28,7 @@
     engine = fake_engines.FakeEngine(
         slots=8, cache_blocks=100, token_seconds=1e-6, step_seconds=0.002
     )
-    server = fake_servers.EngineServer(engine=engine)
+    server = fake_servers.FakeEngineServer(engine=engine)
     server.start()
     client = engines.EngineClient(url=server.url, timeout=5)
     client.start()
@@ -63,7 +63,7 @@
     _, client = pair
     inbox = queue.SimpleQueue()
     for number in range(20):
-        client.begin(run_of(f"r{number}", max_tokens=30), "s", inbox.put)
+        client.start_run(run_of(f"r{number}", max_tokens=30), "s", inbox.put)
     found = []
     while sum(isinstance(e, events.EngineEnded) for e in found) < 20:
         found.extend(inbox.get(timeout=10))
@@ -142,7 +142,7 @@
     assert list(stream)[-1].text == "cancelled"
     assert not client.cancel("r", 1)
     inbox = queue.SimpleQueue()
-    reading = client.begin(run_of("q", max_tokens=ENDLESS), "s", inbox.put)
+    reading = client.start_run(run_of("q", max_tokens=ENDLESS), "s", inbox.put)
     inbox.get(timeout=10)
     client.abandon(reading)
     assert client.cancel("q", 1)
@@ -182,7 +182,7 @@
 
 
 def block(event):
-    return wires.block_of(event)
+    return wires.encode_event(event)
 
 
 def started():
@@ -320,7 +320,7 @@
     """
     server, client = pair
     inbox = queue.SimpleQueue()
-    other = client.begin(run_of("b", max_tokens=ENDLESS), "s", inbox.put)
+    other = client.start_run(run_of("b", max_tokens=ENDLESS), "s", inbox.put)
     inbox.get(timeout=10)
     kept = queue.SimpleQueue()
 
@@ -330,7 +330,7 @@
             client.abandon(other)
             time.sleep(0.05)
 
-    client.begin(
+    client.start_run(
         run_of("a", max_tokens=ENDLESS), "s", abandon_and_let_text_come
     )
     for _ in range(20):
