--- a/benches/configuration.py
+++ b/benches/configuration.py
@@ -220,7 +220,7 @@
     def __init__(self, *, count: int, contracts: int):
         self.count = count
         self.objects = fake_objects.FakeObjects()
-        self.server = fake_servers.ObjectServer(
+        self.server = fake_servers.FakeObjectServer(
             objects=self.objects, threads=200
         )
         for number in range(contracts):
--- a/pimentoledge/agent.py
+++ b/pimentoledge/agent.py
@@ -81,7 +81,7 @@
         self.metrics = metrics.AgentMetrics()
         self.admin = admin_servers.AdminServer(
             listen=chosen.text("admin-listen"),
-            pages=pages.pages(
+            pages=pages.daemon_pages(
                 counted=self.metrics,
                 alive=self.alive,
                 ready=self.ready,
--- a/pimentoledge/commands/fakes.py
+++ b/pimentoledge/commands/fakes.py
@@ -15,7 +15,7 @@
 from pimentoledge.stores import fake_servers as object_servers
 
 Server = (
-    object_servers.ObjectServer
+    object_servers.FakeObjectServer
     | engine_servers.FakeEngineServer
     | fake_services.ServiceServer
     | stand_in_platforms.StandInPlatform
@@ -69,7 +69,9 @@
         match self.argument("what"):
             case "store":
                 objects = fake_objects.FakeObjects()
-                return object_servers.ObjectServer(objects=objects, port=port)
+                return object_servers.FakeObjectServer(
+                    objects=objects, port=port
+                )
             case "engine":
                 engine = fake_engines.FakeEngine(
                     name=self.option("name"),
--- a/pimentoledge/emulators.py
+++ b/pimentoledge/emulators.py
@@ -70,7 +70,7 @@
         self.peers = peers
         self.objects = fake_objects.FakeObjects()
         self.vm_list = fake_vms.FakeVmList()
-        self.store = object_servers.ObjectServer(
+        self.store = object_servers.FakeObjectServer(
             objects=self.objects, vm_list=self.vm_list
         )
         self.runners: dict[str, Runner] = {}
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -85,8 +85,8 @@
         self.admin = admin_servers.AdminServer(
             listen=chosen.text("admin-listen"),
             pages={
-                api.ROOT: api.Api(submit=self.operate).serve,
-                **pages.pages(
+                api.API_ROOT: api.AdminApi(submit=self.operate).serve,
+                **pages.daemon_pages(
                     counted=self.metrics,
                     alive=self.alive,
                     ready=self.ready,
--- a/pimentoledge/operators/api.py
+++ b/pimentoledge/operators/api.py
@@ -15,7 +15,7 @@
 from pimentoledge.decisions import events
 from pimentoledge.operators import servers
 
-ROOT = "/admin/v1/"
+API_ROOT = "/admin/v1/"
 KNOWN_HEADER = "Pimentoledge-Source"
 _METHODS = ("GET", "PUT", "PATCH", "DELETE")
 _VERSION = re.compile(r'"?(\d{1,18})"?')
@@ -26,7 +26,7 @@
 Submit = abc.Callable[[events.OperatorRequest], actions.ReplyOperator | None]
 
 
-class Api:
+class AdminApi:
     """The pages below /admin/v1/.
 
     Attributes:
@@ -36,7 +36,7 @@
     def __init__(self, *, submit: Submit):
         self.submit = submit
 
-    def serve(self, request: servers.Request) -> servers.Response:
+    def serve(self, request: servers.PageRequest) -> servers.PageResponse:
         """Answers one request."""
         match parse(request):
             case result.Failure(error):
@@ -53,12 +53,12 @@
 
 
 def parse(
-    request: servers.Request,
+    request: servers.PageRequest,
 ) -> result.Result[events.OperatorRequest, results.Error]:
     """Reads a request."""
     if request.method not in _METHODS:
         return _failure(results.Code.METHOD_NOT_ALLOWED)
-    parts = request.path.removeprefix(ROOT).rstrip("/").split("/")
+    parts = request.path.removeprefix(API_ROOT).rstrip("/").split("/")
     history = len(parts) == 3 and parts[2] == "history"
     known = len(parts) <= 2 or (history and request.method == "GET")
     if not known:
@@ -118,18 +118,18 @@
     return result.Failure(results.Error(code=code, text=text))
 
 
-def _refused(error: results.Error) -> servers.Response:
+def _refused(error: results.Error) -> servers.PageResponse:
     body = msgspec.json.encode({"error": error.fields()})
-    return servers.Response(status=error.status(), body=body)
+    return servers.PageResponse(status=error.status(), body=body)
 
 
-def _response(reply: actions.ReplyOperator) -> servers.Response:
+def _response(reply: actions.ReplyOperator) -> servers.PageResponse:
     headers = []
     if reply.version:
         headers.append(("ETag", f'"{reply.version}"'))
     if reply.known:
         headers.append((KNOWN_HEADER, "known"))
-    return servers.Response(
+    return servers.PageResponse(
         status=reply.status,
         body=msgspec.json.encode(reply.fields),
         headers=headers,
--- a/pimentoledge/operators/clients.py
+++ b/pimentoledge/operators/clients.py
@@ -104,7 +104,7 @@
         headers: dict[str, str] | None = None,
         fields: dict[str, object] | None = None,
     ) -> result.Result[ApiAnswer, results.Error]:
-        address = f"{self.url}{api.ROOT}{path}?"
+        address = f"{self.url}{api.API_ROOT}{path}?"
         address += urllib.parse.urlencode(query)
         try:
             response = self._pool.request(
--- a/pimentoledge/operators/pages.py
+++ b/pimentoledge/operators/pages.py
@@ -13,7 +13,7 @@
 TEXT = "text/plain; charset=utf-8"
 
 
-def pages(
+def daemon_pages(
     *,
     counted: metrics.Metrics,
     alive: abc.Callable[[], bool],
@@ -29,9 +29,9 @@
         refresh: brings the gauges up to date.
     """
 
-    def metrics_page(_: servers.Request) -> servers.Response:
+    def metrics_page(_: servers.PageRequest) -> servers.PageResponse:
         refresh()
-        return servers.Response(
+        return servers.PageResponse(
             body=counted.page(),
             content_type=prometheus_client.CONTENT_TYPE_LATEST,
         )
@@ -43,7 +43,7 @@
     }
 
 
-def _health(good: bool) -> servers.Response:
+def _health(good: bool) -> servers.PageResponse:
     if good:
-        return servers.Response(body=b"ok\n", content_type=TEXT)
-    return servers.Response(status=503, body=b"no\n", content_type=TEXT)
+        return servers.PageResponse(body=b"ok\n", content_type=TEXT)
+    return servers.PageResponse(status=503, body=b"no\n", content_type=TEXT)
--- a/pimentoledge/operators/servers.py
+++ b/pimentoledge/operators/servers.py
@@ -36,7 +36,7 @@
 
 
 @attrs.define(kw_only=True)
-class Request:
+class PageRequest:
     """A request as a page gets it.
 
     Attributes:
@@ -55,7 +55,7 @@
 
 
 @attrs.define(kw_only=True)
-class Response:
+class PageResponse:
     """A page's answer.
 
     Attributes:
@@ -71,7 +71,7 @@
     headers: list[tuple[str, str]] = attrs.field(factory=list)
 
 
-Page = abc.Callable[[Request], Response]
+Page = abc.Callable[[PageRequest], PageResponse]
 
 
 class AdminServer:
@@ -123,10 +123,10 @@
         try:
             response = self._respond(environ)
         except server.MaxSizeExceeded:
-            response = Response(status=413)
+            response = PageResponse(status=413)
         except Exception:  # A defect of a page must not end the thread.
             logger.error("defect in a page: {}", traceback.format_exc())
-            response = Response(status=500)
+            response = PageResponse(status=500)
         reason = _REASONS.get(response.status, "Other")
         headers = [
             ("Content-Type", response.content_type),
@@ -136,10 +136,10 @@
         start_response(f"{response.status} {reason}", headers)
         return [] if environ["REQUEST_METHOD"] == "HEAD" else [response.body]
 
-    def _respond(self, environ: dict[str, object]) -> Response:
+    def _respond(self, environ: dict[str, object]) -> PageResponse:
         request = _request(environ)
         page = self._page(request.path)
-        return Response(status=404) if page is None else page(request)
+        return PageResponse(status=404) if page is None else page(request)
 
     def _page(self, path: str) -> Page | None:
         if path in self.pages:
@@ -152,12 +152,12 @@
         return self.pages[max(fitting, key=len)] if fitting else None
 
 
-def _request(environ: dict[str, object]) -> Request:
+def _request(environ: dict[str, object]) -> PageRequest:
     length = int(environ.get("CONTENT_LENGTH") or 0)
     if length > MAX_BODY_BYTES:
         raise server.MaxSizeExceeded()
     body = environ["wsgi.input"].read(length) if length else b""
-    return Request(
+    return PageRequest(
         method=environ["REQUEST_METHOD"],
         path=environ["PATH_INFO"],
         query=dict(urllib.parse.parse_qsl(environ["QUERY_STRING"])),
--- a/pimentoledge/services/fake_services.py
+++ b/pimentoledge/services/fake_services.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(kw_only=True)
-class Call:
+class ReceivedCall:
     """A call as the service got it.
 
     Attributes:
@@ -42,7 +42,7 @@
     body: bytes
 
 
-def digest_of(body: bytes) -> str:
+def body_digest(body: bytes) -> str:
     """Returns the digest under which the runs of a body are counted."""
     return hashlib.blake2b(body, digest_size=16).hexdigest()
 
@@ -67,7 +67,7 @@
     def __init__(self):
         self.runs_by_key: collections.Counter[str] = collections.Counter()
         self.runs_by_body: collections.Counter[str] = collections.Counter()
-        self.calls: list[Call] = []
+        self.calls: list[ReceivedCall] = []
         self.latency = 0.0
         self.status = 200
         self.down = False
@@ -77,7 +77,7 @@
         self.crashes = 0
         self.lock = threading.Lock()
 
-    def call(self, call: Call) -> FakeAnswer | None:
+    def call(self, call: ReceivedCall) -> FakeAnswer | None:
         """Runs a call; None when it gives no answer."""
         with self.lock:
             if self.down:
@@ -100,11 +100,11 @@
             body=b"run %d of %s" % (number, call.body),
         )
 
-    def _count(self, call: Call) -> None:
+    def _count(self, call: ReceivedCall) -> None:
         key = call.headers.get(KEY_HEADER.lower(), "")
         if key:
             self.runs_by_key[key] += 1
-        self.runs_by_body[digest_of(call.body)] += 1
+        self.runs_by_body[body_digest(call.body)] += 1
         self.calls.append(call)
 
 
@@ -159,12 +159,12 @@
         )
 
 
-def _call_of(request: cheroot.server.HTTPRequest) -> Call:
+def _call_of(request: cheroot.server.HTTPRequest) -> ReceivedCall:
     headers = {
         name.decode("latin-1").lower(): value.decode("latin-1")
         for name, value in request.inheaders.items()
     }
-    return Call(
+    return ReceivedCall(
         method=request.method.decode("ascii"),
         path=fake_http.path_of(request),
         query=request.qs.decode("ascii"),
--- a/pimentoledge/stores/fake_objects.py
+++ b/pimentoledge/stores/fake_objects.py
@@ -8,7 +8,7 @@
 MAX_VALUE_BYTES = 1 << 20
 
 
-class Rate:
+class TokenBucket:
     """Token bucket that holds at most one second's worth of calls."""
 
     def __init__(self, *, per_second: float):
@@ -16,7 +16,7 @@
         self.tokens = per_second
         self.last = None
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Returns whether a call is within the rate; 0 means no limit."""
         if self.per_second <= 0:
             return True
@@ -68,15 +68,15 @@
         self.lose_requests = 0
         self.drop_watch_entries = 0
         self.max_value_bytes = MAX_VALUE_BYTES
-        self.writes = Rate(per_second=0)
-        self.reads = Rate(per_second=0)
+        self.writes = TokenBucket(per_second=0)
+        self.reads = TokenBucket(per_second=0)
         self.counts = {"writes": 0, "reads": 0, "scans": 0, "watches": 0}
 
     def limit(self, *, writes_per_second: float, reads_per_second: float):
         """Sets the rate limits; 0 means none."""
         with self.changed:
-            self.writes = Rate(per_second=writes_per_second)
-            self.reads = Rate(per_second=reads_per_second)
+            self.writes = TokenBucket(per_second=writes_per_second)
+            self.reads = TokenBucket(per_second=reads_per_second)
 
     def call(self, call: stores.Call) -> stores.StoreAnswer:
         """Makes a call and answers at once."""
@@ -113,7 +113,7 @@
 
     def _within_rate(self, call: stores.Call) -> bool:
         rate = self.writes if isinstance(call, stores.Write) else self.reads
-        return rate.take(self.clock())
+        return rate.try_acquire(self.clock())
 
     def _answer(
         self, call, outcome, objects=(), version=0
--- a/pimentoledge/stores/fake_servers.py
+++ b/pimentoledge/stores/fake_servers.py
@@ -17,7 +17,7 @@
 WAIT_SECONDS = 0.25
 
 
-class ObjectServer:
+class FakeObjectServer:
     """Serves the object API, and the list of VMs where there is one.
 
     Attributes:
@@ -64,7 +64,7 @@
         if path == vms.PATH:
             self.list_vms(request)
             return
-        if path not in wires.KINDS:
+        if path not in wires.CALL_TYPES:
             fake_http.answer(request, b"{}", status=404)
             return
         call = wires.decode_call(path, fake_http.body_of(request))
@@ -94,5 +94,5 @@
         if self.vm_list is None or self.vm_list.down:
             fake_http.answer(request, b"{}", status=503)
             return
-        body = msgspec.json.encode(self.vm_list.shown())
+        body = msgspec.json.encode(self.vm_list.lagged_list())
         fake_http.answer(request, body)
--- a/pimentoledge/stores/fake_vms.py
+++ b/pimentoledge/stores/fake_vms.py
@@ -44,7 +44,7 @@
             kept = {key: vm for key, vm in newest.items() if key != name}
             self._change(kept)
 
-    def shown(self) -> list[vms.Vm]:
+    def lagged_list(self) -> list[vms.Vm]:
         """Returns the list as it was `lag` seconds ago."""
         with self.lock:
             shown: dict[str, vms.Vm] = {}
--- a/pimentoledge/stores/wires.py
+++ b/pimentoledge/stores/wires.py
@@ -11,7 +11,7 @@
     stores.Scan: "/objects/scan",
     stores.Watch: "/objects/watch",
 }
-KINDS: dict[str, type] = {path: kind for kind, path in PATHS.items()}
+CALL_TYPES: dict[str, type] = {path: kind for kind, path in PATHS.items()}
 
 
 def encode(message: stores.Call | stores.StoreAnswer) -> bytes:
@@ -21,7 +21,7 @@
 
 def decode_call(path: str, body: bytes) -> stores.Call:
     """Returns the call that was sent to a path."""
-    return msgspec.json.decode(body, type=KINDS[path])
+    return msgspec.json.decode(body, type=CALL_TYPES[path])
 
 
 def decode_answer(body: bytes) -> stores.StoreAnswer:
--- a/pimentoledge/tests/claims_path.py
+++ b/pimentoledge/tests/claims_path.py
@@ -206,7 +206,7 @@
             return
         run = item.what
         refused = self.service.down
-        call = fake_services.Call(
+        call = fake_services.ReceivedCall(
             method=run.call.method,
             path=run.call.path,
             headers={"idempotency-key": run.key},
--- a/pimentoledge/tests/fuzz/worlds.py
+++ b/pimentoledge/tests/fuzz/worlds.py
@@ -427,7 +427,7 @@
         """Runs a call at a plain service."""
         service = process.backend
         headers = {fake_services.KEY_HEADER.lower(): action.key}
-        call = fake_services.Call(
+        call = fake_services.ReceivedCall(
             method=action.call.method,
             path=action.call.path,
             headers=headers,
--- a/pimentoledge/tests/test_admin_api.py
+++ b/pimentoledge/tests/test_admin_api.py
@@ -29,8 +29,8 @@
         self.server = servers.AdminServer(
             listen="127.0.0.1:0",
             pages={
-                api.ROOT: api.Api(submit=self.submit).serve,
-                "/healthz": lambda _: servers.Response(body=b"{}"),
+                api.API_ROOT: api.AdminApi(submit=self.submit).serve,
+                "/healthz": lambda _: servers.PageResponse(body=b"{}"),
                 "/broken": lambda _: 1 / 0,
             },
         )
--- a/pimentoledge/tests/test_fake_platform.py
+++ b/pimentoledge/tests/test_fake_platform.py
@@ -101,7 +101,7 @@
 @pytest.fixture
 def store():
     fake = fake_objects.FakeObjects()
-    server = fake_servers.ObjectServer(
+    server = fake_servers.FakeObjectServer(
         objects=fake, vm_list=fake_vms.FakeVmList()
     )
     server.start()
@@ -218,14 +218,14 @@
     fake.put(vm("vm1"))
     clock.now = 4.0
     fake.leave("vm1")
-    assert fake.shown() == []
+    assert fake.lagged_list() == []
     clock.now = 5.0
-    assert fake.shown()[0].state == vms.VmState.LIVE
+    assert fake.lagged_list()[0].state == vms.VmState.LIVE
     fake.remove("vm1")
     clock.now = 9.0
-    assert fake.shown()[0].state == vms.VmState.LEAVING
+    assert fake.lagged_list()[0].state == vms.VmState.LEAVING
     clock.now = 10.0
-    assert fake.shown() == []
+    assert fake.lagged_list() == []
 
 
 def test_list_of_vms_over_http(store):
--- a/pimentoledge/tests/test_fake_services.py
+++ b/pimentoledge/tests/test_fake_services.py
@@ -64,7 +64,7 @@
     assert call.headers["traceparent"] == "00-trace"
     assert call.headers.get("connection") != "x"
     assert service.runs_by_key == {"k": 1}
-    assert service.runs_by_body == {fake_services.digest_of(b"wheel"): 1}
+    assert service.runs_by_body == {fake_services.body_digest(b"wheel"): 1}
 
 
 def test_lost_request_and_lost_answer_look_alike(pair):
