--- a/benches/configuration.py
+++ b/benches/configuration.py
@@ -136,7 +136,7 @@
                 case actions.CallStore():
                     self.store.call(action.call)
                 case actions.ReleaseMemory():
-                    allocators.release()
+                    allocators.release_free_memory()
 
 
 class Bytes:
--- a/pimentoledge/agent.py
+++ b/pimentoledge/agent.py
@@ -55,7 +55,7 @@
         name = chosen.text("name")
         self.kind = declarations.ServerKind(chosen.text("kind"))
         life = secrets.token_hex(LIFE_BYTES)
-        slots = chosen.whole("slots")
+        slots = chosen.integer("slots")
         self.core = agents.Agent(
             name=name,
             address=chosen.text("mailbox"),
@@ -64,7 +64,7 @@
             slots=slots,
             seed=secrets.randbits(SEED_BITS),
             view=configuration.Configuration(),
-            seeds=chosen.listed("peers"),
+            seeds=chosen.items("peers"),
         )
         self.loop = loops.EventLoop(
             core=self.core,
@@ -178,7 +178,9 @@
         for action in todo:
             match action:
                 case actions.RunCompletion():
-                    self.backend.start_run(action, action.salt, self.take)
+                    self.backend.start_run(
+                        action, action.salt, self.deliver_events
+                    )
                 case actions.RunCall():
                     self.pool.submit(self.run_call, action)
                 case actions.ResumeRun():
@@ -186,7 +188,7 @@
                         action.request,
                         action.attempt,
                         action.index,
-                        self.take,
+                        self.deliver_events,
                     )
                 case actions.CancelRun():
                     self.pool.submit(
@@ -199,10 +201,10 @@
                 case actions.CallStore():
                     self.store.call(action.call)
                 case actions.LogDecision():
-                    self.metrics.decided(action)
-                    logs.decision(action.kind, action.fields)
+                    self.metrics.count_decision(action)
+                    logs.log_decision(action.kind, action.fields)
 
-    def take(self, found: list[object]) -> None:
+    def deliver_events(self, found: list[object]) -> None:
         """Delivers what the engine says of its streams."""
         for event in found:
             self.loop.inbox.put(event)
--- a/pimentoledge/allocators.py
+++ b/pimentoledge/allocators.py
@@ -3,7 +3,7 @@
 import ctypes
 
 
-def release() -> bool:
+def release_free_memory() -> bool:
     """Returns whether the C library could give memory back.
 
     After a scan of 36,000 objects glibc keeps the answer's 20 MB for later
--- a/pimentoledge/commands/administration.py
+++ b/pimentoledge/commands/administration.py
@@ -37,7 +37,7 @@
 
     def handle(self) -> int:
         """Checks the settings and runs the command; returns the exit status."""
-        checked = settings.check(
+        checked = settings.check_settings(
             program=settings.OPERATOR,
             flags=self.flags(),
             environment=dict(os.environ),
@@ -59,7 +59,7 @@
 
     def flags(self) -> dict[str, str]:
         """Returns the settings that were given as flags."""
-        names = [each.name for each in settings.of_program(settings.OPERATOR)]
+        names = [each.name for each in settings.settings_of(settings.OPERATOR)]
         return {n: self.option(n) for n in names if self.option(n) is not None}
 
     def run_with_client(self) -> int:
@@ -89,7 +89,7 @@
 def _settings() -> list:
     return [
         option(each.name, description=each.text, flag=False)
-        for each in settings.of_program(settings.OPERATOR)
+        for each in settings.settings_of(settings.OPERATOR)
     ]
 
 
--- a/pimentoledge/commands/daemons.py
+++ b/pimentoledge/commands/daemons.py
@@ -23,13 +23,13 @@
     """Returns a command line option for each setting of a program."""
     return [
         option(each.name, description=each.text, flag=False)
-        for each in settings.of_program(program)
+        for each in settings.settings_of(program)
     ]
 
 
 def given_flags(asked: command.Command, program: str) -> dict[str, str]:
     """Returns the settings that were given as flags."""
-    names = [each.name for each in settings.of_program(program)]
+    names = [each.name for each in settings.settings_of(program)]
     return {
         name: asked.option(name)
         for name in names
@@ -76,7 +76,7 @@
 
     def handle(self) -> int:
         """Runs the command; returns the exit status."""
-        checked = settings.check(
+        checked = settings.check_settings(
             program=self.program,
             flags=given_flags(self, self.program),
             environment=dict(os.environ),
@@ -87,7 +87,7 @@
                 return BAD_SETTING_EXIT
             case result.Success(chosen):
                 pass
-        handler = logs.handler(
+        handler = logs.make_handler(
             level=chosen.text("log-level"), form=chosen.text("log-format")
         )
         with handler.applicationbound():
--- a/pimentoledge/commands/demo.py
+++ b/pimentoledge/commands/demo.py
@@ -55,7 +55,7 @@
         """Runs the command; returns 0 only if every answer was right."""
         level = "warning" if self.option("quiet-log") else "info"
         emulator = emulators.Emulator()
-        with logs.handler(level=level, form="plain").applicationbound():
+        with logs.make_handler(level=level, form="plain").applicationbound():
             emulator.start()
             try:
                 problems = self.play(emulator)
--- a/pimentoledge/commands/shown_settings.py
+++ b/pimentoledge/commands/shown_settings.py
@@ -24,10 +24,10 @@
             self.line_error(f"unknown program {program!r}: entry or agent")
             return daemons.BAD_SETTING_EXIT
         table = self.table(["setting", "value", "source", "default", "what"])
-        for setting in settings.of_program(program):
+        for setting in settings.settings_of(program):
             table.add_row(_row(setting))
         table.render()
-        match settings.check(
+        match settings.check_settings(
             program=program, flags={}, environment=dict(os.environ)
         ):
             case result.Failure(error):
--- a/pimentoledge/emulators.py
+++ b/pimentoledge/emulators.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define(kw_only=True)
-class Runner:
+class EmulatedRunner:
     """An emulated runner with its agent.
 
     Attributes:
@@ -39,7 +39,7 @@
 
 
 @attrs.define(kw_only=True)
-class Plain:
+class EmulatedService:
     """An emulated plain service with its agent."""
 
     name: str
@@ -73,8 +73,8 @@
         self.store = object_servers.FakeObjectServer(
             objects=self.objects, vm_list=self.vm_list
         )
-        self.runners: dict[str, Runner] = {}
-        self.services: dict[str, Plain] = {}
+        self.runners: dict[str, EmulatedRunner] = {}
+        self.services: dict[str, EmulatedService] = {}
         self.entries: list[entry.EntryDaemon] = []
 
     def start(self) -> None:
@@ -106,14 +106,16 @@
         if answer.outcome != stores.Outcome.WRITTEN:
             raise RuntimeError(f"{path} not written: {answer.outcome}")
 
-    def chosen(self, program: str, **flags: str) -> settings.Settings:
+    def settings_for(self, program: str, **flags: str) -> settings.Settings:
         """Returns checked settings for a daemon of this deployment."""
         given = {name.replace("_", "-"): each for name, each in flags.items()}
         given["store"] = self.store.url
         given["peers"] = given.get("peers", self.peers)
         given["admin-listen"] = ANY_PORT
         given["mailbox"] = given.get("mailbox", LOOPBACK)
-        checked = settings.check(program=program, flags=given, environment={})
+        checked = settings.check_settings(
+            program=program, flags=given, environment={}
+        )
         match checked:
             case result.Success(found):
                 return found
@@ -129,7 +131,7 @@
         slots: int = 16,
         cache_blocks: int = 4096,
         **engine: object,
-    ) -> Runner:
+    ) -> EmulatedRunner:
         """Starts a runner with its agent, and declares it."""
         fake = fake_engines.FakeEngine(
             name=name, slots=slots, cache_blocks=cache_blocks, **engine
@@ -139,7 +141,9 @@
         daemon = self.start_agent(
             name, "runner", server.url, slots, data_centre
         )
-        runner = Runner(name=name, engine=fake, server=server, daemon=daemon)
+        runner = EmulatedRunner(
+            name=name, engine=fake, server=server, daemon=daemon
+        )
         self.runners[name] = runner
         self.declare(
             declarations.BackendServer(
@@ -152,13 +156,17 @@
         )
         return runner
 
-    def add_service(self, name: str, service: str, *, slots: int = 16) -> Plain:
+    def add_service(
+        self, name: str, service: str, *, slots: int = 16
+    ) -> EmulatedService:
         """Starts a plain service with its agent, and declares it."""
         fake = fake_services.FakeService()
         server = fake_services.ServiceServer(service=fake)
         server.start()
         daemon = self.start_agent(name, "service", server.url, slots, "local")
-        plain = Plain(name=name, service=fake, server=server, daemon=daemon)
+        plain = EmulatedService(
+            name=name, service=fake, server=server, daemon=daemon
+        )
         self.services[name] = plain
         self.declare(
             declarations.BackendServer(
@@ -175,7 +183,7 @@
         self, name: str, kind: str, url: str, slots: int, data_centre: str
     ) -> agent.AgentDaemon:
         """Starts an agent daemon."""
-        chosen = self.chosen(
+        chosen = self.settings_for(
             settings.AGENT,
             name=name,
             kind=kind,
@@ -189,7 +197,7 @@
 
     def add_entry(self, name: str, **flags: str) -> entry.EntryDaemon:
         """Starts an entry; it is ready once it has its configuration."""
-        chosen = self.chosen(
+        chosen = self.settings_for(
             settings.ENTRY, name=name, listen=ANY_PORT, **flags
         )
         daemon = entry.EntryDaemon(chosen=chosen)
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -60,9 +60,9 @@
             address=chosen.text("mailbox"),
             data_centre=chosen.text("data-centre"),
             seed=secrets.randbits(SEED_BITS),
-            block_bytes=chosen.whole("block-bytes"),
+            block_bytes=chosen.integer("block-bytes"),
             view=configuration.Configuration(),
-            seeds=chosen.listed("peers"),
+            seeds=chosen.items("peers"),
             first_key=chosen.text("operator-key-digest"),
         )
         self.loop = loops.EventLoop(
@@ -96,11 +96,11 @@
         )
         self.callers = servers.CallerServer(
             listen=chosen.text("listen"),
-            threads=chosen.whole("caller-threads"),
-            max_body_bytes=chosen.whole("max-body-bytes"),
-            buffer_bytes=chosen.whole("stream-buffer-bytes"),
+            threads=chosen.integer("caller-threads"),
+            max_body_bytes=chosen.integer("max-body-bytes"),
+            buffer_bytes=chosen.integer("stream-buffer-bytes"),
             submit=self.submit,
-            on_caller_left=self.gone,
+            on_caller_left=self.caller_left,
             models=self.models,
             ready=self.ready,
         )
@@ -154,18 +154,18 @@
     def submit(self, event: events.CallerRequest) -> replies.ReplyQueue:
         """Hands a request to the state machine; any thread may call it."""
         answer = replies.ReplyQueue(
-            limit_bytes=self.chosen.whole("stream-buffer-bytes")
+            limit_bytes=self.chosen.integer("stream-buffer-bytes")
         )
         self.replies[event.request] = answer
-        self.metrics.arrived(event.request)
+        self.metrics.note_arrival(event.request)
         self.loop.inbox.put(event)
         return answer
 
-    def gone(self, request: str) -> None:
+    def caller_left(self, request: str) -> None:
         """Says that the caller of a request went away."""
         if self.replies.pop(request, None) is None:
             return  # It has ended meanwhile, and was counted.
-        self.metrics.left(request)
+        self.metrics.note_caller_left(request)
         self.loop.inbox.put(events.CallerGone(request=request))
 
     def ready(self) -> bool:
@@ -209,7 +209,7 @@
         for action in todo:
             match action:
                 case actions.ReplyText():
-                    self.metrics.text(action.request)
+                    self.metrics.note_text(action.request)
                     self.reply(action, last=False)
                 case actions.CallStore():
                     self.store.call(action.call)
@@ -218,10 +218,10 @@
                     if answer is not None:
                         answer.put(action)
                 case actions.ReleaseMemory():
-                    allocators.release()
+                    allocators.release_free_memory()
                 case actions.LogDecision():
-                    self.metrics.decided(action)
-                    logs.decision(action.kind, action.fields)
+                    self.metrics.count_decision(action)
+                    logs.log_decision(action.kind, action.fields)
                 case _:
                     self.reply(action, last=True)
 
@@ -230,11 +230,11 @@
         answer = self.replies.get(action.request)
         if last:
             self.replies.pop(action.request, None)
-            self.metrics.ended(action)
+            self.metrics.note_end(action)
         if answer is None:
             return
         if not answer.put(action) and not last:
-            self.gone(action.request)
+            self.caller_left(action.request)
 
 
 def _answer_defect(event: object) -> list[actions.Action]:
--- a/pimentoledge/fake_http.py
+++ b/pimentoledge/fake_http.py
@@ -2,7 +2,8 @@
 
 A fake must be able to do what a good server never does: close a connection in
 the middle of an answer. So the handlers here write to cheroot's request
-themselves, and `cut` ends a connection without an answer or an end mark.
+themselves, and `cut_connection` ends a connection without an answer or an end
+mark.
 """
 
 from collections.abc import Callable
@@ -23,7 +24,7 @@
 Handle = Callable[[cheroot.server.HTTPRequest], None]
 
 
-class Gateway(cheroot.server.Gateway):
+class HandlerGateway(cheroot.server.Gateway):
     """Gives each request to the handler of its server."""
 
     def respond(self) -> None:
@@ -33,7 +34,7 @@
         except (msgspec.MsgspecError, KeyError, ValueError):
             if self.req.sent_headers:
                 raise
-            answer(self.req, b"{}", status=400)
+            send_response(self.req, b"{}", status=400)
 
 
 class ReusingServer(cheroot.server.HTTPServer):
@@ -53,7 +54,7 @@
         return socket_
 
 
-class Server:
+class HttpServer:
     """A cheroot server on a thread of its own.
 
     It can be started again on the same port after `close`, as a restarted
@@ -81,7 +82,7 @@
     def start(self) -> None:
         """Binds the port and serves."""
         self.http = ReusingServer(
-            (self.host, self.port), Gateway, minthreads=self.threads
+            (self.host, self.port), HandlerGateway, minthreads=self.threads
         )
         self.http.handle = self.handle
         self.http.request_queue_size = LISTEN_BACKLOG
@@ -105,7 +106,7 @@
         self.thread = None
 
 
-def body_of(request: cheroot.server.HTTPRequest) -> bytes:
+def read_body(request: cheroot.server.HTTPRequest) -> bytes:
     """Returns the whole body of a request."""
     return request.rfile.read()
 
@@ -115,7 +116,7 @@
     return request.path.decode("ascii")
 
 
-def begin(
+def begin_response(
     request: cheroot.server.HTTPRequest,
     status: int,
     headers: list[tuple[bytes, bytes]],
@@ -136,7 +137,7 @@
     headers.append((b"Connection", b"close"))
 
 
-def answer(
+def send_response(
     request: cheroot.server.HTTPRequest,
     body: bytes,
     status: int = 200,
@@ -145,11 +146,11 @@
     """Sends a whole answer; JSON, unless the headers say otherwise."""
     given = list(headers or [(b"Content-Type", JSON)])
     given.append((b"Content-Length", b"%d" % len(body)))
-    begin(request, status, given)
+    begin_response(request, status, given)
     request.conn.wfile.write(body)
 
 
-def cut(request: cheroot.server.HTTPRequest) -> None:
+def cut_connection(request: cheroot.server.HTTPRequest) -> None:
     """Ends the connection at once, without an answer or an end mark."""
     request.sent_headers = True
     request.chunked_write = False
@@ -171,7 +172,7 @@
     return dict(urllib.parse.parse_qsl(request.qs.decode("ascii")))
 
 
-def has_left(connection: socket.socket) -> bool:
+def is_disconnected(connection: socket.socket) -> bool:
     """Returns whether the caller has closed its connection."""
     readable, _, _ = select.select([connection], [], [], 0)
     if not readable:
--- a/pimentoledge/http_pools.py
+++ b/pimentoledge/http_pools.py
@@ -37,7 +37,7 @@
 
             def connect(self):
                 super().connect()
-                pool.opened(self)
+                pool.track(self)
 
             def close(self):
                 pool.connections.discard(self)
@@ -48,7 +48,7 @@
 
         self.pool_classes_by_scheme = {"http": TrackedPool}
 
-    def opened(self, opened: connection.HTTPConnection) -> None:
+    def track(self, opened: connection.HTTPConnection) -> None:
         """Notes an open connection; cuts it if it came too late."""
         self.connections.add(opened)
         if self.cutting:
--- a/pimentoledge/logs.py
+++ b/pimentoledge/logs.py
@@ -38,7 +38,7 @@
     return msgspec.json.encode(line, enc_hook=str).decode()
 
 
-def handler(*, level: str, form: str) -> logbook.Handler:
+def make_handler(*, level: str, form: str) -> logbook.Handler:
     """Returns the handler that writes to standard error.
 
     Args:
@@ -50,6 +50,6 @@
     return chosen
 
 
-def decision(kind: str, fields: dict[str, object]) -> None:
+def log_decision(kind: str, fields: dict[str, object]) -> None:
     """Writes the log line of one decision."""
     logger.info(kind, extra={"fields": fields})
--- a/pimentoledge/metrics.py
+++ b/pimentoledge/metrics.py
@@ -33,7 +33,7 @@
             registry=self.registry,
         )
 
-    def decided(self, decision: actions.LogDecision) -> None:
+    def count_decision(self, decision: actions.LogDecision) -> None:
         """Counts a decision by the field that names its outcome."""
         fields = decision.fields
         for name in ("verdict", "step", "reason"):
@@ -43,7 +43,7 @@
                 return
         self.decisions.labels(decision.kind, "").inc()
 
-    def page(self) -> bytes:
+    def render(self) -> bytes:
         """Returns all of them in Prometheus's text form."""
         return prometheus_client.generate_latest(self.registry)
 
@@ -86,22 +86,22 @@
         )
         self.arrivals: dict[str, float] = {}
 
-    def arrived(self, request: str) -> None:
+    def note_arrival(self, request: str) -> None:
         """Notes a request's arrival; any thread may call it."""
         self.arrivals[request] = time.monotonic()
 
-    def text(self, request: str) -> None:
+    def note_text(self, request: str) -> None:
         """Notes text of a stream; only the first counts."""
         arrived = self.arrivals.pop(request, None)
         if arrived is not None:
             self.first_token.observe(time.monotonic() - arrived)
 
-    def left(self, request: str) -> None:
+    def note_caller_left(self, request: str) -> None:
         """Notes that a request's caller went away; any thread may call it."""
         self.arrivals.pop(request, None)
         self.requests.labels(results.Code.CALLER_GONE.name).inc()
 
-    def ended(self, action: actions.Action) -> None:
+    def note_end(self, action: actions.Action) -> None:
         """Notes a request's end."""
         self.arrivals.pop(action.request, None)
         match action:
--- a/pimentoledge/operators/pages.py
+++ b/pimentoledge/operators/pages.py
@@ -32,7 +32,7 @@
     def metrics_page(_: servers.PageRequest) -> servers.PageResponse:
         refresh()
         return servers.PageResponse(
-            body=counted.page(),
+            body=counted.render(),
             content_type=prometheus_client.CONTENT_TYPE_LATEST,
         )
 
--- a/pimentoledge/platform/stand_in_servers.py
+++ b/pimentoledge/platform/stand_in_servers.py
@@ -108,7 +108,7 @@
         self.limit = ""
         self.on_loaded = lambda: None
         self._lock = threading.Lock()
-        self._server = fake_http.Server(
+        self._server = fake_http.HttpServer(
             handle=self.handle, host="127.0.0.1", port=0, threads=THREADS
         )
 
@@ -150,7 +150,7 @@
         }
         self.arrival_times.append(time.monotonic())
         path = fake_http.path_of(request)
-        body = fake_http.body_of(request)
+        body = fake_http.read_body(request)
         expected = headers.get(names.INCARNATION_ONLY.decode())
         if expected not in (None, self.incarnation):
             self._not_run(request, headers, 421)
@@ -187,7 +187,7 @@
             self._not_run(request, call.headers, 503)
             return
         if not self._queue(request):
-            fake_http.cut(request)
+            fake_http.cut_connection(request)
             return
         call.ran = True
         call.began = time.monotonic()
@@ -202,14 +202,14 @@
         """Waits for a turn; returns whether the caller is still there."""
         until = time.monotonic() + self.queue_seconds
         while time.monotonic() < until:
-            if fake_http.has_left(request.conn.socket):
+            if fake_http.is_disconnected(request.conn.socket):
                 return False
             time.sleep(QUEUE_STEP_SECONDS)
         return True
 
     def _run(self, request, call: ReceivedRequest) -> None:
         if self._next("lose"):
-            fake_http.cut(request)
+            fake_http.cut_connection(request)
             return
         if self.work_seconds:
             time.sleep(self.work_seconds)
@@ -217,12 +217,16 @@
         if self._next("misnumber"):
             head[0] = (names.REQUEST_ID, b"another-one")
         if self._next("fail"):
-            fake_http.answer(request, b"failed", status=500, headers=head)
+            fake_http.send_response(
+                request, b"failed", status=500, headers=head
+            )
             return
         if model_named(call):
             self._stream(request, call, head)
             return
-        fake_http.answer(request, b"answer of " + call.body, headers=head)
+        fake_http.send_response(
+            request, b"answer of " + call.body, headers=head
+        )
 
     def _head(self, headers: dict[str, str]) -> list[tuple[bytes, bytes]]:
         identity = headers.get(names.REQUEST_ID.decode(), "").encode()
@@ -242,7 +246,7 @@
 
     def _stream(self, request, call: ReceivedRequest, head: list) -> None:
         first = int(call.headers.get(names.LAST_EVENT_ID.decode(), 0)) + 1
-        fake_http.begin(
+        fake_http.begin_response(
             request,
             200,
             [*head, (b"Content-Type", b"text/event-stream")],
@@ -251,7 +255,7 @@
         for number in range(first, self.events + 1):
             if cut_after is not None and number > cut_after:
                 request.conn.wfile.write(b"6\r\nid: 9\n\r\n")
-                fake_http.cut(request)
+                fake_http.cut_connection(request)
                 return
             piece = self._piece(call, number)
             request.conn.wfile.write(b"%x\r\n%b\r\n" % (len(piece), piece))
@@ -269,24 +273,26 @@
         head.append((names.NOT_RUN, b"1"))
         if status == 503 and self.retry_after:
             head.append((names.RETRY_AFTER, self.retry_after.encode()))
-        fake_http.answer(request, b"", status=status, headers=head)
+        fake_http.send_response(request, b"", status=status, headers=head)
 
     def _order(self, request, body: dict) -> None:
         self.orders.append(body)
         if self._next("silent_orders"):
-            fake_http.cut(request)
+            fake_http.cut_connection(request)
             return
         if self._next("refuse_orders"):
             self._not_run(request, {}, 503)
             return
         with self._lock:
             if body.get("precondition", self.taken) != self.taken:
-                fake_http.answer(
+                fake_http.send_response(
                     request, b"{}", status=409, headers=self._notice()
                 )
                 return
             self.taken += 1
-        fake_http.answer(request, b"{}", status=202, headers=self._notice())
+        fake_http.send_response(
+            request, b"{}", status=202, headers=self._notice()
+        )
         timer = threading.Timer(self.load_seconds, self._loaded, [body])
         timer.start()
 
@@ -304,7 +310,7 @@
             "seq": self.taken,
             "state": "draining" if self.reports_leaving else "ready",
         }
-        fake_http.answer(
+        fake_http.send_response(
             request, msgspec.json.encode(body), headers=self._notice()
         )
 
--- a/pimentoledge/platform/stand_in_stores.py
+++ b/pimentoledge/platform/stand_in_stores.py
@@ -41,7 +41,7 @@
         self._cuts = 0
         self._forgotten = 0
         self._made: dict[str, int] = {}
-        self._server = fake_http.Server(
+        self._server = fake_http.HttpServer(
             handle=self.handle, host=host, port=port, threads=THREADS
         )
 
@@ -84,9 +84,11 @@
 
     def _hang(self, request) -> None:
         """Keeps a connection open without an answer."""
-        while not self.closing and not fake_http.has_left(request.conn.socket):
+        while not self.closing and not fake_http.is_disconnected(
+            request.conn.socket
+        ):
             time.sleep(WAIT_SECONDS)
-        fake_http.cut(request)
+        fake_http.cut_connection(request)
 
     def put(self, kind: str, name: str, spec: object) -> None:
         """Writes an object as the operator or a server would."""
@@ -121,14 +123,14 @@
         kind, _, name = rest.partition("/")
         count = f"{method} {kind}"
         self.counts[count] = self.counts.get(count, 0) + 1
-        body = fake_http.body_of(request)
+        body = fake_http.read_body(request)
         if self.objects.latency:
             time.sleep(self.objects.latency)
         if self.silent:
             self._hang(request)
             return
         if self.objects.down or request.conn.remote_addr in self.refused:
-            fake_http.answer(request, b"{}", status=503)
+            fake_http.send_response(request, b"{}", status=503)
             return
         query = fake_http.query_of(request)
         if method == "GET" and name:
@@ -143,7 +145,7 @@
     def _read(self, request, path: str) -> None:
         found = self.objects.call(stores.Read(call="", path=path))
         if found.outcome is not stores.Outcome.FOUND:
-            fake_http.answer(request, b"{}", status=404)
+            fake_http.send_response(request, b"{}", status=404)
             return
         self._send(request, self._item(found.objects[0]))
 
@@ -161,7 +163,7 @@
     def _watch(self, request, kind: str, query: dict[str, str]) -> None:
         after = int(query["watch"])
         if after < self.history_from:
-            fake_http.answer(request, b"{}", status=410)
+            fake_http.send_response(request, b"{}", status=410)
             return
         end = time.monotonic() + int(query["waitMs"]) / 1000
         objects = self.objects
@@ -173,7 +175,7 @@
                     break
                 objects.changed.wait(min(left, WAIT_SECONDS))
         if self.closing or objects.down or cuts != self._cuts:
-            fake_http.cut(request)
+            fake_http.cut_connection(request)
             return
         if self.silent or forgotten != self._forgotten:
             self._hang(request)
@@ -205,9 +207,9 @@
                 item = self._item(done.objects[0]) if done.objects else {}
                 self._send(request, item, status=409)
             case stores.Outcome.LOST:
-                fake_http.cut(request)
+                fake_http.cut_connection(request)
             case _:
-                fake_http.answer(request, b"{}", status=503)
+                fake_http.send_response(request, b"{}", status=503)
 
     def _item(self, held: stores.Object) -> dict:
         made = self._made.setdefault(held.path, held.version)
@@ -225,4 +227,6 @@
         }
 
     def _send(self, request, body: object, status: int = 200) -> None:
-        fake_http.answer(request, msgspec.json.encode(body), status=status)
+        fake_http.send_response(
+            request, msgspec.json.encode(body), status=status
+        )
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -147,7 +147,7 @@
         )
         self.peers = peers.PeerMessenger(
             listen=listen,
-            seeds=chosen.listed("peer-seeds"),
+            seeds=chosen.items("peer-seeds"),
             view=self.view,
             lease=self.lease,
             watching=self.kinds,
@@ -271,7 +271,7 @@
         self.peers.limiter.set_bounds(self.view.bounds.limits)
         self.lease.lease_seconds = self.view.bounds.lease_seconds
         self.store.address = chosen.text("store-address")
-        self.peers.add_seeds(chosen.listed("peer-seeds"))
+        self.peers.add_seeds(chosen.items("peer-seeds"))
         self.lines.write("reload", changed=",".join(changed))
 
     def _reload_if_changed(self, now: float) -> None:
@@ -452,7 +452,7 @@
                 return result.Failure(error)
             case result.Success(found):
                 file = found
-    return settings.check(
+    return settings.check_settings(
         program=settings.ROUTER,
         flags=flags,
         environment=environment,
--- a/pimentoledge/runners/engines.py
+++ b/pimentoledge/runners/engines.py
@@ -150,7 +150,7 @@
             request: request id.
             attempt: attempt number.
             index: number of the first token that is still needed.
-            deliver: the receiver, as for `begin`.
+            deliver: the receiver, as for `start_run`.
         """
         reader = streams.StreamReader(
             request=request, attempt=attempt, index=index
--- a/pimentoledge/runners/fake_servers.py
+++ b/pimentoledge/runners/fake_servers.py
@@ -83,7 +83,7 @@
             except OSError:
                 self.gone = True
         if self.broken or self.gone:
-            fake_http.cut(self.request)
+            fake_http.cut_connection(self.request)
 
 
 class FakeEngineServer:
@@ -119,7 +119,7 @@
         self.thread = None
         self.serving = False
         self.closings = 0
-        self.server = fake_http.Server(
+        self.server = fake_http.HttpServer(
             handle=self.handle,
             host=host,
             port=port,
@@ -196,18 +196,18 @@
         """Answers one request."""
         route = self.routes.get(fake_http.path_of(request))
         if route is None:
-            fake_http.answer(request, b"{}", status=404)
+            fake_http.send_response(request, b"{}", status=404)
             return
         route(request)
 
     def complete(self, request: cheroot.server.HTTPRequest) -> None:
         """Runs a completion."""
-        body = fake_http.body_of(request)
+        body = fake_http.read_body(request)
         submission = wires.submission_decoder.decode(body)
         run = submission.run
         with self.lock:
             if self.closing.is_set():
-                fake_http.cut(request)
+                fake_http.cut_connection(request)
                 return
             refused = self.engine.submit(run, submission.salt, time.monotonic())
             if refused is None:
@@ -217,7 +217,7 @@
             sink.wait()
             return
         refusal = wires.Refusal(ran=refused.ran, reason=refused.text)
-        fake_http.answer(
+        fake_http.send_response(
             request, wires.encode(refusal), status=wires.REFUSED_STATUS
         )
 
@@ -227,7 +227,7 @@
         key = (fields["request"], int(fields["attempt"]))
         with self.lock:
             if self.closing.is_set():
-                fake_http.cut(request)
+                fake_http.cut_connection(request)
                 return
             found = self.engine.resume(*key, int(fields["index"]))
             if found is not None:
@@ -237,7 +237,7 @@
                 self._deliver(found)
         if found is None:
             refusal = wires.Refusal(ran="ran", reason="unknown stream")
-            fake_http.answer(
+            fake_http.send_response(
                 request, wires.encode(refusal), status=wires.REFUSED_STATUS
             )
             return
@@ -261,7 +261,7 @@
 
     def order(self, request: cheroot.server.HTTPRequest) -> None:
         """Takes an order."""
-        order = wires.order_decoder.decode(fake_http.body_of(request))
+        order = wires.order_decoder.decode(fake_http.read_body(request))
         with self.lock:
             answer = self.engine.order(order, time.monotonic())
             self.lock.notify_all()
@@ -281,13 +281,13 @@
             if self.closing.wait(EVENT_POLL_SECONDS):
                 break
         if found is None:
-            fake_http.cut(request)
+            fake_http.cut_connection(request)
             return
         self._answer(request, wires.encode(found))
 
     def export_kv(self, request: cheroot.server.HTTPRequest) -> None:
         """Gives cached blocks."""
-        wanted = wires.chain_decoder.decode(fake_http.body_of(request))
+        wanted = wires.chain_decoder.decode(fake_http.read_body(request))
         with self.lock:
             found = self.engine.export_kv(wanted.blocks)
         time.sleep(found.seconds)
@@ -295,7 +295,7 @@
 
     def import_kv(self, request: cheroot.server.HTTPRequest) -> None:
         """Takes blocks in."""
-        given = wires.kv_decoder.decode(fake_http.body_of(request))
+        given = wires.kv_decoder.decode(fake_http.read_body(request))
         with self.lock:
             seconds = self.engine.import_kv(given, time.monotonic())
             self.lock.notify_all()
@@ -307,7 +307,7 @@
     def _answer(self, request, body: bytes, status: int = 200) -> None:
         if self.latency > 0:
             time.sleep(self.latency)
-        fake_http.answer(request, body, status=status)
+        fake_http.send_response(request, body, status=status)
 
     def _open(
         self, request: cheroot.server.HTTPRequest, key: StreamKey
@@ -315,7 +315,7 @@
         headers = [(b"Content-Type", fake_http.EVENT_STREAM)]
         if not self.chunked:
             fake_http.end_with_connection(request, headers)
-        fake_http.begin(request, 200, headers)
+        fake_http.begin_response(request, 200, headers)
         sink = StreamSink(request=request, chunked=self.chunked)
         sink.write(wires.ACCEPTED)
         self.sinks[key] = sink
--- a/pimentoledge/services/fake_services.py
+++ b/pimentoledge/services/fake_services.py
@@ -127,7 +127,7 @@
         threads: int = THREADS,
     ):
         self.service = service
-        self.server = fake_http.Server(
+        self.server = fake_http.HttpServer(
             handle=self.handle, host=host, port=port, threads=threads
         )
 
@@ -151,10 +151,10 @@
             time.sleep(self.service.latency)
         answer = self.service.call(call)
         if answer is None:
-            fake_http.cut(request)
+            fake_http.cut_connection(request)
             return
         headers = [(n.encode(), v.encode()) for n, v in answer.headers]
-        fake_http.answer(
+        fake_http.send_response(
             request, answer.body, status=answer.status, headers=headers
         )
 
@@ -169,5 +169,5 @@
         path=fake_http.path_of(request),
         query=request.qs.decode("ascii"),
         headers=headers,
-        body=fake_http.body_of(request),
+        body=fake_http.read_body(request),
     )
--- a/pimentoledge/settings.py
+++ b/pimentoledge/settings.py
@@ -432,7 +432,7 @@
         """Returns a setting's value as text."""
         return self.values[name].text
 
-    def listed(self, name: str) -> list[str]:
+    def items(self, name: str) -> list[str]:
         """Returns the items of a setting with commas between them."""
         return [each for each in self.values[name].text.split(",") if each]
 
@@ -440,12 +440,12 @@
         """Returns a setting's value as a number."""
         return float(self.values[name].text)
 
-    def whole(self, name: str) -> int:
+    def integer(self, name: str) -> int:
         """Returns a setting's value as a whole number."""
         return int(self.values[name].text)
 
 
-def of_program(program: str) -> list[Setting]:
+def settings_of(program: str) -> list[Setting]:
     """Returns the settings that a program has."""
     return [each for each in SETTINGS if program in each.programs]
 
@@ -462,7 +462,7 @@
             return "one of " + ", ".join(kind.words)
 
 
-def valid(kind: Text | Number | Choice, text: str) -> bool:
+def is_valid(kind: Text | Number | Choice, text: str) -> bool:
     """Returns whether a text is an allowed value."""
     match kind:
         case Text():
@@ -482,7 +482,7 @@
     return result.Failure(error)
 
 
-def check(
+def check_settings(
     *,
     program: str,
     flags: dict[str, str],
@@ -503,7 +503,7 @@
     """
     known = {each.name: each for each in SETTINGS}
     variables = {each.variable() for each in SETTINGS}
-    mine = of_program(program)
+    mine = settings_of(program)
     for name in flags:
         if name not in known or known[name] not in mine:
             return _bad(f"unknown setting --{name} of pimentoledge {program}")
@@ -523,7 +523,7 @@
             return _bad(
                 f"missing setting {where}: must be {allowed(setting.kind)}"
             )
-        if not valid(setting.kind, value.text):
+        if not is_valid(setting.kind, value.text):
             return _bad(
                 f"bad setting {where}: {value.text!r} from {value.source};"
                 f" must be {allowed(setting.kind)}"
--- a/pimentoledge/stores/fake_servers.py
+++ b/pimentoledge/stores/fake_servers.py
@@ -37,7 +37,7 @@
         self.objects = objects
         self.vm_list = vm_list
         self.closing = False
-        self.server = fake_http.Server(
+        self.server = fake_http.HttpServer(
             handle=self.handle, host=host, port=port, threads=threads
         )
 
@@ -65,18 +65,18 @@
             self.list_vms(request)
             return
         if path not in wires.CALL_TYPES:
-            fake_http.answer(request, b"{}", status=404)
+            fake_http.send_response(request, b"{}", status=404)
             return
-        call = wires.decode_call(path, fake_http.body_of(request))
+        call = wires.decode_call(path, fake_http.read_body(request))
         if self.objects.latency > 0:
             time.sleep(self.objects.latency)
         if isinstance(call, stores.Watch):
             self.wait(call)
         answer = self.objects.call(call)
         if answer.outcome == stores.Outcome.LOST or self.closing:
-            fake_http.cut(request)
+            fake_http.cut_connection(request)
             return
-        fake_http.answer(request, wires.encode(answer))
+        fake_http.send_response(request, wires.encode(answer))
 
     def wait(self, watch: stores.Watch) -> None:
         """Waits until a watch has something to say or its time is over."""
@@ -92,7 +92,7 @@
     def list_vms(self, request: cheroot.server.HTTPRequest) -> None:
         """Answers with the list of VMs as it is shown now."""
         if self.vm_list is None or self.vm_list.down:
-            fake_http.answer(request, b"{}", status=503)
+            fake_http.send_response(request, b"{}", status=503)
             return
         body = msgspec.json.encode(self.vm_list.lagged_list())
-        fake_http.answer(request, body)
+        fake_http.send_response(request, body)
--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -103,7 +103,7 @@
             "store-address": self.store.address,
             "lease-ms": "200",
         }
-        checked = settings.check(
+        checked = settings.check_settings(
             program=settings.ROUTER, flags={}, environment={}, file=flags
         )
         match checked:
--- a/pimentoledge/tests/soak/servers.py
+++ b/pimentoledge/tests/soak/servers.py
@@ -96,7 +96,7 @@
                 super().handle(request)
             else:
                 arrival.harmed = True
-                fake_http.cut(request)
+                fake_http.cut_connection(request)
         finally:
             arrival.harmed |= request.close_connection
             with self._guard:
--- a/pimentoledge/tests/test_commands.py
+++ b/pimentoledge/tests/test_commands.py
@@ -29,7 +29,7 @@
     monkeypatch.setenv("PIMENTOLEDGE_DATA_CENTRE", "north")
     status, printed = run(shown_settings.SettingsCommand(), "entry")
     assert status == 0
-    for each in settings.of_program(settings.ENTRY):
+    for each in settings.settings_of(settings.ENTRY):
         assert each.name in printed
     line = next(x for x in printed.splitlines() if "data-centre" in x)
     assert "north" in line and "environment" in line
@@ -44,8 +44,8 @@
 
 @pytest.mark.parametrize("form", ["plain", "json"])
 def test_a_decision_is_one_line(form, capsys):
-    with logs.handler(level="info", form=form):
-        logs.decision("route", FIELDS)
+    with logs.make_handler(level="info", form=form):
+        logs.log_decision("route", FIELDS)
         logbook.Logger("x").debug("left out")
     (line,) = capsys.readouterr().err.splitlines()
     if form == "plain":
--- a/pimentoledge/tests/test_distribution.py
+++ b/pimentoledge/tests/test_distribution.py
@@ -70,7 +70,7 @@
     net = started(1)
     scans = [c for c in net.store.calls if isinstance(c, stores.Scan)]
     assert net.released == len(scans) > 1
-    assert allocators.release() in (True, False)
+    assert allocators.release_free_memory() in (True, False)
 
 
 def test_digests_repair_lost_messages():
--- a/pimentoledge/tests/test_platform_adapter.py
+++ b/pimentoledge/tests/test_platform_adapter.py
@@ -274,7 +274,7 @@
     root = PACKAGE.parent
     for line in (root / "deploy" / "router.toml").read_text().splitlines():
         name = line.partition(" = ")[0]
-        known = {each.name for each in settings.of_program(settings.ROUTER)}
+        known = {each.name for each in settings.settings_of(settings.ROUTER)}
         assert name in known
 
 
--- a/pimentoledge/tests/test_settings.py
+++ b/pimentoledge/tests/test_settings.py
@@ -13,7 +13,7 @@
 
 
 def refusal(flags: dict[str, str], environment: dict[str, str]) -> str:
-    checked = settings.check(
+    checked = settings.check_settings(
         program=settings.ENTRY, flags=flags, environment=environment
     )
     match checked:
@@ -24,7 +24,7 @@
 
 
 def test_a_flag_goes_before_the_environment_and_that_before_the_default():
-    chosen = settings.check(
+    chosen = settings.check_settings(
         program=settings.ENTRY,
         flags=NEEDED,
         environment={
@@ -69,4 +69,4 @@
 def test_every_default_is_allowed():
     for each in settings.SETTINGS:
         if each.default is not None:
-            assert settings.valid(each.kind, each.default), each.name
+            assert settings.is_valid(each.kind, each.default), each.name
