--- a/benches/callers.py
+++ b/benches/callers.py
@@ -117,7 +117,7 @@
     server.start()
     feeder = threading.Thread(target=core.run)
     feeder.start()
-    processes.say(address=server.address)
+    processes.signal_ready(address=server.address)
     processes.wait_for_end()
     core.stopped = True
     feeder.join()
--- a/benches/fleets.py
+++ b/benches/fleets.py
@@ -40,7 +40,7 @@
         engine: the fake engine.
         orders: the machine of the agent's current life; None while dead.
         paused: whether the agent stands still; what comes for it is kept.
-        kept: callables to run when it goes on.
+        deferred: callables to run when it goes on.
     """
 
     def __init__(self, *, name, engine):
@@ -48,7 +48,7 @@
         self.engine = engine
         self.orders = None
         self.paused = False
-        self.kept = []
+        self.deferred = []
         self.lives = 0
 
 
@@ -131,10 +131,10 @@
                 return
             self.now, _, what, arguments = heapq.heappop(self.heap)
             what(*arguments)
-            self.look()
+            self.record_load()
         raise AssertionError("a machine wakes again and again")
 
-    def look(self):
+    def record_load(self):
         """Takes note of how many runners take work, and how many load."""
         loading = [each for each in self.nodes.values() if each.engine.loading]
         self.most_loading = max(self.most_loading, len(loading))
@@ -152,7 +152,7 @@
         """Starts a new life of a node's agent."""
         node.lives += 1
         node.paused = False
-        node.kept = []
+        node.deferred = []
         node.orders = orders.Orders(
             server=node.name,
             life=f"{node.name}-{node.lives}",
@@ -185,9 +185,13 @@
             concurrent_loads=self.model.concurrent_loads,
         )
         for node in self.nodes.values():
-            self.at(self.now + self.random.uniform(0, 0.2), self.told, node)
+            self.at(
+                self.now + self.random.uniform(0, 0.2),
+                self.apply_declaration,
+                node,
+            )
 
-    def told(self, node):
+    def apply_declaration(self, node):
         """A declaration reaches a node."""
         if node.orders is not None:
             self.declare(node)
@@ -245,7 +249,7 @@
         if machine is None or machine is not node.orders:
             return
         if node.paused:
-            node.kept.append(lambda: self.deliver(node, machine, event))
+            node.deferred.append(lambda: self.deliver(node, machine, event))
             return
         self.act(node, machine, machine.handle(event, self.now))
 
@@ -285,12 +289,12 @@
         done = events.OrderDone(order=order, answer=answer)
         self.at(self.now + 0.001, self.deliver, node, machine, done)
 
-    def go_on(self, node):
+    def resume(self, node):
         """Ends a pause."""
         node.paused = False
-        kept, node.kept = node.kept, []
+        deferred, node.deferred = node.deferred, []
         self.report_work(node)
-        for each in kept:
+        for each in deferred:
             each()
         if node.orders is not None:
             self.act(node, node.orders, node.orders.wake(self.now))
--- a/benches/processes.py
+++ b/benches/processes.py
@@ -89,7 +89,7 @@
     )
 
 
-def say(**fields: object) -> None:
+def signal_ready(**fields: object) -> None:
     """Tells the starter that this process runs."""
     print(json.dumps(fields), flush=True)
 
--- a/pimentoledge/tests/test_orders.py
+++ b/pimentoledge/tests/test_orders.py
@@ -189,7 +189,7 @@
     assert fleet.given == []
     leaving = declarations.ServerState.LEAVING
     fleet.add_server(attrs.evolve(fleet.servers["r1"], state=leaving))
-    fleet.told(fleet.nodes["r2"])
+    fleet.apply_declaration(fleet.nodes["r2"])
     fleet.run_until(lambda: fleet.nodes["r2"].engine.weights == "w2")
     assert fleets.holders_of(fleet) == []
 
@@ -346,7 +346,7 @@
     assert paused.engine.weights == "w1"
     assert paused.orders.permits.granted()
     assert not paused.orders.permits.fresh(fleet.now)
-    fleet.go_on(paused)
+    fleet.resume(paused)
     _run_until_settled(fleet)
     assert fleet.most_loading <= 2
 
@@ -443,7 +443,7 @@
 
 def _pause(fleet, node):
     node.paused = True
-    fleet.at(fleet.now + 2.0, fleet.go_on, node)
+    fleet.at(fleet.now + 2.0, fleet.resume, node)
 
 
 def _outage(fleet, node):
