--- a/benches/admission.py
+++ b/benches/admission.py
@@ -552,7 +552,7 @@
     if "apart" in name:
         path.cut = lambda sender, receiver: entries >= {sender, receiver}
     if "no store" in name:
-        path.apart |= entries
+        path.cut_from_store |= entries
     if name == "no quarantine":
         for node in path.nodes.values():
             core = node.core
--- a/benches/router.py
+++ b/benches/router.py
@@ -25,7 +25,7 @@
 
 
 async def _play() -> None:
-    world = router_world.World()
+    world = router_world.RouterWorld()
     await world.start(plain=0, runners=1)
     headers = router_world.stream_headers()
     runner = world.servers["r0"]
--- a/pimentoledge/callers/replies.py
+++ b/pimentoledge/callers/replies.py
@@ -106,7 +106,7 @@
         return self._taken([first])
 
     def take_ready(self) -> list[Reply]:
-        """Takes all that is there, as `take` does, without waiting."""
+        """Takes all that is there, as `get_all` does, without waiting."""
         # Cleared first: what is put behind this line is notified again.
         self.notified = False
         return self._taken([])
--- a/pimentoledge/tests/fuzz/machines.py
+++ b/pimentoledge/tests/fuzz/machines.py
@@ -58,7 +58,9 @@
         addresses = self.world.runners + self.world.services
         return self.world.processes[self.pick(addresses, number)]
 
-    def ask(self, entry, organisation, *, seconds=DEADLINE_SECONDS, **fields):
+    def send_request(
+        self, entry, organisation, *, seconds=DEADLINE_SECONDS, **fields
+    ):
         """Sends a caller's request to an entry; returns what is known."""
         request = f"r{next(self.world.requests)}"
         key = worlds.KEY.format(organisation)
@@ -68,7 +70,7 @@
             seconds=seconds,
             **fields,
         )
-        asked = oracles.Asked(
+        asked = oracles.TrackedRequest(
             event=event,
             organisation=organisation,
             entry=entry,
@@ -83,7 +85,9 @@
         wanted = messages.Completion(
             model="m", prompt=prompt, max_tokens=tokens
         )
-        return self.ask(entry, organisation, completion=wanted, **fields)
+        return self.send_request(
+            entry, organisation, completion=wanted, **fields
+        )
 
     def call(self, entry, organisation, key, method="POST"):
         """Makes a call to a plain service."""
@@ -93,7 +97,9 @@
             path="/cards",
             body=f"card {key}".encode(),
         )
-        return self.ask(entry, organisation, call=call, idempotency_key=key)
+        return self.send_request(
+            entry, organisation, call=call, idempotency_key=key
+        )
 
     def busy(self):
         """Returns the present processes that have requests or runs."""
@@ -124,11 +130,11 @@
         """Ends every fault, and lets what is under way end."""
         world = self.world
         for channel in world.channels.values():
-            channel.held = False
+            channel.blocked = False
         world.objects.down = False
         world.objects.latency = 0.0
         world.objects.lose_answers = world.objects.lose_requests = 0
-        for process in world.everyone():
+        for process in world.active_processes():
             process.paused = False
             if not process.is_entry():
                 self.heal_backend(process.backend)
@@ -321,7 +327,7 @@
         channel = self.pick(channels, which)
         for _ in range(many):
             if channel is not None:
-                self.world.carry(channel)
+                self.world.deliver_message(channel)
 
     @rule(which=NUMBER)
     def lose_message(self, which):
@@ -349,12 +355,12 @@
         """A connection stops for a while; what is on it comes late."""
         channel = self.pick(self.world.channels.values(), which)
         if channel is not None:
-            channel.held = True
+            channel.blocked = True
 
     @rule()
     def release_connections(self):
         for channel in self.world.channels.values():
-            channel.held = False
+            channel.blocked = False
 
     @rule(which=NUMBER)
     def agent_lags(self, which):
@@ -364,11 +370,11 @@
         for agent in self.busy():
             if agent.is_entry():
                 continue
-            while agent.heard and agent.acts():
-                self.world.hear(agent)
+            while agent.backend_events and agent.acts():
+                self.world.deliver_backend_event(agent)
             down = events.Unreachable(address=agent.address)
             for channel in self.world.channels.values():
-                channel.held |= channel.source is agent
+                channel.blocked |= channel.source is agent
             self.world.give(self.entry(which), down)
             return
 
@@ -387,11 +393,15 @@
 
     @rule(which=NUMBER, many=strategies.integers(1, 5))
     def hear(self, which, many):
-        telling = [each for each in self.world.everyone() if each.heard]
+        telling = [
+            each
+            for each in self.world.active_processes()
+            if each.backend_events
+        ]
         process = self.pick(telling, which)
         for _ in range(many):
             if process is not None:
-                self.world.hear(process)
+                self.world.deliver_backend_event(process)
 
     @rule(which=NUMBER)
     def lose_word(self, which):
@@ -399,20 +409,20 @@
         self.world.advance(0.05)
         telling = [
             (process, event)
-            for process in self.world.everyone()
-            for event in process.heard
+            for process in self.world.active_processes()
+            for event in process.backend_events
             if isinstance(event, events.EngineText)
         ]
         found = self.pick(telling, which)
         if found is not None:
             self.oracle.note(f"lost: {found[1]}")
-            found[0].heard.remove(found[1])
+            found[0].backend_events.remove(found[1])
 
     @rule(which=NUMBER)
     def engine_connection_breaks(self, which):
         streams = [
             (agent, run.dispatch.request, run.dispatch.attempt)
-            for agent in self.world.everyone()
+            for agent in self.world.active_processes()
             if not agent.is_entry()
             for run in agent.core.runs.values()
             if run.dispatch.completion is not None
@@ -529,7 +539,7 @@
 
     @rule(which=NUMBER)
     def process_wakes(self, which):
-        paused = [each for each in self.world.everyone() if each.paused]
+        paused = [each for each in self.world.active_processes() if each.paused]
         process = self.pick(paused, which)
         if process is not None:
             process.paused = False
@@ -543,7 +553,7 @@
 
     @rule(which=NUMBER)
     def process_drains(self, which):
-        process = self.pick(self.busy() or self.world.everyone(), which)
+        process = self.pick(self.busy() or self.world.active_processes(), which)
         if process.acts() and process.alive:
             self.world.drain(process)
 
@@ -613,8 +623,10 @@
         self.world.work.remove(lost)
         if arrives:
             self.world.carry_out(process, action.order, since)
-            process.heard.pop()
-        process.heard.append(events.OrderDone(order=action.order, answer=None))
+            process.backend_events.pop()
+        process.backend_events.append(
+            events.OrderDone(order=action.order, answer=None)
+        )
 
     @rule()
     def heal_all(self):
--- a/pimentoledge/tests/fuzz/mutations.py
+++ b/pimentoledge/tests/fuzz/mutations.py
@@ -149,12 +149,12 @@
     lost = []
     for _ in range(200):
         world.advance(0.01)
-        for process in world.everyone():
-            for event in list(process.heard):
+        for process in world.active_processes():
+            for event in list(process.backend_events):
                 middle = isinstance(event, events.EngineText) and event.index
                 if middle and not lost:
                     lost.append(event)
-                    process.heard.remove(event)
+                    process.backend_events.remove(event)
         world.deliver_all()
     assert lost
     assert isinstance(asked.ended, actions.ReplyEnd)
@@ -197,8 +197,8 @@
         if other is not first:
             other.backend.text_every = 3 - first.backend.text_every
     world.advance(0.1)
-    while first.heard:
-        world.hear(first)
+    while first.backend_events:
+        world.deliver_backend_event(first)
     (channel,) = [
         each
         for each in world.channels.values()
--- a/pimentoledge/tests/fuzz/oracles.py
+++ b/pimentoledge/tests/fuzz/oracles.py
@@ -67,7 +67,7 @@
 
 
 @attrs.define(kw_only=True)
-class Asked:
+class TrackedRequest:
     """One request, and what its caller has been told.
 
     Attributes:
@@ -137,7 +137,7 @@
 
     def __init__(self, *, world):
         self.world = world
-        self.asked: dict[str, Asked] = {}
+        self.asked: dict[str, TrackedRequest] = {}
         self.ran = collections.Counter()
         self.reached_backend: set[str] = set()
         self.key_ran = collections.Counter()
@@ -194,7 +194,7 @@
         streams = getattr(process.backend, "streams", {})
         return any(each == request for each, _ in streams)
 
-    def submitted(self, asked: Asked) -> None:
+    def submitted(self, asked: TrackedRequest) -> None:
         """A caller asks."""
         event = asked.event
         self.asked[event.request] = asked
@@ -289,17 +289,17 @@
         if len(rivals) > 1:
             self.fail("configuration", f"two winners: {rivals}")
 
-    def expected(self, asked: Asked) -> str:
+    def expected(self, asked: TrackedRequest) -> str:
         """Returns the whole text of a completion."""
         wanted = asked.event.completion
         return fake_engines.expected_text(wanted.prompt, 0, wanted.max_tokens)
 
-    def check_text(self, asked: Asked) -> None:
+    def check_text(self, asked: TrackedRequest) -> None:
         """Checks that a stream is its own, in order and without gaps."""
         if not self.expected(asked).startswith(asked.text):
             self.fail("stream", f"{asked.event.request} got {asked.text!r}")
 
-    def check_end(self, asked: Asked, end: actions.ReplyEnd) -> None:
+    def check_end(self, asked: TrackedRequest, end: actions.ReplyEnd) -> None:
         """Checks a stream that is said to be complete, and its usage."""
         request = asked.event.request
         if asked.text != self.expected(asked):
@@ -310,21 +310,23 @@
         if end.cached_tokens not in cached:
             self.fail("told", f"{request}: {end}, the engines said {cached}")
 
-    def check_answer(self, asked: Asked, answer: actions.ReplyAnswer) -> None:
+    def check_answer(
+        self, asked: TrackedRequest, answer: actions.ReplyAnswer
+    ) -> None:
         """Checks that a service's answer is to this very call."""
         if not answer.body.endswith(b" of " + asked.event.call.body):
             self.fail("own", f"{asked.event.request} got {answer.body!r}")
         if not self.runs(asked):
             self.fail("told", f"{asked.event.request} answered, never run")
 
-    def runs(self, asked: Asked) -> int:
+    def runs(self, asked: TrackedRequest) -> int:
         """Returns a number above 0 if a request, or its key, was run."""
         key = (asked.organisation, asked.event.idempotency_key)
         by_key = self.key_ran[key] if key[1] else 0
         begun = asked.event.request in self.reached_backend
         return self.ran[asked.event.request] + by_key + begun
 
-    def check_outcome(self, asked: Asked) -> None:
+    def check_outcome(self, asked: TrackedRequest) -> None:
         """Checks what an error says about the call having run."""
         request = asked.event.request
         said = asked.error.outcome()
@@ -337,7 +339,7 @@
         if said == results.Ran.RAN and not ran and not claimed:
             self.fail("told", f"{request} never ran; told {asked.error}")
 
-    def content_ran(self, asked: Asked) -> bool:
+    def content_ran(self, asked: TrackedRequest) -> bool:
         """Returns whether the same content was ever run."""
         wanted = asked.event.completion
         return any(
@@ -355,7 +357,7 @@
 
     def owner_of(self, event):
         """Returns the life of an agent that waits for an engine's word."""
-        for process in self.world.everyone():
+        for process in self.world.active_processes():
             key = (id(process.backend), event.request, event.attempt)
             if key in self.owners:
                 return self.owners[key]
@@ -373,7 +375,7 @@
         self.count(asked)
         self.check_cache(process, asked, event)
 
-    def count(self, asked: Asked) -> None:
+    def count(self, asked: TrackedRequest) -> None:
         """Counts a run, and checks that it was allowed."""
         request = asked.event.request
         self.ran[request] += 1
@@ -394,7 +396,7 @@
         for _ in range(runs):
             self.count(self.asked[action.request])
 
-    def check_cache(self, process, asked: Asked, event) -> None:
+    def check_cache(self, process, asked: TrackedRequest, event) -> None:
         """Checks that reused tokens are of this organisation and engine."""
         prompt = asked.event.completion.prompt
         engine = process.backend
@@ -457,7 +459,7 @@
             declared = process.core.configuration.server(process.name)
             state = declared.state if declared else None
             held = any(
-                each.held and each.target == process.address
+                each.blocked and each.target == process.address
                 for each in self.world.channels.values()
             )
             deaf = objects.down or objects.latency or process.paused
@@ -475,7 +477,7 @@
         """
         world = self.world
         live = [world.processes[each] for each in world.entries]
-        cut = any(each.held for each in world.channels.values())
+        cut = any(each.blocked for each in world.channels.values())
         silent = any(each.core.limits.silent or each.paused for each in live)
         self.disturbed |= cut or silent
         tickets = [one for each in live for one in each.core.tickets.values()]
--- a/pimentoledge/tests/fuzz/worlds.py
+++ b/pimentoledge/tests/fuzz/worlds.py
@@ -51,7 +51,7 @@
         paused: whether it stands still.
         draining: whether it was told to end once it is idle.
         status_at: when its engine is asked next.
-        heard: events of its backend that are on the way to it.
+        backend_events: events of its backend that are on the way to it.
         inbox: what came while it was paused.
     """
 
@@ -64,7 +64,7 @@
     paused: bool = False
     draining: bool = False
     status_at: float = 0.0
-    heard: collections.deque = attrs.field(factory=collections.deque)
+    backend_events: collections.deque = attrs.field(factory=collections.deque)
     inbox: list = attrs.field(factory=list)
 
     def acts(self) -> bool:
@@ -84,12 +84,12 @@
         source: who sends.
         target: the mailbox it goes to.
         queue: time, bytes and message of each.
-        held: whether nothing gets through for now.
+        blocked: whether nothing gets through for now.
     """
 
     source: Process
     target: str
-    held: bool = False
+    blocked: bool = False
     queue: collections.deque = attrs.field(factory=collections.deque)
 
 
@@ -340,7 +340,7 @@
             self.channels[key] = Channel(source=process, target=action.address)
         self.channels[key].queue.append((self.now, data, action.message))
 
-    def carry(self, channel: Channel) -> None:
+    def deliver_message(self, channel: Channel) -> None:
         """Delivers the next message of a connection."""
         target = self.processes[channel.target]
         if channel.queue and self.open(channel):
@@ -379,7 +379,7 @@
                 self.oracle.reached(process, action)
                 refused = process.backend.submit(action, action.salt, self.now)
                 if refused is not None:
-                    process.heard.append(refused)
+                    process.backend_events.append(refused)
             case actions.CancelRun():
                 process.backend.cancel(action.request, action.attempt, self.now)
             case actions.ResumeRun():
@@ -387,7 +387,9 @@
             case actions.OrderEngine():
                 self.carry_out(process, action.order, since)
             case actions.RunCall():
-                process.heard.append(self.call_service(process, action))
+                process.backend_events.append(
+                    self.call_service(process, action)
+                )
         self.hear_engines()
 
     def carry_out(
@@ -396,7 +398,9 @@
         """Gives an order to an engine; its answer is then on the way."""
         answer = process.backend.order(order, self.now)
         self.oracle.ordered(process, order, answer, self.now - since)
-        process.heard.append(events.OrderDone(order=order, answer=answer))
+        process.backend_events.append(
+            events.OrderDone(order=order, answer=answer)
+        )
         # Whoever gave an order asks at once what came of it.
         process.status_at = self.now
 
@@ -409,19 +413,19 @@
         )
         if found is None:
             found = [_broken(action.request, action.attempt)]
-        process.heard.extend(found)
+        process.backend_events.extend(found)
 
     def disconnect(self, process: Process, request: str, attempt: int) -> None:
         """Breaks a stream's connection, though its engine lives."""
         self.disconnected.add((id(process.backend), request, attempt))
         kept = [
             each
-            for each in process.heard
+            for each in process.backend_events
             if (getattr(each, "request", ""), getattr(each, "attempt", 0))
             != (request, attempt)
         ]
-        process.heard = collections.deque(kept)
-        process.heard.append(_broken(request, attempt))
+        process.backend_events = collections.deque(kept)
+        process.backend_events.append(_broken(request, attempt))
 
     def call_service(self, process: Process, action: actions.RunCall):
         """Runs a call at a plain service."""
@@ -454,7 +458,7 @@
 
     def hear_engines(self) -> None:
         """Puts what the engines say on its way to their agents."""
-        for process in self.everyone():
+        for process in self.active_processes():
             engine = process.backend
             if not isinstance(engine, fake_engines.FakeEngine):
                 continue
@@ -463,14 +467,14 @@
                 self.oracle.engine_said(owner, event)
                 key = (id(engine), event.request, event.attempt)
                 if key not in self.disconnected:
-                    owner.heard.append(event)
+                    owner.backend_events.append(event)
 
-    def hear(self, process: Process) -> None:
+    def deliver_backend_event(self, process: Process) -> None:
         """Delivers the next word of a backend to its agent."""
-        if process.acts() and process.heard:
-            self.give(process, process.heard.popleft())
+        if process.acts() and process.backend_events:
+            self.give(process, process.backend_events.popleft())
 
-    def everyone(self) -> list[Process]:
+    def active_processes(self) -> list[Process]:
         """Returns all lives that may act."""
         return [
             each
@@ -482,23 +486,23 @@
         """Lets time pass; timers run, messages stay on their way."""
         end = self.now + seconds
         while self.now < end:
-            wakes = [each.core.next_wake() for each in self.everyone()]
+            wakes = [each.core.next_wake() for each in self.active_processes()]
             wakes += [
                 each.backend.next_wake()
-                for each in self.everyone()
+                for each in self.active_processes()
                 if isinstance(each.backend, fake_engines.FakeEngine)
             ]
             later = [each for each in wakes if each and each > self.now]
             self.now = max(self.now + 0.002, min([*later, end]))
             self.hear_engines()
-            for process in self.everyone():
+            for process in self.active_processes():
                 if process.acts():
-                    self.turn(process)
+                    self.run_timers(process)
                     self.end_if_idle(process)
             self.give_up_connections()
             self.oracle.passed()
 
-    def turn(self, process: Process) -> None:
+    def run_timers(self, process: Process) -> None:
         """Runs a process's timers and its regular questions."""
         while process.inbox:
             self.give(process, process.inbox.pop(0))
@@ -508,7 +512,7 @@
             self.perform(process, process.core.flush())
         if process.backend is not None and self.now >= process.status_at:
             process.status_at = self.now + STATUS_SECONDS
-            process.heard.append(self.status(process))
+            process.backend_events.append(self.status(process))
 
     def status(self, process: Process) -> events.EngineStatus:
         """Returns what a backend says of itself."""
@@ -535,9 +539,9 @@
             self.deliver_messages()
             while self.work:
                 self.reach_backend(0)
-            for process in self.everyone():
-                while process.heard and process.acts():
-                    self.hear(process)
+            for process in self.active_processes():
+                while process.backend_events and process.acts():
+                    self.deliver_backend_event(process)
             if self.oracle.steps == before:
                 return
         raise AssertionError("messages without end")
@@ -546,7 +550,7 @@
         """Delivers messages and the store's answers, and nothing else."""
         for channel in list(self.channels.values()):
             while channel.queue and self.open(channel):
-                self.carry(channel)
+                self.deliver_message(channel)
         if not self.objects.latency:
             while ready := self.ready_calls():
                 self.call_store(ready[0])
@@ -556,7 +560,7 @@
     def open(self, channel: Channel) -> bool:
         """Returns whether a connection can deliver."""
         target = self.processes[channel.target]
-        return target.alive and not target.paused and not channel.held
+        return target.alive and not target.paused and not channel.blocked
 
     def settle(self, seconds: float) -> None:
         """Delivers everything at once while time passes."""
--- a/pimentoledge/tests/network.py
+++ b/pimentoledge/tests/network.py
@@ -14,7 +14,7 @@
 DELAY = 0.002
 
 
-class Store:
+class LossyStore:
     """A store whose watches can drop entries and whose writes can be lost."""
 
     def __init__(self):
@@ -77,16 +77,16 @@
 
     Attributes:
         cut: tells of (sender, receiver) whether messages are dropped.
-        apart: addresses that can't reach the store.
+        cut_from_store: addresses that can't reach the store.
     """
 
     def __init__(self, *, seeds=()):
         self.now = 100.0
-        self.store = Store()
+        self.store = LossyStore()
         self.nodes = {}
         self.seeds = list(seeds)
         self.cut = lambda sender, receiver: False
-        self.apart = set()
+        self.cut_from_store = set()
         self.sent = 0
         self.released = 0
         self.queue = []
@@ -149,9 +149,9 @@
         for address, node in list(self.nodes.items()):
             if node.next_wake() <= self.now:
                 self.perform(address, node.wake(self.now))
-        self.look()
+        self.answer_watches()
 
-    def look(self):
+    def answer_watches(self):
         """Answers the watches that have something to tell or are over."""
         waiting, self.watches = self.watches, []
         for address, call, due in waiting:
@@ -165,16 +165,16 @@
             if answer is None:
                 self.watches.append((address, call, due))
             else:
-                self.later(address, answer)
+                self.schedule(address, answer)
 
     def ask(self, address, call):
-        if address in self.apart:
+        if address in self.cut_from_store:
             return stores.StoreAnswer(
                 call=call.call, outcome=stores.Outcome.DOWN
             )
         return self.store.call(call)
 
-    def later(self, address, event):
+    def schedule(self, address, event):
         number = next(self.numbers)
         heapq.heappush(self.queue, (self.now + DELAY, number, address, event))
 
@@ -191,15 +191,15 @@
                     self.watches.append((address, call, due))
                 case actions.CallStore(call=call):
                     self.store.calls.append(call)
-                    self.later(address, self.ask(address, call))
+                    self.schedule(address, self.ask(address, call))
 
     def send(self, sender, receiver, message):
         self.sent += 1
         if receiver not in self.nodes or self.cut(sender, receiver):
-            self.later(sender, events.Unreachable(address=receiver))
+            self.schedule(sender, events.Unreachable(address=receiver))
             return
         view = self.nodes[sender].configuration
         event = events.FromNode(
             sender=sender, message=message, configuration=view.version
         )
-        self.later(receiver, event)
+        self.schedule(receiver, event)
--- a/pimentoledge/tests/paths.py
+++ b/pimentoledge/tests/paths.py
@@ -149,7 +149,7 @@
                 case actions.RunCompletion():
                     refused = node.engine.submit(action, action.salt, self.now)
                     if refused is not None:
-                        self.later(address, refused)
+                        self.schedule(address, refused)
                 case actions.CancelRun(request=request, attempt=attempt):
                     node.engine.cancel(request, attempt, self.now)
                 case actions.CheckEngine():
--- a/pimentoledge/tests/processes.py
+++ b/pimentoledge/tests/processes.py
@@ -18,7 +18,7 @@
 from pimentoledge.decisions import stores
 from pimentoledge.stores import objects
 
-WAIT = 60.0
+WAIT_SECONDS = 60.0
 KEY = "process-key"
 PROMPT = "What the service manual says of this hub. " * 30
 
@@ -44,9 +44,9 @@
         return f"tcp://127.0.0.1:{opened.getsockname()[1]}"
 
 
-def until(condition):
+def wait_until(condition):
     """Waits for a condition, with a bound; returns its value."""
-    end = time.monotonic() + WAIT
+    end = time.monotonic() + WAIT_SECONDS
     while not (value := condition()):
         assert time.monotonic() < end, "waited in vain"
         time.sleep(0.02)
@@ -82,7 +82,7 @@
     def find(self, pattern: str) -> str:
         """Waits for a line that matches, and returns its group."""
         while True:
-            line = self.lines.get(timeout=WAIT)
+            line = self.lines.get(timeout=WAIT_SECONDS)
             self.seen.append(line)
             assert line, "".join(self.seen)
             if match := re.search(pattern, line):
@@ -94,7 +94,7 @@
         return self.wait()
 
     def wait(self) -> int:
-        status = self.popen.wait(WAIT)
+        status = self.popen.wait(WAIT_SECONDS)
         self.thread.join()
         self.popen.stdout.close()
         return status
@@ -200,7 +200,7 @@
     def __init__(self, process: Process, address: str):
         self.process = process
         self.url = f"http://{address}"
-        self.pool = urllib3.PoolManager(retries=False, timeout=WAIT)
+        self.pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
         self.headers = {"Authorization": f"Bearer {KEY}"}
 
     def ready(self) -> bool:
--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -55,13 +55,13 @@
             continue
 
 
-class World:
+class RouterWorld:
     """A fake store, fake servers and real routers.
 
     Attributes:
         store: the fake store.
         servers: the fake backend servers by incarnation.
-        kept: the fake KV cache server.
+        kv_server: the fake KV cache server.
         routers: the routers, which run on the test's event loop.
     """
 
@@ -69,8 +69,8 @@
         self.platform = stand_in_platforms.StandInPlatform()
         self.store = self.platform.store
         self.servers = self.platform.servers
-        self.kept = self.platform.kv_server
-        self.tell = self.platform.write_registration
+        self.kv_server = self.platform.kv_server
+        self.write_registration = self.platform.write_registration
         self.routers = []
         self._tasks = []
 
@@ -139,12 +139,12 @@
     def client(self, number=0, **more):
         return Client(self.routers[number].chosen.text("listen"), **more)
 
-    async def ask(self, path, number=0, **more):
+    async def request(self, path, number=0, **more):
         """Sends one request on a new connection and returns the response."""
         client = self.client(number)
         await client.open()
         try:
-            return await client.ask(path, **more)
+            return await client.request(path, **more)
         finally:
             client.close()
 
@@ -167,7 +167,7 @@
 
         router.pool._open = slowly
         known[other].avoid_until = clocks.now() + 0.3
-        asked = asyncio.ensure_future(self.ask("/cards/", body=b"c"))
+        asked = asyncio.ensure_future(self.request("/cards/", body=b"c"))
         await opened.wait()
         return asked
 
@@ -191,7 +191,7 @@
         assert len({order["holder"] for order in orders}) == 1
         return orders
 
-    def ran(self, service):
+    def executed_requests(self, service):
         """Returns the requests that servers of a service have run."""
         return [
             call
@@ -202,7 +202,7 @@
         ]
 
 
-class WorldAnswer:
+class ClientResponse:
     """The response that a client received.
 
     Attributes:
@@ -251,7 +251,7 @@
         lines += [f"{name}: {value}" for name, value in fields.items()]
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
 
-    async def ask(self, path, **more):
+    async def request(self, path, **more):
         """Sends a request and returns the response."""
         self.send(path, **more)
         async with asyncio.timeout(8):
@@ -261,7 +261,7 @@
         """Reads a response until its end or the connection's end."""
         head = await self._head()
         if head is None:
-            return WorldAnswer(None, {}, b"", whole=False)
+            return ClientResponse(None, {}, b"", whole=False)
         status, headers = head
         if "transfer-encoding" in headers:
             body, whole = await self._chunks()
@@ -273,7 +273,7 @@
             ):
                 body = await self.reader.readexactly(length)
             whole = len(body) == length
-        return WorldAnswer(status, headers, body, whole)
+        return ClientResponse(status, headers, body, whole)
 
     async def _head(self):
         try:
@@ -300,17 +300,17 @@
             body += piece[:-2]
 
 
-def played(**sizes):
-    """Returns a decorator that runs a coroutine with a started World.
+def with_world(**sizes):
+    """Returns a decorator that runs a coroutine with a started RouterWorld.
 
     Args:
-        **sizes: numbers of routers and servers; see World.start.
+        **sizes: numbers of routers and servers; see RouterWorld.start.
     """
 
     def decorate(test):
         def run():
             async def whole():
-                world = World()
+                world = RouterWorld()
                 try:
                     await world.start(**sizes)
                     await test(world)
--- a/pimentoledge/tests/soak/__main__.py
+++ b/pimentoledge/tests/soak/__main__.py
@@ -53,7 +53,7 @@
         seed=seed, seconds=chosen.seconds, kinds=kinds, routers=chosen.routers
     )
     folder = RESULTS / f"soak-{seed}"
-    found = run.play(folder)
+    found = run.execute(folder)
     print(run.summary())
     if chosen.report is not None:
         run.draw(chosen.report)
--- a/pimentoledge/tests/soak/checks.py
+++ b/pimentoledge/tests/soak/checks.py
@@ -89,7 +89,7 @@
     record: records.SoakRecord, router: str, begin: float, end: float
 ) -> bool:
     """Returns whether a process of a router was started within a time."""
-    lives = record.lives[router]
+    lives = record.process_runs[router]
     return any(begin <= each.started <= end for each in lives)
 
 
@@ -204,7 +204,7 @@
     record: records.SoakRecord, request: records.Request, arrivals: list
 ) -> bool:
     """Returns whether a request may stay without its whole answer."""
-    life = record.lives[request.router][request.life]
+    life = record.process_runs[request.router][request.process_run]
     if life.killed is not None and life.killed <= request.ended:
         return True
     if frozen(record, request.router, request.sent, request.ended):
@@ -214,10 +214,13 @@
         return any(each.harmed for each in arrivals)
     if arrivals or request.timed_out:
         return False
-    if life.told is None or request.sent < life.told:
+    if life.terminated_at is None or request.sent < life.terminated_at:
         return False
     # The connection may have ended while the request was on its way.
-    return not request.first or request.sent > life.told + ACCEPTING_SECONDS
+    return (
+        not request.first
+        or request.sent > life.terminated_at + ACCEPTING_SECONDS
+    )
 
 
 def answered(record: records.SoakRecord) -> Iterator[Violation]:
@@ -242,33 +245,41 @@
 
 def _used(record: records.SoakRecord) -> set[tuple[str, int]]:
     """Returns routers and numbers of processes that accepted a request."""
-    return {(each.router, each.life) for each in list(record.requests.values())}
+    return {
+        (each.router, each.process_run)
+        for each in list(record.requests.values())
+    }
 
 
 def ends(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks how routers ended after SIGTERM."""
     used = _used(record)
-    for router, lives in record.lives.items():
+    for router, lives in record.process_runs.items():
         for number, life in enumerate(list(lives)):
             if life.ended is None:
                 continue
             # Told before it had set the signal's handler and its sockets.
             unborn = (
-                life.told is not None
+                life.terminated_at is not None
                 and life.status == -signal.SIGTERM
                 and (router, number) not in used
             )
             wrong = life.overdue and not frozen(
-                record, router, life.told, life.ended
+                record, router, life.terminated_at, life.ended
             )
             if life.killed is None:
-                wrong = life.told is None or not (life.status == 0 or unborn)
+                wrong = life.terminated_at is None or not (
+                    life.status == 0 or unborn
+                )
             if wrong:
                 yield Violation(
                     line="exit",
                     at=life.ended,
                     about=f"{router} {number}",
-                    text=f"ended with {life.status}, told at {life.told}",
+                    text=(
+                        f"ended with {life.status},"
+                        f" told at {life.terminated_at}"
+                    ),
                 )
 
 
@@ -296,7 +307,7 @@
             continue
         if begin <= headed <= end:
             server = request.headers.get(servers.SERVER.decode().lower())
-            key = (server, request.router, request.life)
+            key = (server, request.router, request.process_run)
             found[key] = min(found.get(key, headed), headed)
     return found
 
@@ -307,7 +318,7 @@
     for arrival, request in _known(record):
         router, server = request.router, arrival.server
         known = {}
-        told = words.get((server, router, request.life))
+        told = words.get((server, router, request.process_run))
         if told and not frozen(record, router, told, arrival.at):
             known["an answer"] = told
         wrote = record.leaving.get(server)
@@ -412,7 +423,7 @@
 ) -> bool:
     """Returns whether a request is one of a router that knew of a limit."""
     at = arrival.at
-    when = told.get((arrival.server, request.router, request.life))
+    when = told.get((arrival.server, request.router, request.process_run))
     if when is None or at < when + LIMIT_TOLD_SECONDS:
         return False
     begin = at - TOUCH_SECONDS
--- a/pimentoledge/tests/soak/clients.py
+++ b/pimentoledge/tests/soak/clients.py
@@ -81,7 +81,7 @@
 
     def _life(self) -> int:
         """Returns the number of the router's newest process."""
-        return len(self.record.lives[self.router]) - 1
+        return len(self.record.process_runs[self.router]) - 1
 
     async def _use(
         self, connection: Connection, stopped: asyncio.Event, life: int
@@ -105,7 +105,7 @@
             key=self.key,
             body=f"body of {identity}".encode(),
             router=self.router,
-            life=life,
+            process_run=life,
             first=first,
             sent=time.monotonic(),
         )
@@ -120,7 +120,7 @@
             count = self.chooser.randint(1, len(PARTS))
             headers |= router_world.stream_headers(",".join(PARTS[:count]))
         try:
-            answer = await connection.ask(
+            answer = await connection.request(
                 f"/{request.route}/",
                 body=request.body,
                 key=request.key,
--- a/pimentoledge/tests/soak/fleets.py
+++ b/pimentoledge/tests/soak/fleets.py
@@ -36,7 +36,7 @@
         address: IP:PORT for clients.
         settings: path of its settings file.
         store: its address of the store.
-        lives: what is recorded of its processes.
+        process_runs: what is recorded of its processes.
         process: the process that runs, or the last one.
         stops: how many faults keep that process stopped.
     """
@@ -45,15 +45,15 @@
     address: str
     settings: pathlib.Path
     store: stand_in_stores.StandInStore
-    lives: list[records.Life]
+    process_runs: list[records.ProcessRun]
     process: processes.Process | None = None
     stops: int = 0
 
-    def life(self) -> records.Life | None:
+    def current_run(self) -> records.ProcessRun | None:
         """Returns its process if that runs."""
         if self.process.popen.poll() is not None:
             return None
-        return self.lives[-1]
+        return self.process_runs[-1]
 
 
 class Fleet:
@@ -137,30 +137,30 @@
         path.write_text(
             "".join(f'{key} = "{value}"\n' for key, value in chosen.items())
         )
-        lives = self._record.lives.setdefault(name, [])
+        lives = self._record.process_runs.setdefault(name, [])
         router = Router(
             name=name,
             address=address,
             settings=path,
             store=store,
-            lives=lives,
+            process_runs=lives,
         )
         self.routers.append(router)
         return router
 
     def _launch(self, router: Router) -> None:
-        router.lives.append(records.Life(started=time.monotonic()))
+        router.process_runs.append(records.ProcessRun(started=time.monotonic()))
         router.stops = 0
         router.process = processes.Process(
             "router", f"--config={router.settings}"
         )
-        log = f"{router.name}-{len(router.lives)}"
+        log = f"{router.name}-{len(router.process_runs)}"
         self.logs[log] = router.process.seen
 
     async def _keep(self, router: Router) -> None:
         """Starts a router again whenever its process has ended."""
         while True:
-            process, life = router.process, router.lives[-1]
+            process, life = router.process, router.process_runs[-1]
             while process.popen.poll() is None:
                 self._end_overdue(router, life)
                 await asyncio.sleep(LOOK_SECONDS)
@@ -172,31 +172,31 @@
             await asyncio.sleep(RESTART_SECONDS)
             self._launch(router)
 
-    def _end_overdue(self, router: Router, life: records.Life) -> None:
+    def _end_overdue(self, router: Router, life: records.ProcessRun) -> None:
         """Kills a process that has not ended within its grace time."""
-        if life.told is None or life.killed is not None:
+        if life.terminated_at is None or life.killed is not None:
             return
-        if time.monotonic() > life.told + GRACE_SECONDS:
+        if time.monotonic() > life.terminated_at + GRACE_SECONDS:
             self._record.note(f"{router.name} is overdue")
             life.overdue = True
             self._send_kill(router, life)
 
-    def _send_kill(self, router: Router, life: records.Life) -> None:
+    def _send_kill(self, router: Router, life: records.ProcessRun) -> None:
         life.killed = life.killed or time.monotonic()
         router.process.popen.send_signal(signal.SIGKILL)
 
     async def terminate(self, router: Router) -> None:
         """Sends SIGTERM; returns when another process was started."""
-        life = router.life()
+        life = router.current_run()
         if life is not None:
             self._record.note(f"SIGTERM to {router.name}")
-            life.told = life.told or time.monotonic()
+            life.terminated_at = life.terminated_at or time.monotonic()
             router.process.popen.send_signal(signal.SIGTERM)
             await _succeeded(router, life)
 
     async def kill(self, router: Router) -> None:
         """Sends SIGKILL; returns when another process was started."""
-        life = router.life()
+        life = router.current_run()
         if life is not None:
             self._record.note(f"SIGKILL to {router.name}")
             self._send_kill(router, life)
@@ -204,7 +204,7 @@
 
     async def stop(self, router: Router, seconds: float) -> None:
         """Stops a router's process for some seconds, or until it ends."""
-        life, process = router.life(), router.process
+        life, process = router.current_run(), router.process
         if life is None:
             return
         self._record.note(f"SIGSTOP to {router.name} for {seconds:.1f} s")
@@ -212,7 +212,10 @@
         self._record.freezes.append(span)
         router.stops += 1
         process.popen.send_signal(signal.SIGSTOP)
-        while time.monotonic() < span.begin + seconds and router.life() is life:
+        while (
+            time.monotonic() < span.begin + seconds
+            and router.current_run() is life
+        ):
             await asyncio.sleep(LOOK_SECONDS)
         if router.process is process:
             router.stops -= 1
@@ -226,8 +229,8 @@
         process.seen.append(process.lines.get())
 
 
-async def _succeeded(router: Router, life: records.Life) -> None:
-    while router.lives[-1] is life:
+async def _succeeded(router: Router, life: records.ProcessRun) -> None:
+    while router.process_runs[-1] is life:
         await asyncio.sleep(LOOK_SECONDS)
 
 
@@ -241,7 +244,7 @@
     try:
         await connection.open()
         path = names.READY_PATH.decode()
-        answer = await connection.ask(path, method="GET")
+        answer = await connection.request(path, method="GET")
     except OSError:
         return False
     connection.close()
--- a/pimentoledge/tests/soak/records.py
+++ b/pimentoledge/tests/soak/records.py
@@ -19,7 +19,7 @@
         key: the organisation's key that it bore.
         body: its body.
         router: name of the router that it was sent to.
-        life: number of that router's process.
+        process_run: number of that router's process.
         first: whether it was the first on its connection.
         sent: when it was sent.
         headed: when the answer's head had come, or None.
@@ -36,7 +36,7 @@
     key: str
     body: bytes
     router: str
-    life: int
+    process_run: int
     first: bool
     sent: float
     headed: float | None = None
@@ -76,12 +76,12 @@
 
 
 @attrs.define(kw_only=True)
-class Life:
+class ProcessRun:
     """One process of a router.
 
     Attributes:
         started: when it was started.
-        told: when it was first sent SIGTERM, or None.
+        terminated_at: when it was first sent SIGTERM, or None.
         killed: when it was sent SIGKILL, or None.
         overdue: whether it was sent SIGKILL since it had not ended in time.
         ended: when it was found ended, or None.
@@ -89,7 +89,7 @@
     """
 
     started: float
-    told: float | None = None
+    terminated_at: float | None = None
     killed: float | None = None
     overdue: bool = False
     ended: float | None = None
@@ -117,7 +117,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Change:
+class ConfigurationChange:
     """A configuration as it was put in force.
 
     Attributes:
@@ -138,7 +138,7 @@
     Attributes:
         requests: by id.
         arrivals: in order.
-        lives: processes by name of router, in order.
+        process_runs: processes by name of router, in order.
         freezes: times in which routers were stopped.
         outages: times in which the store was disturbed.
         named: version and time of each naming of weights.
@@ -155,7 +155,7 @@
 
     requests: dict[str, Request] = attrs.field(factory=dict)
     arrivals: list[Arrival] = attrs.field(factory=list)
-    lives: dict[str, list[Life]] = attrs.field(factory=dict)
+    process_runs: dict[str, list[ProcessRun]] = attrs.field(factory=dict)
     freezes: list[Span] = attrs.field(factory=list)
     outages: list[Span] = attrs.field(factory=list)
     named: list[tuple[int, float]] = attrs.field(factory=list)
@@ -165,7 +165,7 @@
         factory=dict
     )
     own_calls: dict[str, list[float]] = attrs.field(factory=dict)
-    changes: list[Change] = attrs.field(factory=list)
+    changes: list[ConfigurationChange] = attrs.field(factory=list)
     faults: list[tuple[float, str]] = attrs.field(factory=list)
     quiet_from: float | None = None
     stopped: float | None = None
--- a/pimentoledge/tests/soak/runs.py
+++ b/pimentoledge/tests/soak/runs.py
@@ -57,7 +57,7 @@
         self.world: worlds.World | None = None
         self._began = 0.0
 
-    def play(self, folder: pathlib.Path | None = None) -> list[str]:
+    def execute(self, folder: pathlib.Path | None = None) -> list[str]:
         """Plays the run; returns the violations as text.
 
         Args:
@@ -119,7 +119,7 @@
 
     async def _fault(self, fault: plans.Fault) -> None:
         await asyncio.sleep(self._began + fault.at - time.monotonic())
-        await self.world.play(fault)
+        await self.world.inject(fault)
 
     async def _judge(self) -> None:
         """Checks what was seen so far, again and again."""
@@ -167,9 +167,9 @@
         counts = ", ".join(
             f"{count} of {name}" for name, count in sorted(statuses.items())
         )
-        lives = sum(len(each) for each in self.record.lives.values())
+        lives = sum(len(each) for each in self.record.process_runs.values())
         return (
-            f"{len(self.record.lives)} routers with {lives} processes,"
+            f"{len(self.record.process_runs)} routers with {lives} processes,"
             f" {len(self.faults)} faults, {len(self.record.requests)}"
             f" requests by status: {counts}"
         )
--- a/pimentoledge/tests/soak/worlds.py
+++ b/pimentoledge/tests/soak/worlds.py
@@ -104,7 +104,7 @@
             await asyncio.to_thread(store.close)
         await asyncio.to_thread(self.platform.close)
 
-    async def play(self, fault: plans.Fault) -> None:
+    async def inject(self, fault: plans.Fault) -> None:
         """Plays one fault to its end."""
         await getattr(self, f"_{fault.kind}")(fault)
 
@@ -442,7 +442,7 @@
         self.platform.store.put(
             names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, found
         )
-        change = records.Change(
+        change = records.ConfigurationChange(
             at=time.monotonic(),
             keys=frozenset(each["apiKeys"][0] for each in tenants),
             services={
--- a/pimentoledge/tests/test_admin_api.py
+++ b/pimentoledge/tests/test_admin_api.py
@@ -23,7 +23,7 @@
     """An admin server in front of one entry's administration and a store."""
 
     def __init__(self):
-        self.harness = test_updates.AdminHarness(network.Store())
+        self.harness = test_updates.AdminHarness(network.LossyStore())
         self.harness.core.first_key = declarations.key_digest(KEY)
         self.lock = threading.Lock()
         self.server = servers.AdminServer(
--- a/pimentoledge/tests/test_configured_path.py
+++ b/pimentoledge/tests/test_configured_path.py
@@ -31,16 +31,16 @@
     runner = emulator.add_runner("r1", "m")
     first = emulator.add_entry("entry-1", operator_key_digest=DIGEST)
     second = emulator.add_entry("entry-2", operator_key_digest=DIGEST)
-    processes.until(lambda: first.ready() and second.ready())
+    processes.wait_until(lambda: first.ready() and second.ready())
     client = client_of(first)
     client.write("PUT", "models/m", fields={"weights": "w1"}, expected=0)
     fields = {"models": ["m"], "keys": ["a-key-of-a-caller-1"]}
     made = client.write("PUT", "contracts/o", fields=fields, expected=0)
     assert made.unwrap().status == 201
-    processes.until(lambda: second.core.configuration.contracts.get("o"))
+    processes.wait_until(lambda: second.core.configuration.contracts.get("o"))
     agent = runner.daemon.core.configuration
-    processes.until(lambda: agent.model("m") and agent.server("r1"))
-    processes.until(
+    processes.wait_until(lambda: agent.model("m") and agent.server("r1"))
+    processes.wait_until(
         lambda: [
             each["same"]
             for each in client.read("status").unwrap().fields["entries"]
@@ -57,11 +57,11 @@
     """
     emulator.declare(declarations.Contract(organisation="o"))
     first = emulator.add_entry("entry-1", operator_key_digest=DIGEST)
-    processes.until(first.ready)
+    processes.wait_until(first.ready)
     emulator.store.close()
     peers = first.loop.mailbox.address
     late = emulator.add_entry("entry-2", peers=peers)
-    processes.until(late.ready)
+    processes.wait_until(late.ready)
     assert "o" in late.core.configuration.contracts
     client = client_of(first)
     refused = client.write("DELETE", "contracts/o", expected=1).unwrap()
--- a/pimentoledge/tests/test_distribution.py
+++ b/pimentoledge/tests/test_distribution.py
@@ -128,7 +128,7 @@
     net = started(3)
     lagging = net.entries()[0].address
     net.cut = lambda sender, receiver: lagging in (sender, receiver)
-    net.apart = {lagging}
+    net.cut_from_store = {lagging}
     stored = net.declare(contract("org-1", burst=99))
     net.run(3)
     late = net.entry(3)
@@ -253,7 +253,7 @@
     far = {entry.address for entry in net.entries()[3:]}
     stale = net.entries()[3]
     net.cut = lambda sender, receiver: (sender in far) != (receiver in far)
-    net.apart = far
+    net.cut_from_store = far
     net.store.put(OLD, None)
     net.run(30)
     net.entry(1)
--- a/pimentoledge/tests/test_outages.py
+++ b/pimentoledge/tests/test_outages.py
@@ -92,9 +92,9 @@
     digest = emulators.key_digest(OPERATOR)
     daemon = emulator.add_entry(name, operator_key_digest=digest, **flags)
     caller = Caller(daemon)
-    processes.until(daemon.ready)
-    processes.until(lambda: caller.ask(1).status == 200)
-    processes.until(lambda: caller.get().status == 200)
+    processes.wait_until(daemon.ready)
+    processes.wait_until(lambda: caller.ask(1).status == 200)
+    processes.wait_until(lambda: caller.get().status == 200)
     return caller
 
 
@@ -143,7 +143,7 @@
     check_refusals(emulator, caller)
     assert caller.serves_pages()
     emulator.objects.down = False
-    processes.until(lambda: caller.post("during").status == 200)
+    processes.wait_until(lambda: caller.post("during").status == 200)
     assert runs_of(emulator, "during") == 1
 
 
@@ -258,7 +258,7 @@
             found |= each.daemon.loop.query(paths_kept)
         return wanted <= found
 
-    processes.until(kept)
+    processes.wait_until(kept)
 
 
 def servers_of(emulator):
--- a/pimentoledge/tests/test_path.py
+++ b/pimentoledge/tests/test_path.py
@@ -29,7 +29,7 @@
 def start_entry(emulator, name="entry", **flags):
     daemon = emulator.add_entry(name, **flags)
     servers = len(emulator.runners) + len(emulator.services)
-    processes.until(
+    processes.wait_until(
         lambda: len(
             daemon.loop.query(
                 lambda core: core.configuration.servers("runner", "m")
@@ -38,7 +38,7 @@
         )
         == servers
     )
-    processes.until(daemon.ready)
+    processes.wait_until(daemon.ready)
     return daemon
 
 
@@ -93,7 +93,7 @@
     emulator.add_runner("r2", "m", step_seconds=0.01)
     entry = start_entry(emulator)
     response = ask(entry, tokens=60)
-    processes.until(
+    processes.wait_until(
         lambda: any(
             r.engine.counters.generated_tokens > 5
             for r in emulator.runners.values()
@@ -117,7 +117,7 @@
     runner = emulator.add_runner("r1", "m", step_seconds=0.01)
     entry = start_entry(emulator)
     response = ask(entry, tokens=60)
-    processes.until(lambda: runner.engine.counters.generated_tokens > 5)
+    processes.wait_until(lambda: runner.engine.counters.generated_tokens > 5)
     runner.server.cut_streams()
     expected = fake_engines.expected_text(PROMPT, 0, 60)
     assert processes.read_stream(response) == (expected, True)
@@ -135,10 +135,10 @@
     response = ask(entry, tokens=5000)
     response.read(64)
     response.close()
-    processes.until(
+    processes.wait_until(
         lambda: not runner.daemon.loop.query(lambda core: list(core.runs))
     )
-    processes.until(lambda: not runner.engine.streams)
+    processes.wait_until(lambda: not runner.engine.streams)
 
 
 def test_a_card_sent_again_through_another_entry_runs_once(emulator):
@@ -167,8 +167,8 @@
     response = ask(entry, tokens=100)
     draining = threading.Thread(target=entry.drain)
     draining.start()
-    processes.until(lambda: not entry.ready())
-    processes.until(lambda: entry.loop.query(lambda core: core.draining))
+    processes.wait_until(lambda: not entry.ready())
+    processes.wait_until(lambda: entry.loop.query(lambda core: core.draining))
     late = ask(entry)
     assert late.status == 503
     error = json.loads(late.read())["error"]
@@ -231,11 +231,11 @@
         state=vms.VmState.LEAVING,
     )
     emulator.vm_list.put(vm)
-    processes.until(
+    processes.wait_until(
         lambda: entry.loop.query(lambda core: core.membership.leaving_vms)
     )
     refused = ask(entry)
     error = json.loads(refused.read())["error"]
     assert (error["code"], error["outcome"]) == ("NO_SERVER", "not_run")
     emulator.vm_list.remove("vm-1")
-    processes.until(lambda: ask(entry).status == 200)
+    processes.wait_until(lambda: ask(entry).status == 200)
--- a/pimentoledge/tests/test_processes.py
+++ b/pimentoledge/tests/test_processes.py
@@ -33,11 +33,11 @@
     """
     _, agent = deployment.runner("r1")
     entry = deployment.entry("e1")
-    processes.until(lambda: serves(entry))
+    processes.wait_until(lambda: serves(entry))
     response = entry.ask(120)
     first = response.read(10)
     entry.process.popen.send_signal(signal.SIGTERM)
-    processes.until(lambda: not entry.ready())
+    processes.wait_until(lambda: not entry.ready())
     rest = response.read()
     text, done = processes.read_stream((first + rest).splitlines(True))
     assert (text, done) == expected(120)
@@ -53,7 +53,7 @@
     """
     pairs = [deployment.runner("r1"), deployment.runner("r2")]
     entry = deployment.entry("e1")
-    processes.until(lambda: serves(entry))
+    processes.wait_until(lambda: serves(entry))
     response = entry.ask(200)
     first = response.read(200)
     used = chosen_server(entry)
@@ -83,10 +83,10 @@
     """
     deployment.runner("r1")
     one = deployment.entry("e1")
-    processes.until(lambda: serves(one))
+    processes.wait_until(lambda: serves(one))
     assert one.process.end(signal.SIGKILL) == -signal.SIGKILL
     again = deployment.entry("e1")
-    processes.until(lambda: serves(again))
+    processes.wait_until(lambda: serves(again))
     assert processes.read_stream(again.ask(20)) == expected(20)
 
 
@@ -109,16 +109,16 @@
 
     entries = [start(0), start(1)]
     for each in entries:
-        processes.until(lambda each=each: serves(each))
+        processes.wait_until(lambda each=each: serves(each))
     deployment.store.end(signal.SIGKILL)
     entries[0].process.end(signal.SIGKILL)
     entries[0] = start(0)
-    processes.until(lambda: serves(entries[0]))
+    processes.wait_until(lambda: serves(entries[0]))
     for each in entries:
         each.process.end(signal.SIGKILL)
     entries = [start(0), start(1)]
     for each in entries:
-        processes.until(lambda each=each: serves(each))
+        processes.wait_until(lambda each=each: serves(each))
         assert processes.read_stream(each.ask(20)) == expected(20)
 
 
@@ -130,7 +130,7 @@
     """
     deployment.service("c1")
     one, other = deployment.entry("e1"), deployment.entry("e2")
-    answer = processes.until(
+    answer = processes.wait_until(
         lambda: a if (a := one.post_card("k1")).status == 200 else None
     )
     one.process.end(signal.SIGKILL)
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -13,7 +13,7 @@
 from pimentoledge.tests import router_world
 from pimentoledge.tests import test_router_notices
 
-played = router_world.played
+with_world = router_world.with_world
 answer = test_router_notices.answer
 taker = test_router_notices.new_notices
 MODEL = router_world.MODEL
@@ -48,7 +48,7 @@
         "notices", service="plain", kind="safe", targetLatencyMs=OBJECTIVE_MS
     )
     changed = router_world.configuration(
-        version=2, routes=[route], kv_address=world.kept.address
+        version=2, routes=[route], kv_address=world.kv_server.address
     )
     world.store.put("config", "main", changed)
     [router] = world.routers
@@ -63,7 +63,7 @@
     ],
 )
 def test_no_request_reaches_a_server_before_its_retry_after(path):
-    @played(plain=2, runners=2)
+    @with_world(plain=2, runners=2)
     async def test(world):
         kind, headers = "p", {}
         if path == "/lookups/":
@@ -71,23 +71,23 @@
         server = world.servers[f"{kind}0"]
         server.refuse, server.retry_after = 1, "2.0"
         while not server.calls:
-            await world.ask(path, body=b"n", headers=headers)
+            await world.request(path, body=b"n", headers=headers)
         refused = clocks.now()
         [router] = world.routers
         other = router.view.servers.by_incarnation[f"{kind}1"]
         other.avoid_until = clocks.now() + 60.0
         while clocks.now() < refused + 1.0:
-            await world.ask(path, body=b"n", headers=headers)
+            await world.request(path, body=b"n", headers=headers)
         assert len(server.calls) == 1
         await asyncio.sleep(refused + 2.1 - clocks.now())
-        got = await world.ask(path, body=b"n", headers=headers)
+        got = await world.request(path, body=b"n", headers=headers)
         assert got.status == 200
         assert len(server.calls) == 2
 
     test()
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_server_that_backs_off_while_connecting_gets_no_request(world):
     [router] = world.routers
     known = router.view.servers.by_incarnation
@@ -97,7 +97,7 @@
     assert not world.servers["p0"].calls
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_request_is_refused_at_once_while_all_servers_back_off(world):
     await _configure_long_wait(world)
     [router] = world.routers
@@ -107,17 +107,17 @@
     waits = set()
     began = time.monotonic()
     for _ in range(5):
-        got = await world.ask("/notices/", body=b"n")
+        got = await world.request("/notices/", body=b"n")
         assert got.status == 503
         waits.add(float(got.headers["retry-after"]))
     assert time.monotonic() - began < 0.5
     assert min(waits) > 1.4
     assert max(waits) < 3.0
     assert len(waits) == 5
-    assert not world.ran("plain")
+    assert not world.executed_requests("plain")
 
 
-@played(plain=1, runners=1)
+@with_world(plain=1, runners=1)
 async def test_refusal_by_the_last_server_has_its_retry_after(
     world,
 ):
@@ -125,13 +125,13 @@
     server = world.servers["p0"]
     server.refuse, server.retry_after = 1, "2"
     began = time.monotonic()
-    got = await world.ask("/notices/", body=b"n")
+    got = await world.request("/notices/", body=b"n")
     assert got.status == 503
     assert float(got.headers["retry-after"]) > 1.9
     assert time.monotonic() - began < 0.5
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_failed_request_does_not_wait_while_the_others_back_off(
     world,
 ):
@@ -141,30 +141,30 @@
     world.servers["p0"].fail = 1
     router.notices.apply(known["p1"], busy(60.0))
     began = time.monotonic()
-    assert (await world.ask("/notices/", body=b"n")).status == 500
+    assert (await world.request("/notices/", body=b"n")).status == 500
     assert time.monotonic() - began < 0.5
 
 
-@played(plain=1, runners=1)
+@with_world(plain=1, runners=1)
 async def test_request_waits_for_a_server_whose_backoff_ends_in_time(world):
     await _configure_long_wait(world)
     [router] = world.routers
     known = router.view.servers.by_incarnation["p0"]
     router.notices.apply(known, busy(0.3))
-    assert (await world.ask("/notices/", body=b"n")).status == 200
+    assert (await world.request("/notices/", body=b"n")).status == 200
 
 
-@played(routers=2, plain=1, runners=1)
+@with_world(routers=2, plain=1, runners=1)
 async def test_backoff_applies_only_to_the_router_that_received_it(world):
     server = world.servers["p0"]
     server.refuse, server.retry_after = 1, "60"
-    assert (await world.ask("/notices/", 0, body=b"n")).status == 503
-    assert (await world.ask("/notices/", 1, body=b"n")).status == 200
-    assert (await world.ask("/notices/", 0, body=b"n")).status == 503
+    assert (await world.request("/notices/", 0, body=b"n")).status == 503
+    assert (await world.request("/notices/", 1, body=b"n")).status == 200
+    assert (await world.request("/notices/", 0, body=b"n")).status == 503
     assert len(server.calls) == 2
 
 
-@played(plain=1, runners=2)
+@with_world(plain=1, runners=2)
 async def test_runner_that_backs_off_gets_no_status_check(world):
     [router] = world.routers
     rechecked = []
@@ -172,11 +172,11 @@
     runner = world.servers["r0"]
     runner.refuse, runner.retry_after = 1, "60"
     while not runner.calls:
-        await world.ask("/lookups/", headers=router_world.stream_headers())
+        await world.request("/lookups/", headers=router_world.stream_headers())
     assert not rechecked
 
 
-@played(plain=1, runners=2)
+@with_world(plain=1, runners=2)
 async def test_order_refused_with_retry_after_is_not_repeated_early(
     world,
 ):
--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -8,7 +8,7 @@
 from pimentoledge.routing import wanted_weights
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 MODEL = router_world.MODEL
 HELD_SECONDS = 5.0
 
@@ -63,7 +63,7 @@
         assert list(found.shortest) == ["s"]
 
 
-@played(routers=2, plain=1, runners=1)
+@with_world(routers=2, plain=1, runners=1)
 async def test_a_delayed_limit_does_not_replace_a_newer_one(world):
     """Guards against an old limit that is delivered late by a partition."""
     first, second = await meet(world)
@@ -82,7 +82,7 @@
     assert limits.get("p0") == 2.0
 
 
-@played(routers=2, plain=1, runners=1)
+@with_world(routers=2, plain=1, runners=1)
 async def test_a_delayed_heartbeat_does_not_refresh_listings(world):
     """Guards against stale listings that count as recent after a partition."""
     first, second = await meet(world)
@@ -98,7 +98,7 @@
     return {kind: (revision, 0) for kind, (revision, _) in beat.known.items()}
 
 
-@played(routers=2, plain=1, runners=1)
+@with_world(routers=2, plain=1, runners=1)
 async def test_delayed_weights_count_from_before_the_partition(world):
     """Guards against using older weights for too long after a partition."""
     first, second = await meet(world)
--- a/pimentoledge/tests/test_router_evidence.py
+++ b/pimentoledge/tests/test_router_evidence.py
@@ -10,7 +10,7 @@
 from pimentoledge.routing import selections
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 MODEL = router_world.MODEL
 
 
@@ -26,7 +26,7 @@
     )
 
 
-@played(plain=2)
+@with_world(plain=2)
 async def test_a_good_status_check_brings_no_failing_server_back(world):
     """Guards against requests to a server that fails them but looks healthy.
 
@@ -36,7 +36,7 @@
     grey = world.servers["p0"]
     grey.fail = 1000
     for _ in range(60):
-        got = await world.ask("/notices/", body=b"n")
+        got = await world.request("/notices/", body=b"n")
         assert got.status == 200
     failed = [call for call in grey.calls if call.ran]
     assert 0 < len(failed) <= 6
@@ -49,7 +49,7 @@
     assert not checks
 
 
-@played(plain=2)
+@with_world(plain=2)
 async def test_a_server_that_recovers_is_found_by_requests_alone(world):
     """Guards against a recovered server that stays unused.
 
@@ -65,7 +65,7 @@
     other = router.view.servers.by_incarnation["p1"]
     other.open = 7
     for _ in range(60):
-        await world.ask("/notices/", body=b"n")
+        await world.request("/notices/", body=b"n")
     assert sum(call.ran for call in once.calls) > 20
     assert held.decayed_failure_rate(clocks.now()) < 0.01
 
@@ -105,7 +105,7 @@
     assert tries <= 4 + 60 / backends.MAX_FAILURE_BACKOFF_SECONDS
 
 
-@played(plain=2)
+@with_world(plain=2)
 async def test_after_a_freeze_no_connection_or_list_from_before_is_used(
     world,
 ):
@@ -115,14 +115,14 @@
     have run or not. Its list of servers is as old as the freeze.
     """
     [router] = world.routers
-    await world.ask("/cards/", body=b"before")
+    await world.request("/cards/", body=b"before")
     assert any(router.pool.idle.values())
     watches = world.store.counts["GET servers"]
     router._ticked = clocks.now() - daemons.PAUSE_SECONDS - 5
     router.detect_pause(clocks.now())
     assert not any(router.pool.idle.values())
     opened = router.pool.opened
-    got = await world.ask("/cards/", body=b"after")
+    got = await world.request("/cards/", body=b"after")
     assert got.status == 200
     assert router.pool.opened == opened + 1
     await world.until(lambda: world.store.counts["GET servers"] > watches)
@@ -147,7 +147,7 @@
     assert not lease.may_order(sent + leases.TERM_SECONDS)
 
 
-@played(routers=3, plain=1, runners=1)
+@with_world(routers=3, plain=1, runners=1)
 async def test_after_a_freeze_other_routers_count_as_silent(world):
     """Guards against a wait for a lease holder that died in the freeze."""
     first = world.routers[0]
@@ -160,7 +160,7 @@
     assert first.peers.replicator.shares.watcher_ages(woke) == {}
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_idle_connections_are_shared_among_all_routers(world):
     """Guards against idle connections that exhaust a server's limit.
 
@@ -172,7 +172,7 @@
 
     async def four_at_once():
         await asyncio.gather(
-            *(world.ask("/notices/", body=b"n") for _ in range(4))
+            *(world.request("/notices/", body=b"n") for _ in range(4))
         )
 
     world.servers["p0"].work_seconds = 0.05
--- a/pimentoledge/tests/test_router_faults.py
+++ b/pimentoledge/tests/test_router_faults.py
@@ -35,7 +35,7 @@
     def decorate(test):
         def run():
             async def whole(address):
-                world = router_world.World()
+                world = router_world.RouterWorld()
                 try:
                     await world.start(plain=0, runners=0)
                     server = stand_in_servers.StandInServer(
@@ -61,7 +61,7 @@
 
 def ask(world, path="/cards/", **more):
     headers = {**IDENTITY, **more}
-    return world.ask(path, body=b"card", headers=headers)
+    return world.request(path, body=b"card", headers=headers)
 
 
 @before(reply(b"until the end"))
@@ -117,7 +117,7 @@
     assert got.status == 504
 
 
-@router_world.played(plain=1)
+@router_world.with_world(plain=1)
 async def test_a_client_that_reads_nothing_holds_up_no_other(world):
     """Guards against a slow client that delays other clients."""
     slow = world.client()
@@ -125,7 +125,7 @@
     for _ in range(6):
         slow.send("/cards/", body=b"x" * 9000)
     for _ in range(3):
-        assert (await world.ask("/cards/", body=b"c")).status == 200
+        assert (await world.request("/cards/", body=b"c")).status == 200
     slow.close()
 
 
@@ -173,10 +173,10 @@
         asyncio.run(play(url.removeprefix("http://")))
 
 
-@router_world.played(plain=1)
+@router_world.with_world(plain=1)
 async def test_idle_connections_are_watched_for_silence(world):
     """Guards against a server without power, which only probes detect."""
-    await world.ask("/cards/", body=b"c")
+    await world.request("/cards/", body=b"c")
     [router] = world.routers
     [connection] = next(filter(None, router.pool.idle.values()))
     sock = connection._transport.get_extra_info("socket")
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -19,7 +19,7 @@
 from pimentoledge.routing import watchers
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 MODEL = router_world.MODEL
 # Default time for which a server that is leaving may get requests.
 DRAIN_SECONDS = 2.0
@@ -61,7 +61,7 @@
         setattr(router.store, name, unanswered)
 
 
-@played(routers=2, plain=2, runners=1)
+@with_world(routers=2, plain=2, runners=1)
 async def test_requests_reach_no_server_that_left_after_an_outage(world):
     """Guards against requests to a server more than 2 s after it leaves.
 
@@ -72,18 +72,18 @@
     had been gone for 9 s still counted as usable.
     """
     await _outage(world)
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     left = clocks.now()
     while clocks.now() < left + DRAIN_SECONDS + 0.5:
         for number in range(2):
-            await world.ask("/notices/", number, body=b"n")
+            await world.request("/notices/", number, body=b"n")
         await asyncio.sleep(0.02)
     last = max((each.at for each in world.servers["p0"].calls), default=0.0)
     assert last < left + DRAIN_SECONDS
     assert all(has_seen_leaving(each) for each in world.routers)
 
 
-@played(routers=2, plain=1, runners=1)
+@with_world(routers=2, plain=1, runners=1)
 async def test_revoked_keys_and_new_weights_arrive_after_an_outage(world):
     """Guards against configuration and weights 22 s late after an outage.
 
@@ -109,7 +109,7 @@
     )
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_a_watch_on_a_dead_connection_is_detected(world):
     """Guards against missed changes on a connection that went silent.
 
@@ -119,11 +119,11 @@
     [router] = world.routers
     await _all_wait(world)
     world.store.silence_watches()
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     await world.until(lambda: has_seen_leaving(router), seconds=DRAIN_SECONDS)
 
 
-@played(routers=2, plain=2, runners=1)
+@with_world(routers=2, plain=2, runners=1)
 async def test_a_router_with_a_dead_watch_fetches_changes_from_peers(world):
     """Guards against a router that relies on its own dead watch.
 
@@ -135,11 +135,11 @@
     await _all_wait(world)
     _silence(second)
     # Ends the watch that was opened before.
-    world.tell(world.servers["r0"], leaving=True)
+    world.write_registration(world.servers["r0"], leaving=True)
     await world.until(lambda: has_seen_leaving(first, "r0"))
     await world.until(lambda: has_seen_leaving(second, "r0"))
     await _all_wait(world)
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     await world.until(lambda: has_seen_leaving(second), seconds=DRAIN_SECONDS)
 
 
@@ -159,7 +159,7 @@
         == 2,
         seconds=9,
     )
-    world.tell(world.servers["r0"], leaving=True)
+    world.write_registration(world.servers["r0"], leaving=True)
     await world.until(
         lambda: all(has_seen_leaving(each, "r0") for each in world.routers)
     )
@@ -171,14 +171,14 @@
     for each in watching if cut_off else ():
         _silence(each)
     world.store.silence_watches()
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     await world.until(
         lambda: all(has_seen_leaving(each) for each in world.routers),
         seconds=DRAIN_SECONDS,
     )
 
 
-@played(routers=13, plain=2, runners=1)
+@with_world(routers=13, plain=2, runners=1)
 async def test_watching_routers_detect_that_all_watches_are_dead(world):
     """Guards against missed changes when all watches are dead.
 
@@ -188,13 +188,13 @@
     await _all_watches_die(world, cut_off=False)
 
 
-@played(routers=13, plain=2, runners=1)
+@with_world(routers=13, plain=2, runners=1)
 async def test_other_routers_poll_when_watching_ones_reach_no_store(world):
     """The same, where the store answers all routers but those that watch."""
     await _all_watches_die(world, cut_off=True)
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_a_server_that_leaves_while_it_is_being_reached_gets_nothing(
     world,
 ):
@@ -205,14 +205,14 @@
     """
     [router] = world.routers
     asked = await world.ask_while_opening("p0", "p1")
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     await world.until(lambda: has_seen_leaving(router))
     assert (await asked).status == 200
     assert not world.servers["p0"].calls
     assert len(world.servers["p1"].calls) == 1
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_a_router_that_was_paused_polls_the_store_at_once(world):
     """Guards against changes missed while the VM was frozen.
 
@@ -222,7 +222,7 @@
     [router] = world.routers
     await _all_wait(world)
     world.store.silence_watches()
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     await asyncio.sleep(0.1)
     assert not has_seen_leaving(router)
     router._ticked = clocks.now() - 5.0
@@ -264,7 +264,7 @@
     assert (servers.lapse_ends() > clocks.now()) is lapsed
 
 
-@played(routers=3, plain=1, runners=1)
+@with_world(routers=3, plain=1, runners=1)
 async def test_one_router_polls_for_all(world):
     """Guards against polls by each router, since each call has a cost.
 
@@ -293,7 +293,7 @@
     assert world.store.counts["GET servers"] - before <= 4.0 / early + 2
 
 
-@played(routers=2, plain=1, runners=1)
+@with_world(routers=2, plain=1, runners=1)
 async def test_a_heartbeat_counts_only_where_its_changes_are_known(world):
     """Guards against a router that takes an incomplete copy for complete.
 
@@ -314,7 +314,7 @@
         assert (mirror.known_at > now + 1) is (ahead == 0)
 
 
-@played(routers=2, plain=2, runners=1)
+@with_world(routers=2, plain=2, runners=1)
 async def test_lapsed_entries_in_a_peers_listing_are_kept(world):
     """Guards against refusals after an outage although the servers run.
 
--- a/pimentoledge/tests/test_router_logs.py
+++ b/pimentoledge/tests/test_router_logs.py
@@ -13,7 +13,7 @@
 from pimentoledge.routing import watchers
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 
 
 def lines_of(reader):
@@ -72,7 +72,7 @@
         found.setdefault(record.message, []).append(fields)
 
 
-@played()
+@with_world()
 async def test_answered_line_has_the_data_that_the_choice_was_based_on(
     world,
 ):
@@ -82,9 +82,9 @@
     compared costs, the cached load and versions, and the age of each.
     """
     with fields_of_lines() as lines:
-        await world.ask("/cards/1", body=b"a")
-        await world.ask("/drafts/", headers=router_world.stream_headers())
-        await world.ask("/nowhere/")
+        await world.request("/cards/1", body=b"a")
+        await world.request("/drafts/", headers=router_world.stream_headers())
+        await world.request("/nowhere/")
     [call], [stream] = lines["answered"], lines["streamed"]
     for line in (call, stream):
         chosen = line["chosen"]
@@ -103,7 +103,7 @@
     assert refused["configuration_age"] >= 0
 
 
-@played(plain=1, runners=1)
+@with_world(plain=1, runners=1)
 async def test_log_and_metrics_have_the_age_of_cached_objects(world):
     """Guards against caches of server entries whose age can't be determined.
 
@@ -113,7 +113,7 @@
     """
     [router] = world.routers
     with fields_of_lines() as lines:
-        world.tell(world.servers["p0"], leaving=True)
+        world.write_registration(world.servers["p0"], leaving=True)
         known = router.view.servers.by_incarnation["p0"]
         await world.until(lambda: known.registration.leaving)
         await asyncio.sleep(watchers.BATCH_SECONDS + 0.05)
@@ -126,7 +126,7 @@
         assert f"pimentoledge_router_{kind}_age_seconds" in page
 
 
-@played()
+@with_world()
 async def test_late_stream_is_logged_and_counted(world):
     """Guards against complete but late streams that go unnoticed.
 
@@ -140,13 +140,13 @@
             for each in found
         ]
     with fields_of_lines() as lines:
-        await world.ask("/drafts/", headers=router_world.stream_headers())
+        await world.request("/drafts/", headers=router_world.stream_headers())
     [stream] = lines["streamed"]
     assert stream["late"] == "pause"
     assert router.counters.decisions[("streamed", "pause")] == 1
 
 
-@played(runners=1)
+@with_world(runners=1)
 async def test_client_disconnect_is_logged_with_its_server(world):
     """Guards against disconnects that can't be traced to a server.
 
@@ -169,7 +169,7 @@
     assert left["chosen"]["usable"] == 1
 
 
-@played(plain=1, runners=1)
+@with_world(plain=1, runners=1)
 async def test_response_announcing_that_its_server_leaves_is_logged_once(
     world,
 ):
@@ -180,16 +180,16 @@
     """
     server = world.servers["p0"]
     with fields_of_lines() as lines:
-        await world.ask("/notices/", body=b"n")
+        await world.request("/notices/", body=b"n")
         assert "server_leaving" not in lines
         server.leaving = True
         for _ in range(3):
-            await world.ask("/notices/", body=b"n")
+            await world.request("/notices/", body=b"n")
     [line] = lines["server_leaving"]
     assert line == {"server": "p0", "status": 200, "declared": False}
 
 
-@played(plain=1, runners=1)
+@with_world(plain=1, runners=1)
 async def test_refusal_with_retry_after_is_logged_with_its_seconds(world):
     """Guards against a received Retry-After that isn't logged.
 
@@ -200,10 +200,10 @@
     server.refuse = 2
     server.retry_after = "0.25"
     with fields_of_lines() as lines:
-        await world.ask("/notices/", body=b"n")
+        await world.request("/notices/", body=b"n")
         server.retry_after = "Thu, 01 Jan 1970 00:00:00 GMT"
         await asyncio.sleep(0.3)
-        await world.ask("/notices/", body=b"n")
+        await world.request("/notices/", body=b"n")
     [line] = lines["server_busy"]
     assert line == {"server": "p0", "status": 503, "retry_after_s": 0.25}
     [line] = lines["retry_after_unreadable"]
--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -19,7 +19,7 @@
 from pimentoledge.routing import server_notices
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 MODEL = router_world.MODEL
 REGISTRATION = registrations.Registration(
     server="s0",
@@ -82,7 +82,7 @@
 def test_no_request_goes_to_a_server_whose_answer_announced_leaving(
     path, fault
 ):
-    @played(plain=2, runners=2)
+    @with_world(plain=2, runners=2)
     async def test(world):
         kind, headers = "p", {}
         if path == "/lookups/":
@@ -94,18 +94,18 @@
         if fault is not None:
             setattr(server, fault, 1)
         while not server.calls:
-            await world.ask(path, body=b"n", headers=headers)
+            await world.request(path, body=b"n", headers=headers)
         got = len(server.calls)
         other = router.view.servers.by_incarnation[f"{kind}1"]
         other.avoid_until = clocks.now() + 60.0
         for _ in range(4):
-            await world.ask(path, body=b"n", headers=headers)
+            await world.request(path, body=b"n", headers=headers)
         assert len(server.calls) == got
 
     test()
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_a_server_that_leaves_during_the_connect_gets_no_request(
     world,
 ):
@@ -117,7 +117,7 @@
     assert not world.servers["p0"].calls
 
 
-@played(plain=2, runners=2)
+@with_world(plain=2, runners=2)
 async def test_a_report_with_a_leaving_header_ends_requests_to_its_runner(
     world,
 ):
@@ -130,7 +130,7 @@
     assert known.is_leaving()
 
 
-@played(plain=2, runners=2)
+@with_world(plain=2, runners=2)
 async def test_a_report_with_a_leaving_body_ends_requests_to_its_runner(world):
     """Guards against a missed notice that is only in a report's body."""
     [router] = world.routers
@@ -141,7 +141,7 @@
     assert known.is_leaving()
 
 
-@played(plain=1, runners=2)
+@with_world(plain=1, runners=2)
 async def test_an_order_answer_with_a_leaving_header_ends_requests(
     world,
 ):
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -8,15 +8,15 @@
 from pimentoledge.routing import watchers
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 stream_headers = router_world.stream_headers
 
 
-@played()
+@with_world()
 async def test_call_is_relayed_with_its_response_and_headers(
     world,
 ):
-    got = await world.ask(
+    got = await world.request(
         "/cards/1?x=2",
         body=b"card",
         headers={
@@ -29,7 +29,7 @@
     )
     assert (got.status, got.body, got.whole) == (200, b"answer of card", True)
     assert got.headers["server-stamp"] == "stand.in"
-    [call] = world.ran("plain")
+    [call] = world.executed_requests("plain")
     assert (call.method, call.target, call.body) == (
         "POST",
         "/cards/1?x=2",
@@ -43,7 +43,7 @@
         assert name not in call.headers
 
 
-@played()
+@with_world()
 async def test_requests_the_configuration_does_not_allow_are_refused(world):
     cases = [
         ("/nowhere/", {}, 404),
@@ -54,9 +54,9 @@
         ("/cards/", {"headers": {"Transfer-Encoding": "chunked"}}, 400),
     ]
     for path, more, status in cases:
-        got = await world.ask(path, **more)
+        got = await world.request(path, **more)
         assert got.status == status, (path, more)
-    assert not world.ran("plain")
+    assert not world.executed_requests("plain")
 
 
 def test_router_without_configuration_refuses_with_retry_after():
@@ -67,16 +67,16 @@
     """
 
     async def play():
-        world = router_world.World()
+        world = router_world.RouterWorld()
         world.store.start()
         world.store.objects.down = True
         try:
             port = router_world.free_port()
             await world.add_router("router", port, [port])
-            got = await world.ask("/cards/")
+            got = await world.request("/cards/")
             assert got.status == 503
             assert float(got.headers["retry-after"]) > 0
-            ready = await world.ask("/-/ready")
+            ready = await world.request("/-/ready")
             assert ready.status == 503
         finally:
             await world.close()
@@ -84,7 +84,7 @@
     asyncio.run(play())
 
 
-@played()
+@with_world()
 async def test_unrepeatable_call_without_response_is_not_retried(
     world,
 ):
@@ -95,73 +95,75 @@
     """
     for server in world.servers.values():
         server.lose = 1
-    got = await world.ask("/cards/", body=b"card")
+    got = await world.request("/cards/", body=b"card")
     assert got.status == 502
-    assert len(world.ran("plain")) == 1
+    assert len(world.executed_requests("plain")) == 1
 
 
-@played()
+@with_world()
 async def test_call_refused_as_not_run_is_retried_elsewhere(world):
     world.servers["p0"].refuse = 1
     world.servers["p1"].refuse = 0
     for _ in range(3):
-        got = await world.ask("/cards/", body=b"card")
+        got = await world.request("/cards/", body=b"card")
         assert got.status == 200
-    assert len(world.ran("plain")) == 3
+    assert len(world.executed_requests("plain")) == 3
 
 
-@played()
+@with_world()
 async def test_refusal_by_all_servers_has_retry_after(world):
     for server in world.servers.values():
         server.refuse = 9
-    got = await world.ask("/cards/", body=b"card")
+    got = await world.request("/cards/", body=b"card")
     assert got.status == 503
     assert 0 < float(got.headers["retry-after"]) < 2
     assert b"not_run" in got.body
-    assert not world.ran("plain")
+    assert not world.executed_requests("plain")
 
 
-@played()
+@with_world()
 async def test_failed_repeatable_call_is_retried_elsewhere(world):
     for server in world.servers.values():
         server.fail = 1
-    got = await world.ask("/notices/", method="GET")
+    got = await world.request("/notices/", method="GET")
     assert got.status == 500  # Both failed, and two servers are allowed.
-    assert len(world.ran("plain")) == 2
-    got = await world.ask("/notices/", method="GET")
+    assert len(world.executed_requests("plain")) == 2
+    got = await world.request("/notices/", method="GET")
     assert got.status == 200
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_response_to_another_request_is_not_relayed(world):
     """Guards against relaying the response to another request.
 
     The server's response bears another request id than the one sent.
     """
     world.servers["p0"].misnumber = 1
-    got = await world.ask("/cards/", body=b"card")
+    got = await world.request("/cards/", body=b"card")
     assert got.status == 504 or got.status == 502
-    got = await world.ask("/cards/", body=b"next")
+    got = await world.request("/cards/", body=b"next")
     assert got.body == b"answer of next"
 
 
-@played()
+@with_world()
 async def test_stream_is_relayed_completely(world):
-    got = await world.ask("/drafts/", headers=stream_headers())
+    got = await world.request("/drafts/", headers=stream_headers())
     assert got.status == 200 and got.whole
     assert [int(n) for n in _numbers(got.body)] == [1, 2, 3, 4, 5]
-    [call] = world.ran("runners")
+    [call] = world.executed_requests("runners")
     assert call.headers["expect-version"] == "1"
     assert call.headers["cache-salt"] == "1"
-    assert call.headers["kv-save"] == world.kept.address
+    assert call.headers["kv-save"] == world.kv_server.address
     # The route's urgency, 1, within the organisation's, 2.
     assert call.headers["request-priority"] == "7"
 
 
-@played()
+@with_world()
 async def test_isolated_organisations_share_no_cache_namespace(world):
-    await world.ask("/drafts/", key="key-of-walled", headers=stream_headers())
-    [call] = world.ran("runners")
+    await world.request(
+        "/drafts/", key="key-of-walled", headers=stream_headers()
+    )
+    [call] = world.executed_requests("runners")
     assert call.headers["cache-salt"] == "1.walled"
 
 
@@ -173,7 +175,7 @@
     ]
 
 
-@played()
+@with_world()
 async def test_broken_stream_resumes_elsewhere_without_a_gap(world):
     """A client must get each event once although a runner's stream breaks.
 
@@ -182,30 +184,30 @@
     """
     for server in world.servers.values():
         server.cut_after = 3 if server.service == "runners" else None
-    got = await world.ask("/lookups/", headers=stream_headers())
+    got = await world.request("/lookups/", headers=stream_headers())
     # The second runner's stream breaks as well, before its last two events.
     assert _numbers(got.body)[:3] == ["1", "2", "3"]
     assert got.status == 200
     resumed = [
         call.headers["last-event-id"]
-        for call in world.ran("runners")
+        for call in world.executed_requests("runners")
         if "last-event-id" in call.headers
     ]
     assert resumed == ["3"]
 
 
-@played()
+@with_world()
 async def test_broken_stream_without_resumption_does_not_look_complete(world):
     """A stream that breaks must not look complete, nor run again."""
     for server in world.servers.values():
         server.cut_after = 3
-    got = await world.ask("/drafts/", headers=stream_headers())
+    got = await world.request("/drafts/", headers=stream_headers())
     assert not got.whole
     assert _numbers(got.body) == ["1", "2", "3"]
-    assert len(world.ran("runners")) == 1
+    assert len(world.executed_requests("runners")) == 1
 
 
-@played(runners=1)
+@with_world(runners=1)
 async def test_stream_is_cancelled_when_client_disconnects(world):
     """A runner must stop generating once the client has disconnected."""
     runner = world.servers["r0"]
@@ -218,7 +220,7 @@
     await world.until(lambda: runner.active_requests == 0, seconds=1.0)
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_unrepeatable_call_finishes_after_client_disconnects(world):
     client = world.client()
     await client.open()
@@ -226,11 +228,11 @@
     await world.until(lambda: len(world.servers["p0"].calls) == 1)
     client.close()
     await world.until(lambda: world.servers["p0"].active_requests == 0)
-    got = await world.ask("/cards/", body=b"next")
+    got = await world.request("/cards/", body=b"next")
     assert got.body == b"answer of next"
 
 
-@played()
+@with_world()
 async def test_a_new_configuration_is_in_force_at_once(world):
     first = router_world.configuration()
     moved = router_world.configuration(
@@ -241,28 +243,30 @@
     world.store.put("config", "main", moved)
     [router] = world.routers
     await world.until(lambda: router.view.configuration.version == 5)
-    assert (await world.ask("/cards/")).status == 404
-    assert (await world.ask("/new/", method="GET")).status == 401
-    assert (await world.ask("/new/", method="GET", key="fresh")).status == 200
+    assert (await world.request("/cards/")).status == 404
+    assert (await world.request("/new/", method="GET")).status == 401
+    assert (
+        await world.request("/new/", method="GET", key="fresh")
+    ).status == 200
     # A late update with an older version is ignored.
     world.store.put("config", "main", {**first, "version": 3})
     await asyncio.sleep(0.2)
     assert router.view.configuration.version == 5
 
 
-@played()
+@with_world()
 async def test_leaving_server_gets_no_new_requests(world):
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     [router] = world.routers
     await world.until(
         lambda: router.view.servers.by_incarnation["p0"].registration.leaving
     )
     for _ in range(4):
-        assert (await world.ask("/cards/", body=b"c")).status == 200
+        assert (await world.request("/cards/", body=b"c")).status == 200
     assert not world.servers["p0"].calls
 
 
-@played(plain=2)
+@with_world(plain=2)
 async def test_call_to_a_dead_server_is_retried(world):
     """A call is retried when the connection to a dead server fails.
 
@@ -270,10 +274,10 @@
     """
     world.servers["p0"].close()
     for _ in range(4):
-        assert (await world.ask("/cards/", body=b"c")).status == 200
+        assert (await world.request("/cards/", body=b"c")).status == 200
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_other_server_at_a_reused_address_runs_nothing(world):
     """A request must not run on a server that took over another's address.
 
@@ -283,12 +287,12 @@
     """
     server = world.servers["p0"]
     server.incarnation = "somebody-else"
-    got = await world.ask("/cards/", body=b"c")
+    got = await world.request("/cards/", body=b"c")
     assert got.status == 503
-    assert not world.ran("plain")
+    assert not world.executed_requests("plain")
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_draining_router_finishes_requests_and_refuses_late_ones(
     world,
 ):
@@ -300,20 +304,20 @@
     [router] = world.routers
     kept = world.client()
     await kept.open()
-    assert (await kept.ask("/cards/", body=b"a")).status == 200
+    assert (await kept.request("/cards/", body=b"a")).status == 200
     drain = asyncio.ensure_future(router.drain())
     await asyncio.sleep(0.3)
-    assert (await world.ask("/-/ready")).status == 503
-    got = await world.ask("/cards/", body=b"b")
+    assert (await world.request("/-/ready")).status == 503
+    got = await world.request("/cards/", body=b"b")
     assert (got.status, got.headers["connection"]) == (200, "close")
     assert (await kept.read()).status is None  # Closed while it was idle.
     await drain
-    got = await world.ask("/cards/", body=b"c")
+    got = await world.request("/cards/", body=b"c")
     assert got.status == 503
     assert b"not_run" in got.body
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_requests_on_one_connection_are_answered_in_order(world):
     client = world.client()
     await client.open()
@@ -324,18 +328,18 @@
     client.close()
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_metrics_count_decisions(world):
-    await world.ask("/cards/", body=b"c")
+    await world.request("/cards/", body=b"c")
     [router] = world.routers
     client = router_world.Client(router.chosen.text("metrics-listen"))
     await client.open()
-    got = await client.ask("/metrics", method="GET")
+    got = await client.request("/metrics", method="GET")
     client.close()
     assert b'kind="answered",outcome=""' in got.body
 
 
-@played(runners=2)
+@with_world(runners=2)
 async def test_prompt_parts_come_from_a_runner_without_kv_cache_server(world):
     """Guards against fetches from a dead KV cache server, some 100 ms each.
 
@@ -343,9 +347,9 @@
     parts that another runner has cached are fetched from that runner.
     """
     [router] = world.routers
-    await world.ask("/drafts/", headers=stream_headers())
-    [first] = world.ran("runners")
-    world.kept.close()
+    await world.request("/drafts/", headers=stream_headers())
+    [first] = world.executed_requests("runners")
+    world.kv_server.close()
     await world.until(lambda: router.view.caches_down)
     assert not router.view.saved.saved
     holder = next(
@@ -355,13 +359,15 @@
     )
     holder.failure_rate = 1.0
     holder.failure_rate_at = clocks.now()
-    await world.ask("/drafts/", headers=stream_headers())
-    second = next(call for call in world.ran("runners") if call is not first)
+    await world.request("/drafts/", headers=stream_headers())
+    second = next(
+        call for call in world.executed_requests("runners") if call is not first
+    )
     assert "kv-save" not in second.headers
     assert second.headers["kv-fetch"] == holder.registration.address
 
 
-@played(plain=2)
+@with_world(plain=2)
 async def test_servers_expired_in_an_outage_are_used_until_they_are_back(
     world,
 ):
@@ -379,15 +385,15 @@
     for name in ("p0", "p1"):
         world.store.remove("servers", name)
     await world.until(lambda: len(router.updater.lapsed) == 2)
-    assert (await world.ask("/cards/", body=b"c")).status == 200
-    world.tell(world.servers["p0"])
+    assert (await world.request("/cards/", body=b"c")).status == 200
+    world.write_registration(world.servers["p0"])
     await world.until(lambda: "p0" not in router.updater.lapsed)
     known = router.view.servers.by_incarnation
     await world.until(lambda: "p1" not in known)
     assert "p0" in known
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_connections_from_before_a_pause_are_not_reused(world):
     """Guards against idle connections that look open after a VM was suspended.
 
@@ -395,14 +401,14 @@
     unknown.
     """
     [router] = world.routers
-    await world.ask("/cards/", body=b"c")
+    await world.request("/cards/", body=b"c")
     assert any(router.pool.idle.values())
     router.detect_pause(clocks.now() + 5)
     assert not any(router.pool.idle.values())
-    assert (await world.ask("/cards/", body=b"c")).status == 200
+    assert (await world.request("/cards/", body=b"c")).status == 200
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_draining_router_serves_first_request_on_new_connection(world):
     """Guards against closing a new connection before its first request.
 
@@ -415,11 +421,11 @@
     await client.open()
     await world.until(lambda: router.connections)
     router.tick()
-    got = await client.ask("/cards/", body=b"c")
+    got = await client.request("/cards/", body=b"c")
     assert (got.status, got.headers["connection"]) == (200, "close")
 
 
-@played(plain=2)
+@with_world(plain=2)
 async def test_call_in_progress_at_its_deadline_is_not_reported_as_not_run(
     world,
 ):
@@ -434,14 +440,14 @@
     router.view.servers.by_incarnation["p1"].failure_rate_at = clocks.now()
     dead.close()
     slow.work_seconds = 1.5
-    got = await world.ask(
+    got = await world.request(
         "/cards/", body=b"card", headers={"Deadline-Ms": "400"}
     )
     assert got.status == 504
-    assert len(world.ran("plain")) == 1
+    assert len(world.executed_requests("plain")) == 1
 
 
-@played(runners=2)
+@with_world(runners=2)
 async def test_failed_resumption_sends_no_second_response_in_a_stream(
     world,
 ):
@@ -461,13 +467,13 @@
     world.servers["r1"].cut_after = None
     world.servers["r1"].fail = 9
     first.failure_rate = 0.0
-    got = await world.ask("/lookups/", headers=stream_headers())
+    got = await world.request("/lookups/", headers=stream_headers())
     assert not got.whole
     assert _numbers(got.body) == ["1", "2", "3"]
     assert b"failed" not in got.body
 
 
-@played(plain=2)
+@with_world(plain=2)
 async def test_server_that_left_after_an_outage_is_not_used_as_expired(
     world,
 ):
@@ -487,7 +493,7 @@
     assert clocks.now() - begun < 1.0
 
 
-@played(plain=1, runners=1)
+@with_world(plain=1, runners=1)
 async def test_requests_at_the_end_of_the_grace_time_get_final_responses(
     world,
 ):
@@ -514,7 +520,7 @@
     assert got.status == 200 and not got.whole
 
 
-@played(plain=1)
+@with_world(plain=1)
 async def test_draining_router_finishes_call_of_disconnected_client(world):
     """A draining router must finish a call whose client has disconnected."""
     [router] = world.routers
@@ -529,7 +535,7 @@
     await world.until(lambda: not router.exchanges)
 
 
-@played()
+@with_world()
 async def test_expect_100_continue_gets_interim_response(world):
     """Guards against uploads that stall for a second.
 
@@ -547,11 +553,11 @@
     got = await client.read()
     client.close()
     assert (got.status, got.body) == (200, b"answer of card")
-    [call] = world.ran("plain")
+    [call] = world.executed_requests("plain")
     assert "expect" not in call.headers
 
 
-@played()
+@with_world()
 async def test_interim_response_waits_for_earlier_responses(world):
     """Guards against an interim response that precedes an earlier response.
 
@@ -574,9 +580,9 @@
     assert second.body == b"answer of two"
 
 
-@played()
+@with_world()
 async def test_too_large_body_is_refused_without_interim_response(world):
     """A client must not have to send 20 KB to get a 413."""
     expects = {"Expect": "100-continue", "Content-Length": "20000"}
-    got = await world.ask("/cards/1", headers=expects)
+    got = await world.request("/cards/1", headers=expects)
     assert got.status == 413
--- a/pimentoledge/tests/test_router_peers.py
+++ b/pimentoledge/tests/test_router_peers.py
@@ -9,7 +9,7 @@
 from pimentoledge.routing import wanted_weights
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 MODEL = router_world.MODEL
 
 
@@ -29,14 +29,14 @@
         each.reached = False
 
 
-@played(routers=2, runners=5)
+@with_world(routers=2, runners=5)
 async def test_new_weights_reach_each_runner_by_one_holder(world):
     orders = await world.roll_out(2)
     assert len({order["fence"] for order in orders}) == 1
     assert all(order["version"] == 2 for order in orders)
 
 
-@played(routers=1, runners=1)
+@with_world(routers=1, runners=1)
 async def test_a_late_order_cannot_restore_old_weights(world):
     """Requests must not fall back to old weights seconds after a rollout.
 
@@ -53,7 +53,7 @@
     assert runner.taken == 1
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_a_router_without_the_store_receives_changes(world):
     """A revoked key must stop working at a router that cannot reach the store.
 
@@ -66,17 +66,17 @@
     world.store.put(
         "config", "main", router_world.configuration(version=9, tenants=[])
     )
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     await world.until(lambda: second.view.configuration.version == 9)
     await world.until(lambda: second.view.wanted[MODEL].version == 2)
     await world.until(
         lambda: second.view.servers.by_incarnation["p0"].registration.leaving
     )
-    assert (await world.ask("/cards/", 1, body=b"c")).status == 401
+    assert (await world.request("/cards/", 1, body=b"c")).status == 401
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_a_restarted_router_takes_the_age_of_weights_from_others(world):
     """A router that has just started must not take an old change for a new one.
 
@@ -95,7 +95,7 @@
     )
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_content_that_crashed_servers_is_refused_by_all_routers(world):
     """A request that crashes servers may be repeated through other routers.
 
@@ -108,17 +108,17 @@
         server = world.servers[incarnation]
         other = world.servers["p1" if incarnation == "p0" else "p0"]
         other_entry = other.incarnation
-        world.tell(other, leaving=True)
+        world.write_registration(other, leaving=True)
         await world.until(
             lambda name=other_entry: first.view.servers.by_incarnation[
                 name
             ].registration.leaving
         )
         server.lose = 1
-        assert (await world.ask("/cards/", body=b"bad")).status == 502
+        assert (await world.request("/cards/", body=b"bad")).status == 502
         first.view.servers.by_incarnation[incarnation].avoid_until = 0.0
         first.peers.server_died(incarnation)
-        world.tell(other)
+        world.write_registration(other)
         await world.until(
             lambda name=other_entry: not first.view.servers.by_incarnation[
                 name
@@ -126,13 +126,13 @@
         )
     await asyncio.sleep(0.2)
     for number in (0, 1):
-        got = await world.ask("/cards/", number, body=b"bad")
+        got = await world.request("/cards/", number, body=b"bad")
         assert (number, got.status) == (number, 503)
-        got = await world.ask("/cards/", number, body=b"good")
+        got = await world.request("/cards/", number, body=b"good")
         assert got.status == 200
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_a_router_that_is_gone_for_good_is_removed(world):
     """VMs are replaced every day; their addresses must not accumulate."""
     first, second = world.routers
@@ -149,7 +149,7 @@
     assert second.peers.address in first.peers.roster.known
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_a_router_started_in_an_outage_gets_its_state_from_peers(world):
     """A VM that restarts while the store is down must serve requests."""
     first, second = world.routers
@@ -161,10 +161,10 @@
     await world.until(
         lambda: third.view.ready() and third.view.servers.by_incarnation
     )
-    assert (await world.ask("/cards/", 2, body=b"c")).status == 200
+    assert (await world.request("/cards/", 2, body=b"c")).status == 200
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_a_router_without_recent_heartbeats_is_not_present(world):
     """A paused or unreachable holder must not block orders by others."""
     first, second = world.routers
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -17,7 +17,7 @@
 from pimentoledge.routing import watch_shares
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 MODEL = router_world.MODEL
 
 
@@ -372,13 +372,13 @@
         seconds=9,
     )
     # A change ends the watches that are still open.
-    world.tell(world.servers["r0"], leaving=True)
+    world.write_registration(world.servers["r0"], leaving=True)
     await world.until(
         lambda: 0 < len(_watching(world.routers)) <= watch_shares.STANDBYS
     )
 
 
-@played(routers=13, plain=2, runners=2)
+@with_world(routers=13, plain=2, runners=2)
 async def test_few_routers_watch_and_all_receive_changes(world):
     """Guards against a call to the store per change from each router.
 
@@ -388,7 +388,7 @@
     routers = world.routers
     await _few_watch(world)
     before = world.store.counts.get("GET servers", 0)
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
 
     def seen_leaving(by, name):
         return all(
@@ -403,7 +403,7 @@
     for each in cut_off:
         _cut_off(each)
     others = [each for each in routers if each not in cut_off]
-    world.tell(world.servers["p1"], leaving=True)
+    world.write_registration(world.servers["p1"], leaving=True)
     await world.until(
         lambda: seen_leaving(others, "p1"),
         seconds=watch_shares.FRESH_SECONDS + 1.0,
@@ -418,7 +418,7 @@
     router.peers._send = lambda address, message, now: None
 
 
-@played(routers=13, plain=2, runners=2)
+@with_world(routers=13, plain=2, runners=2)
 async def test_a_router_that_missed_changes_catches_up(world):
     """A router that was paused may have a list that is minutes old.
 
@@ -429,7 +429,7 @@
     late = next(each for each in routers if each not in _watching(routers))
     handle = late.peers.handle
     late.peers.handle = lambda event: None
-    world.tell(world.servers["p0"], leaving=True)
+    world.write_registration(world.servers["p0"], leaving=True)
     await world.until(
         lambda: all(
             each.view.servers.by_incarnation["p0"].registration.leaving
@@ -438,7 +438,7 @@
         )
     )
     late.peers.handle = handle
-    world.tell(world.servers["p1"], leaving=True)
+    world.write_registration(world.servers["p1"], leaving=True)
     await world.until(
         lambda: all(
             late.view.servers.by_incarnation[each].registration.leaving
@@ -448,7 +448,7 @@
     )
 
 
-@played(routers=13, plain=2, runners=4)
+@with_world(routers=13, plain=2, runners=4)
 async def test_crash_reports_reach_routers_that_are_not_partners(world):
     """A request that crashes servers may be repeated through any router.
 
@@ -477,7 +477,7 @@
     )
 
 
-@played(routers=13, plain=1, runners=4)
+@with_world(routers=13, plain=1, runners=4)
 async def test_one_of_many_routers_sends_the_rollout_orders(world):
     """Each runner must load once, though many routers see that it is due."""
     await world.roll_out(2)
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -14,7 +14,7 @@
 
 limited = test_router_server_limits.limited
 
-played = router_world.played
+with_world = router_world.with_world
 # Time from a server's first answer with a limit until the limit must hold.
 KNOWN_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
@@ -32,7 +32,7 @@
         number += 1
         router = number % len(world.routers)
         answers.append(
-            await world.ask(path, router, body=b"n", headers=headers)
+            await world.request(path, router, body=b"n", headers=headers)
         )
         await asyncio.sleep(PAUSE_SECONDS)
     return answers
@@ -72,7 +72,7 @@
 ):
     """Guards against limits that are forwarded to clients but not enforced."""
 
-    @played(routers=3, plain=2, runners=2)
+    @with_world(routers=3, plain=2, runners=2)
     async def test(world):
         headers = {}
         if path == "/lookups/":
@@ -87,7 +87,7 @@
     test()
 
 
-@played(routers=2, plain=1, runners=0)
+@with_world(routers=2, plain=1, runners=0)
 async def test_a_request_beyond_the_limit_is_refused_at_once_with_retry_after(
     world,
 ):
@@ -97,7 +97,7 @@
     refused, late = [], 0
     for number in range(30):
         began = clocks.now()
-        answer = await world.ask("/notices/", number % 2, body=b"n")
+        answer = await world.request("/notices/", number % 2, body=b"n")
         late += clocks.now() - began > 0.3
         if answer.status != 200:
             refused.append(answer)
@@ -107,7 +107,7 @@
     waits = [float(each.headers["retry-after"]) for each in refused]
     assert min(waits) > 0.2
     await asyncio.sleep(min(3.0, max(waits)))
-    assert (await world.ask("/notices/", body=b"n")).status == 200
+    assert (await world.request("/notices/", body=b"n")).status == 200
 
 
 def name_limit(router, server, per_second):
@@ -117,7 +117,7 @@
     return backend
 
 
-@played(routers=3, plain=1, runners=1)
+@with_world(routers=3, plain=1, runners=1)
 async def test_a_limit_reaches_all_routers_and_one_that_joins(world):
     """Guards against routers that exceed a limit until an answer shows it."""
     for each in world.routers:
@@ -140,14 +140,14 @@
     )
 
 
-@played(routers=2, plain=1, runners=0)
+@with_world(routers=2, plain=1, runners=0)
 async def test_a_request_is_answered_after_its_limit_ends(world):
     """Guards against pending acquires to a dead owner without a timeout."""
     [router, _] = world.routers
     limiter = router.peers.limiter
     name_limit(router, "p0", 1.0)
     limiter.rights.target = lambda slot, now: "tcp://127.0.0.1:9"
-    asked = asyncio.ensure_future(world.ask("/notices/", body=b"n"))
+    asked = asyncio.ensure_future(world.request("/notices/", body=b"n"))
     await world.until(lambda: limiter.pending)
     router.view.server_limits.advertised.clear()
     began = clocks.now()
@@ -155,7 +155,7 @@
     assert clocks.now() - began < 1.0
 
 
-@played(routers=2, plain=1, runners=1)
+@with_world(routers=2, plain=1, runners=1)
 async def test_a_router_that_missed_a_limit_receives_it_again(world):
     """Guards against the loss of a message about a limit."""
     first, second = world.routers
@@ -167,7 +167,7 @@
     )
 
 
-@played(routers=2, plain=1, runners=0)
+@with_world(routers=2, plain=1, runners=0)
 async def test_a_limit_that_ends_at_one_router_ends_at_all(world):
     """Guards against a limit that is enforced after its server ended it."""
     server = world.servers["p0"]
@@ -181,7 +181,7 @@
     assert {each.status for each in answers} == {200}
 
 
-@played(routers=2, plain=1, runners=2)
+@with_world(routers=2, plain=1, runners=2)
 async def test_weights_are_loaded_within_a_limit(world):
     """Guards against a limit that blocks the load of weights."""
     runner = world.servers["r0"]
@@ -199,7 +199,7 @@
     assert most_in_window(runner, since) <= allowed(1.0)
 
 
-@played(plain=1, runners=2)
+@with_world(plain=1, runners=2)
 async def test_a_runner_whose_limit_is_used_gets_no_order(world):
     """Guards against orders, and reports before them, that bypass a limit."""
     [router] = world.routers
@@ -227,7 +227,7 @@
     assert not runner.arrival_times
 
 
-@played(plain=1, runners=2)
+@with_world(plain=1, runners=2)
 async def test_no_report_is_requested_from_a_runner_whose_limit_is_used(world):
     """Guards against requests for reports that bypass a limit.
 
@@ -242,7 +242,7 @@
     assert len(world.servers["r0"].arrival_times) == reached
 
 
-@played(plain=2, runners=1)
+@with_world(plain=2, runners=1)
 async def test_a_limit_advertised_during_a_connect_is_enforced(world):
     """Guards against requests that bypass a limit.
 
@@ -255,7 +255,7 @@
     assert not world.servers["p0"].calls
 
 
-@played(plain=1, runners=0)
+@with_world(plain=1, runners=0)
 async def test_a_request_that_never_left_gives_its_permit_back(world):
     """Guards against permits lost when a connection cannot be opened."""
     [router] = world.routers
@@ -265,13 +265,13 @@
     world.servers["p0"].close()
     for _ in range(8):
         backend.limited_until = backend.avoid_until = 0.0
-        assert (await world.ask("/notices/", body=b"n")).status == 503
+        assert (await world.request("/notices/", body=b"n")).status == 503
     [pool] = [pool for slot in slots for pool in slot.pools.values()]
     assert pool.level > 1.0
     assert not backend.limited_until
 
 
-@played(plain=1, runners=2)
+@with_world(plain=1, runners=2)
 async def test_nothing_is_fetched_from_a_runner_with_a_limit(world):
     """Guards against fetches of cached parts that bypass a limit."""
     [router] = world.routers
@@ -280,7 +280,7 @@
     assert [each.registration.incarnation for each in found] == ["r1"]
 
 
-@played(routers=1, plain=1, runners=0)
+@with_world(routers=1, plain=1, runners=0)
 async def test_an_answer_that_arrived_during_a_freeze_is_not_new(world):
     """Guards against an old answer that counts as new after a freeze.
 
--- a/pimentoledge/tests/test_router_silent_peers.py
+++ b/pimentoledge/tests/test_router_silent_peers.py
@@ -5,7 +5,7 @@
 from pimentoledge.routing import clocks
 from pimentoledge.tests import router_world
 
-played = router_world.played
+with_world = router_world.with_world
 # Time limit for routers to reconnect after their connections went silent.
 TOUCH_SECONDS = 3.0
 
@@ -50,7 +50,7 @@
 def test_routers_reconnect_after_connections_went_silent(both):
     """Guards against routers that each count themselves as the whole fleet."""
 
-    @played(routers=3, plain=1, runners=0)
+    @with_world(routers=3, plain=1, runners=0)
     async def test(world):
         began = clocks.now()
         await world.until(lambda: all_connected(world, began))
@@ -64,7 +64,7 @@
     test()
 
 
-@played(routers=2, plain=1, runners=0)
+@with_world(routers=2, plain=1, runners=0)
 async def test_working_connections_stay_open(world):
     """Guards against connections that are reopened without a reason."""
     began = clocks.now()
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -32,7 +32,7 @@
 from pimentoledge.tests import router_world
 from pimentoledge.tests import test_router_decisions
 
-played = router_world.played
+with_world = router_world.with_world
 MODEL = router_world.MODEL
 # Time bound in the end-to-end tests.
 WEIGHTS_SECONDS = 3.0
@@ -214,7 +214,7 @@
         assert view.begins_until(MODEL, 1) == view.born + 11.0
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_a_start_during_a_rollout_excludes_no_runner_elsewhere(world):
     """Guards against heartbeats that report a guessed time as certain."""
     first, second = world.routers
@@ -238,7 +238,7 @@
         assert abs(each.view.wanted[MODEL].since - named) < 0.2
 
 
-@played(routers=2)
+@with_world(routers=2)
 async def test_a_router_that_missed_a_version_receives_all_versions(world):
     """Guards against a router that uses the first version for too long.
 
@@ -258,7 +258,7 @@
     assert second.view.wanted[MODEL].version == 3
 
 
-@played(routers=1, runners=1)
+@with_world(routers=1, runners=1)
 async def test_a_version_found_by_a_read_counts_from_its_earliest_time(
     world,
 ):
@@ -280,7 +280,7 @@
     assert router.view.wanted[MODEL].since <= named + 0.1
 
 
-@played(routers=1, runners=2)
+@with_world(routers=1, runners=2)
 async def test_a_runner_with_newer_weights_shows_their_announcement(world):
     """Guards against older weights that are used without end.
 
@@ -291,11 +291,11 @@
     _stop_weights_watch(router)
     runner = world.servers["r0"]
     runner.weights[MODEL] = 2
-    world.tell(runner)
+    world.write_registration(runner)
     await world.until(lambda: router.view.wanted[MODEL].version == 2)
 
 
-@played(routers=1, runners=1)
+@with_world(routers=1, runners=1)
 async def test_a_version_received_by_a_watch_counts_from_then(world):
     """Guards against excluding runners before they could load.
 
@@ -332,7 +332,7 @@
     margin = cluster_views.WEIGHTS_MARGIN_SECONDS
     await asyncio.sleep(WEIGHTS_SECONDS - margin - 0.3)
     headers = router_world.stream_headers(**{"Deadline-Ms": "5000"})
-    asked = asyncio.ensure_future(world.ask(path, headers=headers))
+    asked = asyncio.ensure_future(world.request(path, headers=headers))
     await world.until(lambda: server(world) is not None)
     return asked, named
 
@@ -347,12 +347,12 @@
     """Returns the requests that started on older weights past the bound."""
     return [
         call
-        for call in world.ran("runners")
+        for call in world.executed_requests("runners")
         if call.weights == 1 and call.began > named + WEIGHTS_SECONDS
     ]
 
 
-@played(routers=1, runners=1)
+@with_world(routers=1, runners=1)
 async def test_no_request_that_waits_begins_on_older_weights_past_the_bound(
     world,
 ):
@@ -368,7 +368,7 @@
     assert answer.status not in (408, 421, 429, 503)
 
 
-@played(routers=1, runners=2)
+@with_world(routers=1, runners=2)
 async def test_a_resumable_request_that_waits_too_long_goes_to_newer_weights(
     world,
 ):
@@ -542,7 +542,7 @@
     time.sleep(seconds)
 
 
-@played(routers=2, runners=1)
+@with_world(routers=2, runners=1)
 async def test_a_version_announced_during_a_pause_of_all_counts_from_then(
     world,
 ):
@@ -564,7 +564,7 @@
         assert each.view.wanted[MODEL].since < named + 0.5
 
 
-@played(routers=2, runners=2)
+@with_world(routers=2, runners=2)
 async def test_a_router_that_stood_still_ages_no_weights_elsewhere(world):
     """Guards against a version that counts as old as the pause of a router.
 
@@ -588,7 +588,7 @@
     assert abs(first.view.wanted[MODEL].since - now) < 0.3
 
 
-@played(routers=1, runners=1)
+@with_world(routers=1, runners=1)
 async def test_no_part_of_older_weights_is_fetched_after_a_pause(world):
     """Guards against cached parts of mixed weights.
 
@@ -668,7 +668,7 @@
         assert found < 0.1
 
 
-@played(routers=1, runners=2)
+@with_world(routers=1, runners=2)
 async def test_a_version_announced_in_an_outage_does_not_exclude_all_runners(
     world,
 ):
@@ -687,5 +687,7 @@
     world.store.put("versions", MODEL, {"model": MODEL, "version": 2})
     world.store.silent = False
     await world.until(lambda: router.view.wanted[MODEL].version == 2)
-    answer = await world.ask("/lookups/", headers=router_world.stream_headers())
+    answer = await world.request(
+        "/lookups/", headers=router_world.stream_headers()
+    )
     assert answer.status == 200
--- a/pimentoledge/tests/test_soak.py
+++ b/pimentoledge/tests/test_soak.py
@@ -30,4 +30,4 @@
 )
 def test_clients_and_servers_see_every_promise_kept(seed, seconds, kinds):
     run = runs.Run(seed=seed, seconds=seconds, kinds=kinds)
-    assert not run.play(), run.summary()
+    assert not run.execute(), run.summary()
--- a/pimentoledge/tests/test_updates.py
+++ b/pimentoledge/tests/test_updates.py
@@ -101,7 +101,7 @@
 
 
 def created(**fields):
-    harness = AdminHarness(network.Store())
+    harness = AdminHarness(network.LossyStore())
     harness.submit("made", "PUT", expected=0, body={"burst": 1, **fields})
     assert harness.wait_for_reply("made").status == 201
     return harness
@@ -292,7 +292,7 @@
 
     Two entries update one object while calls and answers are lost or late.
     """
-    store = network.Store()
+    store = network.LossyStore()
     harnesses = [AdminHarness(store, 1), AdminHarness(store, 2)]
     written, late, submitted = [], [], 0
 
--- a/pimentoledge/tests/test_upgrades.py
+++ b/pimentoledge/tests/test_upgrades.py
@@ -111,13 +111,13 @@
     entry = start(emulator, 5)
     store = emulator.runners["r1"].engine.weight_store
     with Callers(entry, 8) as callers:
-        processes.until(lambda: len(callers.answers) > 20)
+        processes.wait_until(lambda: len(callers.answers) > 20)
         declare_model(emulator, "w2")
-        processes.until(lambda: "w2" in weights_of(emulator))
+        processes.wait_until(lambda: "w2" in weights_of(emulator))
         declare_model(emulator, "w3")
-        processes.until(lambda: weights_of(emulator) == {"w3"})
+        processes.wait_until(lambda: weights_of(emulator) == {"w3"})
         done = len(callers.answers)
-        processes.until(lambda: len(callers.answers) > done + 20)
+        processes.wait_until(lambda: len(callers.answers) > done + 20)
     check(callers.answers)
     assert store.most <= LIMIT
     assert store.loads <= 10
@@ -132,7 +132,7 @@
     entry = start(emulator, 1)
     declare_model(emulator, "w1", ["a1", "a2"])
     engine = emulator.runners["r1"].engine
-    processes.until(lambda: engine.adapters == ["a1", "a2"])
+    processes.wait_until(lambda: engine.adapters == ["a1", "a2"])
     cached = []
     for adapter in ("a1", "a1", "a2", ""):
         before = engine.counters.cached_tokens
@@ -150,16 +150,16 @@
     """
     entry = start(emulator, 3)
     with Callers(entry, 6) as callers:
-        processes.until(lambda: len(callers.answers) > 20)
+        processes.wait_until(lambda: len(callers.answers) > 20)
         declare_leaving(emulator, "r1")
         emulator.runners["r2"].daemon.core.draining = True
         until = time.monotonic() + 3.0
-        processes.until(lambda: time.monotonic() > until)
+        processes.wait_until(lambda: time.monotonic() > until)
         emulator.objects.down = True
         engines = [emulator.runners[name].engine for name in ("r1", "r2")]
-        processes.until(lambda: not any(each.streams for each in engines))
+        processes.wait_until(lambda: not any(each.streams for each in engines))
         runs = [each.counters.runs.total() for each in engines]
         done = len(callers.answers)
-        processes.until(lambda: len(callers.answers) > done + 60)
+        processes.wait_until(lambda: len(callers.answers) > done + 60)
         assert [each.counters.runs.total() for each in engines] == runs
     check(callers.answers)
