--- a/pimentoledge/nodes/codecs.py
+++ b/pimentoledge/nodes/codecs.py
@@ -9,7 +9,7 @@
 
 _ENCODER = msgspec.msgpack.Encoder()
 # number, sender's mailbox, sender's configuration version, body.
-_ENVELOPE = msgspec.msgpack.Decoder(tuple[int, str, int, msgspec.Raw])
+_ENVELOPE_DECODER = msgspec.msgpack.Decoder(tuple[int, str, int, msgspec.Raw])
 
 
 class Codec:
@@ -21,7 +21,9 @@
 
     def __init__(self, *, numbers: dict[int, type]):
         self.numbers = numbers
-        self._number_of = {kind: number for number, kind in numbers.items()}
+        self._numbers_by_class = {
+            kind: number for number, kind in numbers.items()
+        }
         self._decoders = {
             number: msgspec.msgpack.Decoder(kind)
             for number, kind in numbers.items()
@@ -41,7 +43,7 @@
         Returns:
             The envelope as MessagePack.
         """
-        number = self._number_of[type(message)]
+        number = self._numbers_by_class[type(message)]
         return _ENCODER.encode((number, sender, configuration, message))
 
     def decode(
@@ -49,7 +51,7 @@
     ) -> result.Result[events.FromNode, results.Error]:
         """Decodes an envelope; bytes that are none give an Error."""
         try:
-            number, sender, configuration, body = _ENVELOPE.decode(data)
+            number, sender, configuration, body = _ENVELOPE_DECODER.decode(data)
             message = self._decoders[number].decode(body)
         except (msgspec.MsgspecError, KeyError) as error:
             # A process of a newer version may send what this can't read.
--- a/pimentoledge/nodes/loops.py
+++ b/pimentoledge/nodes/loops.py
@@ -15,12 +15,12 @@
 logger = logbook.Logger("loops")
 
 # Longest sleep: how often silent connections are looked after.
-LONGEST_WAIT = 0.25
+MAX_WAIT_SECONDS = 0.25
 # Longest wait of another thread for an answer.
-ASK_SECONDS = 5.0
+QUERY_TIMEOUT_SECONDS = 5.0
 # Events handled before the actions are carried out: bounds the delay of the
 # first of them under a burst.
-MAX_BATCH = 64
+MAX_BATCH_EVENTS = 64
 
 
 @attrs.define(kw_only=True)
@@ -90,14 +90,14 @@
         """Calls a function with the state machine, in its own thread.
 
         For other threads; returns its result, or None while closing and
-        when the state machine did not answer in ASK_SECONDS.
+        when the state machine did not answer in QUERY_TIMEOUT_SECONDS.
         """
-        question = Query(function=function)
-        self.inbox.put(question)
-        until = time.monotonic() + ASK_SECONDS
-        while not self.closing and time.monotonic() < until:
+        query = Query(function=function)
+        self.inbox.put(query)
+        deadline = time.monotonic() + QUERY_TIMEOUT_SECONDS
+        while not self.closing and time.monotonic() < deadline:
             try:
-                return question.answer.get(timeout=LONGEST_WAIT)
+                return query.answer.get(timeout=MAX_WAIT_SECONDS)
             except queue.Empty:
                 continue
         return None
@@ -109,34 +109,34 @@
 
     def collect_batch(self) -> list[object]:
         """Waits for events until the next timer, and takes a batch."""
-        wait = LONGEST_WAIT
-        wake = self.core.next_wake()
-        if wake is not None:
-            wait = min(wait, max(0.0, wake - time.monotonic()))
+        wait = MAX_WAIT_SECONDS
+        wake_at = self.core.next_wake()
+        if wake_at is not None:
+            wait = min(wait, max(0.0, wake_at - time.monotonic()))
         try:
             batch = [self.inbox.get(timeout=wait)]
         except queue.Empty:
             return []
-        while len(batch) < MAX_BATCH and not self.inbox.empty():
+        while len(batch) < MAX_BATCH_EVENTS and not self.inbox.empty():
             batch.append(self.inbox.get())
         return batch
 
     def handle_batch(self, batch: list[object]) -> None:
         """Handles a batch and whatever timer is due."""
         now = time.monotonic()
-        todo: list[actions.Action] = []
+        due: list[actions.Action] = []
         for event in batch:
-            todo += self.guarded(event, self.handle, event, now)
-        wake = self.core.next_wake()
-        if wake is not None and wake <= now:
-            todo += self.guarded(None, self.core.tick, now)
-        todo += self.guarded(None, self.core.flush)
-        self.guarded(None, self.dispatch_actions, todo, now)
-        if now - self.last_expiry > LONGEST_WAIT:
+            due += self.call_guarded(event, self.handle, event, now)
+        wake_at = self.core.next_wake()
+        if wake_at is not None and wake_at <= now:
+            due += self.call_guarded(None, self.core.tick, now)
+        due += self.call_guarded(None, self.core.flush)
+        self.call_guarded(None, self.dispatch_actions, due, now)
+        if now - self.last_expiry > MAX_WAIT_SECONDS:
             self.last_expiry = now
             self.mailbox.expire(now, self.core.partners())
 
-    def guarded(
+    def call_guarded(
         self, event: object, function: Callable, *arguments: object
     ) -> list[actions.Action]:
         """Calls a function; a defect costs only the event that met it.
@@ -164,11 +164,11 @@
                 return self.core.handle(event, now)
         return []
 
-    def dispatch_actions(self, todo: list[actions.Action], now: float) -> None:
+    def dispatch_actions(self, due: list[actions.Action], now: float) -> None:
         """Sends what is to be sent and hands the rest to the daemon."""
-        rest = []
+        others = []
         version = self.core.configuration.version
-        for action in todo:
+        for action in due:
             if isinstance(action, actions.Send):
                 self.mailbox.send(
                     action.address,
@@ -177,6 +177,6 @@
                     now=now,
                 )
             else:
-                rest.append(action)
-        if rest:
-            self.perform(rest)
+                others.append(action)
+        if others:
+            self.perform(others)
--- a/pimentoledge/nodes/mailboxes.py
+++ b/pimentoledge/nodes/mailboxes.py
@@ -23,9 +23,9 @@
 SEND_BUFFER = 512
 RECEIVE_BUFFER = 512
 # How long a message waits for a connection to come up.
-CONNECT_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 # A connection costs some 29 KB, and an entry meets thousands of agents.
-IDLE_SECONDS = 15.0
+IDLE_TIMEOUT_SECONDS = 15.0
 
 
 @attrs.define(kw_only=True)
@@ -51,18 +51,18 @@
     Attributes:
         socket: its push socket.
         generation: tells this connection's events from an older one's.
-        up: whether the connection stands.
-        waiting: messages and their bytes, until it stands.
-        since: when it was opened.
-        used: when it was last used.
+        connected: whether the connection stands.
+        pending: messages and their bytes, until it stands.
+        opened_at: when it was opened.
+        last_used_at: when it was last used.
     """
 
     socket: pynng.Push0
     generation: int
-    since: float
-    used: float
-    up: bool = False
-    waiting: list[tuple[object, bytes]] = attrs.field(factory=list)
+    opened_at: float
+    last_used_at: float
+    connected: bool = False
+    pending: list[tuple[object, bytes]] = attrs.field(factory=list)
 
 
 class Mailbox:
@@ -146,18 +146,23 @@
         )
         for address in addresses:
             peer = self.peers.get(address) or self.open(address, now)
-            peer.used = now
-            if peer.up:
+            peer.last_used_at = now
+            if peer.connected:
                 self.push(address, peer, message, data)
             else:
-                peer.waiting.append((message, data))
+                peer.pending.append((message, data))
 
     def open(self, address: str, now: float) -> Peer:
         """Starts a connection without waiting for it."""
         self.generation += 1
         generation = self.generation
         socket = pynng.Push0(send_buffer_size=SEND_BUFFER)
-        peer = Peer(socket=socket, generation=generation, since=now, used=now)
+        peer = Peer(
+            socket=socket,
+            generation=generation,
+            opened_at=now,
+            last_used_at=now,
+        )
         up = PeerUp(address=address, generation=generation)
         down = PeerDown(address=address, generation=generation)
         socket.add_post_pipe_connect_cb(lambda _: self.deliver(up))
@@ -180,11 +185,11 @@
     def drop(self, address: str, unsent: list[object]) -> None:
         """Closes a connection and reports it."""
         peer = self.peers.pop(address)
-        unsent = [message for message, _ in peer.waiting] + unsent
+        unsent = [message for message, _ in peer.pending] + unsent
         peer.socket.close()
         self.deliver(events.Unreachable(address=address, unsent=unsent))
 
-    def renew(self, address: str, now: float, least_seconds: float) -> bool:
+    def renew(self, address: str, now: float, min_age_seconds: float) -> bool:
         """Closes a connection, so that the next message opens another one.
 
         What was handed to it and has not arrived is lost.
@@ -192,13 +197,17 @@
         Args:
             address: the process at its other end.
             now: the time.
-            least_seconds: a connection that is younger stays.
+            min_age_seconds: a connection that is younger stays.
 
         Returns:
             Whether it was closed.
         """
         peer = self.peers.get(address)
-        if peer is None or not peer.up or now - peer.since < least_seconds:
+        if (
+            peer is None
+            or not peer.connected
+            or now - peer.opened_at < min_age_seconds
+        ):
             return False
         del self.peers[address]
         peer.socket.close()
@@ -213,14 +222,14 @@
             case PeerDown():
                 self.drop(event.address, [])
             case PeerUp():
-                peer.up = True
-                waiting, peer.waiting = peer.waiting, []
-                for index, (message, data) in enumerate(waiting):
+                peer.connected = True
+                pending, peer.pending = peer.pending, []
+                for index, (message, data) in enumerate(pending):
                     if self.peers.get(event.address) is not peer:
-                        rest = [each for each, _ in waiting[index:]]
+                        unsent = [each for each, _ in pending[index:]]
                         self.deliver(
                             events.Unreachable(
-                                address=event.address, unsent=rest
+                                address=event.address, unsent=unsent
                             )
                         )
                         return
@@ -236,10 +245,13 @@
                 partner's death.
         """
         for address, peer in list(self.peers.items()):
-            if not peer.up and now - peer.since > CONNECT_SECONDS:
+            if (
+                not peer.connected
+                and now - peer.opened_at > CONNECT_TIMEOUT_SECONDS
+            ):
                 self.drop(address, [])
             elif address in partners:
                 continue
-            elif now - peer.used > IDLE_SECONDS:
+            elif now - peer.last_used_at > IDLE_TIMEOUT_SECONDS:
                 self.peers.pop(address)
                 peer.socket.close()
--- a/pimentoledge/platform/names.py
+++ b/pimentoledge/platform/names.py
@@ -10,7 +10,7 @@
 LAST_EVENT_ID = b"last-event-id"
 SIGNATURE = b"server-stamp"
 ORGANISATION = b"tenant"
-INCARNATION_ONLY = b"expect-instance"
+EXPECTED_INCARNATION = b"expect-instance"
 SERVER_LOAD = b"server-load"
 NOT_RUN = b"not-run"
 RETRY_AFTER = b"retry-after"
@@ -24,17 +24,17 @@
 TOKEN_USAGE = b"token-usage"
 NAMESPACE = b"cache-salt"
 URGENCY = b"request-priority"
-FETCH = b"kv-fetch"
-SAVE = b"kv-save"
+KV_FETCH_FROM = b"kv-fetch"
+KV_SAVE_TO = b"kv-save"
 # One integer in an answer's head, though the name is a plural.
 WEIGHT_VERSIONS = b"weight-versions"
-WEIGHTS_ONLY = b"expect-version"
+EXPECTED_WEIGHT_VERSION = b"expect-version"
 PIN = b"pin-ms"
 HOLD = b"hold"
-BACKUP = b"kv-backup"
-FROM_COPY = b"kv-from"
+KV_BACKUP = b"kv-backup"
+KV_COPY_SOURCE = b"kv-from"
 AUTHORIZATION = b"authorization"
-KEY_SCHEME = b"bearer "
+BEARER_PREFIX = b"bearer "
 
 # Connections only; never passed on in either direction.
 HOP_BY_HOP = frozenset(
@@ -53,21 +53,21 @@
     )
 )
 # Only the system may set these; a client's are dropped.
-SYSTEM_ONLY = frozenset(
+ROUTER_ONLY = frozenset(
     (
         AUTHORIZATION,
         DEADLINE,
         ORGANISATION,
-        INCARNATION_ONLY,
-        WEIGHTS_ONLY,
+        EXPECTED_INCARNATION,
+        EXPECTED_WEIGHT_VERSION,
         NAMESPACE,
         URGENCY,
-        FETCH,
-        SAVE,
+        KV_FETCH_FROM,
+        KV_SAVE_TO,
         PIN,
         HOLD,
-        BACKUP,
-        FROM_COPY,
+        KV_BACKUP,
+        KV_COPY_SOURCE,
         LAST_EVENT_ID,
         b"accept-encoding",
     )
--- a/pimentoledge/platform/objects.py
+++ b/pimentoledge/platform/objects.py
@@ -12,10 +12,10 @@
 
 # States of a backend server that it takes requests in; in any other it would
 # be guesswork what it does with them.
-_LEAVES = "draining"
-_STATES = {"ready": False, _LEAVES: True}
+_DRAINING = "draining"
+_LEAVING_BY_STATE = {"ready": False, _DRAINING: True}
 # Ports of TCP.
-_MOST_PORT = 65535
+_MAX_PORT = 65535
 
 
 def decode_stored(item: Any) -> registrations.Stored:
@@ -32,12 +32,12 @@
     )
 
 
-def _field(table: dict, name: str, kind: type, default: Any = None) -> Any:
+def _field(fields: dict, name: str, kind: type, default: Any = None) -> Any:
     """Returns a field of a type; raises ValueError without it.
 
     A `default` is returned where the field is missing or null.
     """
-    value = table.get(name)
+    value = fields.get(name)
     if value is None and default is not None:
         return default
     # To Python a truth value is an int; to the platform it is none.
@@ -47,24 +47,24 @@
 
 
 def decode_registration(
-    each: registrations.Stored,
+    stored: registrations.Stored,
 ) -> registrations.Registration:
     """Returns a backend server's registration; raises ValueError."""
-    spec = each.value
+    spec = stored.value
     if not isinstance(spec, dict):
         raise ValueError("a server's entry that is no table")
     state = _field(spec, "state", str, "ready")
-    if state not in _STATES:
+    if state not in _LEAVING_BY_STATE:
         raise ValueError(f"state is {state!r}"[:100])
     return registrations.Registration(
-        server=each.name,
+        server=stored.name,
         service=_field(spec, "service", str),
         address=_address(_field(spec, "address", str)),
         data_centre=_field(spec, "zone", str),
         slots=max(1, _field(spec, "slots", int, 1)),
-        leaving=_STATES[state] or each.leaving,
-        weights=_weights(_field(spec, "models", list, [])),
-        born=_born(spec),
+        leaving=_LEAVING_BY_STATE[state] or stored.leaving,
+        weights=_weight_versions(_field(spec, "models", list, [])),
+        born=_incarnation_start(spec),
     )
 
 
@@ -75,49 +75,49 @@
     if not isinstance(body.get("busy"), bool):
         raise ValueError("a report that doesn't say whether it is busy")
     return rollouts.RunnerReport(
-        weights=_weights(_field(body, "models", list)),
+        weights=_weight_versions(_field(body, "models", list)),
         loading=body["busy"],
         # `seq` counts orders taken here; in the store it counts heartbeats.
         orders_taken=_field(body, "seq", int),
-        born=_born(body),
-        leaving=body.get("state") == _LEAVES,
+        born=_incarnation_start(body),
+        leaving=body.get("state") == _DRAINING,
     )
 
 
-def _born(told: dict) -> int | None:
+def _incarnation_start(fields: dict) -> int | None:
     """Returns when the life began that a server tells of, or None."""
-    if told.get("born") is None:
+    if fields.get("born") is None:
         return None
-    return _field(told, "born", int)
+    return _field(fields, "born", int)
 
 
 def _address(text: str) -> str:
     host, _, port = text.rpartition(":")
     if not host or not port.isascii() or not port.isdigit():
         raise ValueError(f"address is {text!r}"[:100])
-    if not 0 < int(port) <= _MOST_PORT:
+    if not 0 < int(port) <= _MAX_PORT:
         raise ValueError(f"address is {text!r}"[:100])
     return text
 
 
-def _weights(models: list) -> dict[str, int]:
+def _weight_versions(models: list) -> dict[str, int]:
     """Returns the version of each model's weights.
 
     The `version` beside `models` is that of the server's software.
     """
-    found = {}
+    versions = {}
     for model in models:
         if not isinstance(model, dict):
             raise ValueError("a model that is no table")
-        found[_field(model, "name", str)] = _field(model, "version", int)
-    return found
+        versions[_field(model, "name", str)] = _field(model, "version", int)
+    return versions
 
 
 def decode_named_weights(
-    each: registrations.Stored,
+    stored: registrations.Stored,
 ) -> registrations.NamedWeights:
     """Returns which version of a model's weights is wanted."""
-    spec = each.value
+    spec = stored.value
     if not isinstance(spec, dict):
         raise ValueError("named weights that are no table")
     return registrations.NamedWeights(
@@ -126,10 +126,10 @@
 
 
 def decode_configuration(
-    each: registrations.Stored,
+    stored: registrations.Stored,
 ) -> configurations.Configuration:
     """Returns a configuration; raises KeyError or ValueError on a bad one."""
-    spec = each.value
+    spec = stored.value
     organisations = spec.get("tenants")
     return configurations.build(
         version=spec["version"],
@@ -155,12 +155,12 @@
         shares = (
             configurations.ServiceShare(service=entry["service"], weight=1.0),
         )
-    gap = entry.get("gapAimMs")
+    gap_milliseconds = entry.get("gapAimMs")
     return configurations.Route(
         name=entry["name"],
         host=entry["host"].lower(),
         path_prefix=entry["pathPrefix"],
-        kind=_kind(entry),
+        kind=_repeatability(entry),
         timeout_seconds=_seconds(entry, "timeoutMs")
         or configurations.USUAL_TIMEOUT_SECONDS,
         objective_seconds=_seconds(entry, "targetLatencyMs"),
@@ -170,7 +170,9 @@
         open=bool(entry.get("public")),
         by_prefix=bool(entry.get("sticky")),
         resumable=bool(entry.get("resumable")),
-        gap_seconds=None if gap is None else gap / 1000,
+        gap_seconds=None
+        if gap_milliseconds is None
+        else gap_milliseconds / 1000,
     )
 
 
@@ -212,24 +214,25 @@
         cache_address=entry.get("kvStore"),
         data_centre=entry.get("zone"),
         token_bytes=engine.get("kvBytes"),
-        link_bytes=_link_bytes(engine) or _link_bytes(entry),
+        link_bytes=_link_bytes_per_second(engine)
+        or _link_bytes_per_second(entry),
     )
 
 
-def _link_bytes(entry: dict) -> float | None:
+def _link_bytes_per_second(entry: dict) -> float | None:
     """Returns bytes in a second of a link given in Mbit/s, or None."""
-    found = entry.get("linkMbps")
-    return found * 1_000_000 / 8 if found else None
+    megabits_per_second = entry.get("linkMbps")
+    return megabits_per_second * 1_000_000 / 8 if megabits_per_second else None
 
 
 def _limits(entry: dict) -> configurations.ClientLimits:
-    usual = configurations.ClientLimits()
+    defaults = configurations.ClientLimits()
     return configurations.ClientLimits(
-        header_bytes=entry.get("maxHeaderBytes") or usual.header_bytes,
-        body_bytes=entry.get("maxBodyBytes") or usual.body_bytes,
+        header_bytes=entry.get("maxHeaderBytes") or defaults.header_bytes,
+        body_bytes=entry.get("maxBodyBytes") or defaults.body_bytes,
         header_seconds=_seconds(entry, "headerTimeoutMs")
-        or usual.header_seconds,
-        idle_seconds=_seconds(entry, "idleTimeoutMs") or usual.idle_seconds,
+        or defaults.header_seconds,
+        idle_seconds=_seconds(entry, "idleTimeoutMs") or defaults.idle_seconds,
     )
 
 
@@ -238,7 +241,7 @@
     return (entry.get(name) or 0) / 1000
 
 
-def _kind(entry: dict) -> configurations.Repeatability:
+def _repeatability(entry: dict) -> configurations.Repeatability:
     """Returns a route's kind.
 
     What is not known here is treated as what may run only once: that is true
--- a/pimentoledge/platform/orders.py
+++ b/pimentoledge/platform/orders.py
@@ -15,12 +15,12 @@
 
 # A runner says at once whether it takes an order; one that stays silent may
 # carry it out seconds later.
-ORDER_SECONDS = 0.4
-REPORT_SECONDS = 0.4
+ORDER_TIMEOUT_SECONDS = 0.4
+REPORT_TIMEOUT_SECONDS = 0.4
 # Runs go on while weights change; the measured rounds say what that gains.
-SWITCH = "keep"
+SWITCH_MODE = "keep"
 
-_INCARNATION_ONLY = names.INCARNATION_ONLY.decode()
+_EXPECTED_INCARNATION = names.EXPECTED_INCARNATION.decode()
 
 
 @attrs.define(kw_only=True)
@@ -49,27 +49,27 @@
                 address=runner.address,
                 method="GET",
                 target=names.REPORT_PATH,
-                headers=((_INCARNATION_ONLY, runner.server),),
-                seconds=REPORT_SECONDS,
+                headers=((_EXPECTED_INCARNATION, runner.server),),
+                seconds=REPORT_TIMEOUT_SECONDS,
             )
         except calls.CallError as error:
             return registrations.Unavailable(
                 reason=str(error), maybe_done=False
             )
-        self._hear(runner, reply)
+        self._notify_response(runner, reply)
         if reply.status != 200:
             return registrations.Unavailable(
                 reason=f"status {reply.status}", maybe_done=False
             )
         try:
-            found = objects.decode_runner_report(reply.body)
+            runner_report = objects.decode_runner_report(reply.body)
         except ValueError as error:
             return registrations.Unavailable(
                 reason=f"unreadable: {error}", maybe_done=False
             )
-        if found.leaving and found.born in (None, runner.born):
-            self._hear(runner, reply, leaving=True)
-        return found
+        if runner_report.leaving and runner_report.born in (None, runner.born):
+            self._notify_response(runner, reply, leaving=True)
+        return runner_report
 
     async def load(
         self, runner: registrations.Registration, order: rollouts.LoadOrder
@@ -80,26 +80,28 @@
                 address=runner.address,
                 method="POST",
                 target=names.ORDER_PATH,
-                headers=((_INCARNATION_ONLY, runner.server),),
+                headers=((_EXPECTED_INCARNATION, runner.server),),
                 body={
                     "op": "version",
                     "model": order.model,
                     "version": order.version,
-                    "switchMode": SWITCH,
+                    "switchMode": SWITCH_MODE,
                     "holder": self.holder,
                     "fence": order.fence,
                     "precondition": order.orders_taken,
                 },
-                seconds=ORDER_SECONDS,
+                seconds=ORDER_TIMEOUT_SECONDS,
             )
         except calls.CallError as error:
             if not error.sent:
                 return rollouts.OrderVerdict.UNREACHED
             return rollouts.OrderVerdict.UNKNOWN
-        self._hear(runner, reply)
-        return _VERDICTS.get(reply.status, rollouts.OrderVerdict.REFUSED)
+        self._notify_response(runner, reply)
+        return _VERDICTS_BY_STATUS.get(
+            reply.status, rollouts.OrderVerdict.REFUSED
+        )
 
-    def _hear(
+    def _notify_response(
         self,
         runner: registrations.Registration,
         reply: calls.Reply,
@@ -112,12 +114,12 @@
             keep_alive=True,
             ends_by_close=False,
         )
-        answer = requests.decode_response_head(head)
-        answer.leaving |= leaving
-        self.on_response(runner, answer)
+        response = requests.decode_response_head(head)
+        response.leaving |= leaving
+        self.on_response(runner, response)
 
 
-_VERDICTS = {
+_VERDICTS_BY_STATUS = {
     202: rollouts.OrderVerdict.TAKEN,
     200: rollouts.OrderVerdict.HOLDS,
     # Another order is under way, or the count of orders differs.
--- a/pimentoledge/platform/requests.py
+++ b/pimentoledge/platform/requests.py
@@ -10,7 +10,7 @@
 _MAX_NUMBER_DIGITS = 15
 
 
-def _number(value: bytes | None) -> int | None:
+def _parse_integer(value: bytes | None) -> int | None:
     if value is None:
         return None
     text = value.strip()
@@ -19,7 +19,7 @@
     return int(text)
 
 
-def _decimal(value: bytes | None) -> float | None:
+def _parse_decimal(value: bytes | None) -> float | None:
     """Returns a number, whole or with a fraction; None for all else."""
     if value is None:
         return None
@@ -29,43 +29,43 @@
     return float(value)
 
 
-def _text(value: bytes | None) -> str:
+def _decode_text(value: bytes | None) -> str:
     return "" if value is None else value.strip().decode("latin-1")
 
 
-def _key(value: bytes | None) -> str | None:
+def _api_key(value: bytes | None) -> str | None:
     if value is None:
         return None
-    if not value.lower().startswith(names.KEY_SCHEME):
+    if not value.lower().startswith(names.BEARER_PREFIX):
         return None
-    return value[len(names.KEY_SCHEME) :].strip().decode("latin-1") or None
+    return value[len(names.BEARER_PREFIX) :].strip().decode("latin-1") or None
 
 
-def _parts(value: bytes | None) -> tuple[request_types.Part, ...]:
+def _prompt_parts(value: bytes | None) -> tuple[request_types.Part, ...]:
     if not value:
         return ()
-    found = []
+    parts = []
     for entry in value.split(b","):
         name, _, tokens = entry.strip().partition(b":")
-        number = _number(tokens)
-        if not name or number is None:
+        token_count = _parse_integer(tokens)
+        if not name or token_count is None:
             return ()
-        found.append(
-            request_types.Part(name=name.decode("latin-1"), tokens=number)
+        parts.append(
+            request_types.Part(name=name.decode("latin-1"), tokens=token_count)
         )
-    return tuple(found)
+    return tuple(parts)
 
 
 def _token_counts(value: bytes | None) -> tuple[int, int]:
     if value is None:
         return 0, 0
     first, _, second = value.partition(b",")
-    return _number(first) or 0, _number(second) or 0
+    return _parse_integer(first) or 0, _parse_integer(second) or 0
 
 
-def _stays(name: bytes, dropped: frozenset[bytes]) -> bool:
-    low = name.lower()
-    return low not in dropped and low not in names.HOP_BY_HOP
+def _is_forwarded(name: bytes, dropped: frozenset[bytes]) -> bool:
+    lower_name = name.lower()
+    return lower_name not in dropped and lower_name not in names.HOP_BY_HOP
 
 
 def is_readiness_probe(head: http_messages.RequestHead) -> bool:
@@ -83,33 +83,35 @@
         body: its whole body.
         arrived: when it was read, in seconds of clocks.now.
     """
-    identity = head.values(names.REQUEST_ID)
+    request_ids = head.values(names.REQUEST_ID)
     if not head.target.startswith(b"/"):
-        return _bad("the target must be a path")
-    if len(identity) != 1 or not identity[0].strip():
-        return _bad("one request id is needed")
-    wait = _number(head.value(names.DEADLINE))
-    prompt, answer = _token_counts(head.value(names.TOKEN_USAGE))
-    host = _text(head.value(b"host")).lower().partition(":")[0]
+        return _bad_field("the target must be a path")
+    if len(request_ids) != 1 or not request_ids[0].strip():
+        return _bad_field("one request id is needed")
+    deadline_milliseconds = _parse_integer(head.value(names.DEADLINE))
+    prompt_tokens, answer_tokens = _token_counts(head.value(names.TOKEN_USAGE))
+    host = _decode_text(head.value(b"host")).lower().partition(":")[0]
     path = head.target.partition(b"?")[0].decode("latin-1")
     return result.Success(
         request_types.ClientRequest(
-            request=_text(identity[0]),
+            request=_decode_text(request_ids[0]),
             method=head.method,
             host=host,
             target=head.target,
             path=path,
-            key=_key(head.value(names.AUTHORIZATION)),
-            wait_seconds=None if wait is None else wait / 1000,
-            model=_text(head.value(names.MODEL)),
-            prompt_tokens=prompt,
-            answer_tokens=answer,
-            parts=_parts(head.value(names.PROMPT_PREFIX)),
-            resume_after=_number(head.value(names.LAST_EVENT_ID)),
+            key=_api_key(head.value(names.AUTHORIZATION)),
+            wait_seconds=None
+            if deadline_milliseconds is None
+            else deadline_milliseconds / 1000,
+            model=_decode_text(head.value(names.MODEL)),
+            prompt_tokens=prompt_tokens,
+            answer_tokens=answer_tokens,
+            parts=_prompt_parts(head.value(names.PROMPT_PREFIX)),
+            resume_after=_parse_integer(head.value(names.LAST_EVENT_ID)),
             passed_on=[
                 (name, value)
                 for name, value in head.headers
-                if _stays(name, names.SYSTEM_ONLY)
+                if _is_forwarded(name, names.ROUTER_ONLY)
             ],
             body=body,
             arrived=arrived,
@@ -117,7 +119,7 @@
     )
 
 
-def _bad(text: str) -> result.Failure:
+def _bad_field(text: str) -> result.Failure:
     return result.Failure(results.Error(code=results.Code.BAD_FIELD, text=text))
 
 
@@ -144,13 +146,13 @@
     milliseconds = max(1, int(dispatch.seconds_left * 1000))
     pairs: list[tuple[bytes, object]] = [
         (names.DEADLINE, milliseconds),
-        (names.INCARNATION_ONLY, dispatch.server),
+        (names.EXPECTED_INCARNATION, dispatch.server),
         (names.ORGANISATION, dispatch.organisation),
         (names.URGENCY, dispatch.urgency),
-        (names.WEIGHTS_ONLY, dispatch.weights),
+        (names.EXPECTED_WEIGHT_VERSION, dispatch.weights),
         (names.NAMESPACE, dispatch.namespace),
-        (names.FETCH, dispatch.fetch_from),
-        (names.SAVE, dispatch.save_to),
+        (names.KV_FETCH_FROM, dispatch.fetch_from),
+        (names.KV_SAVE_TO, dispatch.save_to),
         (names.LAST_EVENT_ID, dispatch.resume_after),
     ]
     return [
@@ -164,34 +166,34 @@
     head: http_messages.ResponseHead,
 ) -> request_types.ServerResponse:
     """Returns the head of a server's answer."""
-    identity = head.value(names.REQUEST_ID)
+    request_id = head.value(names.REQUEST_ID)
     return request_types.ServerResponse(
         status=head.status,
-        request=None if identity is None else _text(identity),
+        request=None if request_id is None else _decode_text(request_id),
         not_run=head.value(names.NOT_RUN) is not None or head.status == 421,
         signed=head.value(names.SIGNATURE) is not None,
         encoded=head.value(b"content-encoding") is not None,
-        load=_load(head.value(names.SERVER_LOAD)),
-        weights=_number(head.value(names.WEIGHT_VERSIONS)),
-        server=_text(head.value(names.INCARNATION)) or None,
+        load=_server_load(head.value(names.SERVER_LOAD)),
+        weights=_parse_integer(head.value(names.WEIGHT_VERSIONS)),
+        server=_decode_text(head.value(names.INCARNATION)) or None,
         idle_seconds=_idle_seconds(head.value(b"keep-alive")),
-        leaving=_text(head.value(names.SERVER_LEAVING)) == "1",
-        retry_seconds=_decimal(head.value(names.RETRY_AFTER)),
-        retry_text=_text(head.value(names.RETRY_AFTER)),
-        limit=_decimal(head.value(names.SERVER_LIMIT)),
-        limit_text=_text(head.value(names.SERVER_LIMIT)),
+        leaving=_decode_text(head.value(names.SERVER_LEAVING)) == "1",
+        retry_seconds=_parse_decimal(head.value(names.RETRY_AFTER)),
+        retry_text=_decode_text(head.value(names.RETRY_AFTER)),
+        limit=_parse_decimal(head.value(names.SERVER_LIMIT)),
+        limit_text=_decode_text(head.value(names.SERVER_LIMIT)),
         passed_on=[
             (name, value)
             for name, value in head.headers
-            if _stays(name, frozenset())
+            if _is_forwarded(name, frozenset())
         ],
     )
 
 
-def _load(value: bytes | None) -> request_types.ServerLoad | None:
+def _server_load(value: bytes | None) -> request_types.ServerLoad | None:
     if value is None:
         return None
-    numbers = [_number(each) for each in value.split(b",")]
+    numbers = [_parse_integer(each) for each in value.split(b",")]
     if len(numbers) != 3 or None in numbers:
         return None
     running, waiting, slots = numbers
@@ -206,7 +208,7 @@
     for entry in value.split(b","):
         name, _, seconds = entry.strip().partition(b"=")
         if name.lower() == b"timeout":
-            return _number(seconds)
+            return _parse_integer(seconds)
     return None
 
 
@@ -220,7 +222,7 @@
 ) -> bytes:
     """Returns an answer that is the system's own."""
     lines = [
-        b"HTTP/1.1 %d %b" % (status, _REASONS.get(status, b"Answer")),
+        b"HTTP/1.1 %d %b" % (status, _REASON_PHRASES.get(status, b"Answer")),
         b"Content-Type: application/json",
         b"Content-Length: %d" % len(body),
     ]
@@ -234,7 +236,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + body
 
 
-_REASONS = {
+_REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     401: b"Unauthorized",
@@ -251,21 +253,21 @@
 
 
 def encode_response_head(
-    answer: request_types.ServerResponse, *, length: int | None, closes: bool
+    response: request_types.ServerResponse, *, length: int | None, closes: bool
 ) -> bytes:
     """Returns the head of a server's answer for the client.
 
     Args:
-        answer: the server's answer.
+        response: the server's response.
         length: length of the body, or None if it is sent in chunks.
         closes: whether the connection ends after it.
     """
-    reason = _REASONS.get(answer.status, b"Answer")
-    lines = [b"HTTP/1.1 %d %b" % (answer.status, reason)]
-    lines += [b"%b: %b" % pair for pair in answer.passed_on]
+    reason = _REASON_PHRASES.get(response.status, b"Answer")
+    lines = [b"HTTP/1.1 %d %b" % (response.status, reason)]
+    lines += [b"%b: %b" % pair for pair in response.passed_on]
     if length is None:
         lines.append(b"Transfer-Encoding: chunked")
-    elif answer.status not in (204, 304):
+    elif response.status not in (204, 304):
         lines.append(b"Content-Length: %d" % length)
     if closes:
         lines.append(b"Connection: close")
--- a/pimentoledge/platform/stand_in_platforms.py
+++ b/pimentoledge/platform/stand_in_platforms.py
@@ -6,7 +6,7 @@
 
 HOST = "shop.example"
 KEY = "key-of-acme"
-WALLED_KEY = "key-of-walled"
+ISOLATED_KEY = "key-of-walled"
 MODEL = "m"
 
 
@@ -19,7 +19,7 @@
         kind: what may be repeated.
         **more: fields that differ from the usual.
     """
-    found = {
+    fields = {
         "name": name,
         "host": HOST,
         "pathPrefix": f"/{name}/",
@@ -33,8 +33,8 @@
         "sticky": kind == "stream",
         "resumable": False,
     }
-    found.update(more)
-    return found
+    fields.update(more)
+    return fields
 
 
 def configuration(
@@ -81,7 +81,7 @@
         },
         "tenants": [
             {"name": "acme", "apiKeys": [KEY], "priority": 2},
-            {"name": "walled", "apiKeys": [WALLED_KEY], "isolated": True},
+            {"name": "walled", "apiKeys": [ISOLATED_KEY], "isolated": True},
         ],
         **more,
     }
@@ -107,10 +107,8 @@
         """Listens, and writes what a router needs into the store."""
         self.store.start()
         self.kv_server.start()
-        first = configuration(kv_address=self.kv_server.address)
-        self.store.put(
-            names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, first
-        )
+        spec = configuration(kv_address=self.kv_server.address)
+        self.store.put(names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, spec)
         weights = {"model": MODEL, "version": 1}
         self.store.put(names.WEIGHT_VERSION_KIND, MODEL, weights)
         for number in range(plain):
@@ -122,8 +120,8 @@
         """Stops everything."""
         self.store.close()
         self.kv_server.close()
-        for each in self.servers.values():
-            each.close()
+        for server in self.servers.values():
+            server.close()
 
     def add_server(
         self,
--- a/pimentoledge/platform/stand_in_servers.py
+++ b/pimentoledge/platform/stand_in_servers.py
@@ -13,7 +13,7 @@
 THREADS = 32
 SIGNATURE = b"stand.in"
 # Between two looks at whether a caller that waits is still there.
-QUEUE_STEP_SECONDS = 0.02
+QUEUE_POLL_SECONDS = 0.02
 
 
 @attrs.define(kw_only=True)
@@ -26,8 +26,8 @@
         headers: by lower-case name.
         body: its bytes.
         ran: whether the server worked on it.
-        at: when it came, in seconds of time.monotonic.
-        began: when the server began to work on it, the same; 0 if it didn't.
+        received_at: when it came, in seconds of time.monotonic.
+        started_at: when execution started, on the same clock; 0 if not run.
         weights: version of the model's weights that it began on, or None.
     """
 
@@ -36,8 +36,8 @@
     headers: dict[str, str]
     body: bytes
     ran: bool = False
-    at: float = attrs.field(factory=time.monotonic)
-    began: float = 0.0
+    received_at: float = attrs.field(factory=time.monotonic)
+    started_at: float = 0.0
     weights: int | None = None
 
 
@@ -53,7 +53,7 @@
         arrival_times: when anything reached it, orders and reports too, in
             seconds of time.monotonic.
         orders: orders that it got, in order.
-        taken: orders that it has taken.
+        orders_taken: orders that it has taken.
         events: events of a stream.
         event_seconds: pause between them.
         queue_seconds: how long a request waits before it begins.
@@ -88,7 +88,7 @@
         self.calls: list[ReceivedRequest] = []
         self.arrival_times: list[float] = []
         self.orders: list[dict] = []
-        self.taken = 0
+        self.orders_taken = 0
         self.events = 5
         self.event_seconds = 0.0
         self.queue_seconds = 0.0
@@ -151,13 +151,13 @@
         self.arrival_times.append(time.monotonic())
         path = fake_http.path_of(request)
         body = fake_http.read_body(request)
-        expected = headers.get(names.INCARNATION_ONLY.decode())
-        if expected not in (None, self.incarnation):
-            self._not_run(request, headers, 421)
+        expected_incarnation = headers.get(names.EXPECTED_INCARNATION.decode())
+        if expected_incarnation not in (None, self.incarnation):
+            self._send_not_run(request, headers, 421)
         elif path == names.ORDER_PATH:
-            self._order(request, msgspec.json.decode(body))
+            self._handle_order(request, msgspec.json.decode(body))
         elif path == names.REPORT_PATH:
-            self._report(request)
+            self._handle_report(request)
         else:
             call = ReceivedRequest(
                 method=request.method.decode(),
@@ -166,155 +166,165 @@
                 body=body,
             )
             self.calls.append(call)
-            self._serve(request, call)
+            self._handle_call(request, call)
 
-    def _next(self, name: str) -> bool:
+    def _consume_fault(self, fault: str) -> bool:
         """Returns whether one of the next faults of a kind is due."""
         with self._lock:
-            left = getattr(self, name)
-            if left <= 0:
+            remaining = getattr(self, fault)
+            if remaining <= 0:
                 return False
-            setattr(self, name, left - 1)
+            setattr(self, fault, remaining - 1)
             return True
 
-    def _serve(self, request, call: ReceivedRequest) -> None:
-        wanted = call.headers.get(names.WEIGHTS_ONLY.decode())
+    def _handle_call(self, request, call: ReceivedRequest) -> None:
+        expected_version = call.headers.get(
+            names.EXPECTED_WEIGHT_VERSION.decode()
+        )
         model = call.headers.get(names.MODEL.decode(), "")
-        if wanted is not None and int(wanted) != self.weights.get(model):
-            self._not_run(request, call.headers, 421)
+        if expected_version is not None and int(
+            expected_version
+        ) != self.weights.get(model):
+            self._send_not_run(request, call.headers, 421)
             return
-        if self._next("refuse"):
-            self._not_run(request, call.headers, 503)
+        if self._consume_fault("refuse"):
+            self._send_not_run(request, call.headers, 503)
             return
-        if not self._queue(request):
+        if not self._wait_in_queue(request):
             fake_http.cut_connection(request)
             return
         call.ran = True
-        call.began = time.monotonic()
+        call.started_at = time.monotonic()
         call.weights = self.weights.get(model)
         self.active_requests += 1
         try:
-            self._run(request, call)
+            self._run_request(request, call)
         finally:
             self.active_requests -= 1
 
-    def _queue(self, request) -> bool:
+    def _wait_in_queue(self, request) -> bool:
         """Waits for a turn; returns whether the caller is still there."""
-        until = time.monotonic() + self.queue_seconds
-        while time.monotonic() < until:
+        deadline = time.monotonic() + self.queue_seconds
+        while time.monotonic() < deadline:
             if fake_http.is_disconnected(request.conn.socket):
                 return False
-            time.sleep(QUEUE_STEP_SECONDS)
+            time.sleep(QUEUE_POLL_SECONDS)
         return True
 
-    def _run(self, request, call: ReceivedRequest) -> None:
-        if self._next("lose"):
+    def _run_request(self, request, call: ReceivedRequest) -> None:
+        if self._consume_fault("lose"):
             fake_http.cut_connection(request)
             return
         if self.work_seconds:
             time.sleep(self.work_seconds)
-        head = self._head(call.headers)
-        if self._next("misnumber"):
+        head = self._response_headers(call.headers)
+        if self._consume_fault("misnumber"):
             head[0] = (names.REQUEST_ID, b"another-one")
-        if self._next("fail"):
+        if self._consume_fault("fail"):
             fake_http.send_response(
                 request, b"failed", status=500, headers=head
             )
             return
-        if model_named(call):
-            self._stream(request, call, head)
+        if is_model_request(call):
+            self._send_stream(request, call, head)
             return
         fake_http.send_response(
             request, b"answer of " + call.body, headers=head
         )
 
-    def _head(self, headers: dict[str, str]) -> list[tuple[bytes, bytes]]:
-        identity = headers.get(names.REQUEST_ID.decode(), "").encode()
+    def _response_headers(
+        self, headers: dict[str, str]
+    ) -> list[tuple[bytes, bytes]]:
+        request_id = headers.get(names.REQUEST_ID.decode(), "").encode()
         return [
-            (names.REQUEST_ID, identity),
+            (names.REQUEST_ID, request_id),
             (names.SIGNATURE, SIGNATURE),
             (names.SERVER_LOAD, b"%d,0,8" % self.active_requests),
-            *self._notice(),
+            *self._notice_headers(),
         ]
 
-    def _notice(self) -> list[tuple[bytes, bytes]]:
+    def _notice_headers(self) -> list[tuple[bytes, bytes]]:
         """Returns the headers of all its answers, whatever was asked."""
-        found = [(names.SERVER_LEAVING, b"1")] if self.leaving else []
+        headers = [(names.SERVER_LEAVING, b"1")] if self.leaving else []
         if self.limit:
-            found.append((names.SERVER_LIMIT, self.limit.encode()))
-        return found
+            headers.append((names.SERVER_LIMIT, self.limit.encode()))
+        return headers
 
-    def _stream(self, request, call: ReceivedRequest, head: list) -> None:
-        first = int(call.headers.get(names.LAST_EVENT_ID.decode(), 0)) + 1
+    def _send_stream(self, request, call: ReceivedRequest, head: list) -> None:
+        first_number = (
+            int(call.headers.get(names.LAST_EVENT_ID.decode(), 0)) + 1
+        )
         fake_http.begin_response(
             request,
             200,
             [*head, (b"Content-Type", b"text/event-stream")],
         )
         cut_after, self.cut_after = self.cut_after, None
-        for number in range(first, self.events + 1):
+        for number in range(first_number, self.events + 1):
             if cut_after is not None and number > cut_after:
                 request.conn.wfile.write(b"6\r\nid: 9\n\r\n")
                 fake_http.cut_connection(request)
                 return
-            piece = self._piece(call, number)
-            request.conn.wfile.write(b"%x\r\n%b\r\n" % (len(piece), piece))
+            event = self._encode_event(call, number)
+            request.conn.wfile.write(b"%x\r\n%b\r\n" % (len(event), event))
             if self.event_seconds:
                 time.sleep(self.event_seconds)
         request.conn.wfile.write(b"0\r\n\r\n")
         request.chunked_write = False
 
-    def _piece(self, call: ReceivedRequest, number: int) -> bytes:
+    def _encode_event(self, call: ReceivedRequest, number: int) -> bytes:
         """Returns an event of a stream."""
         return b"id: %d\ndata: piece %d\n\n" % (number, number)
 
-    def _not_run(self, request, headers: dict[str, str], status: int) -> None:
-        head = self._head(headers)
+    def _send_not_run(
+        self, request, headers: dict[str, str], status: int
+    ) -> None:
+        head = self._response_headers(headers)
         head.append((names.NOT_RUN, b"1"))
         if status == 503 and self.retry_after:
             head.append((names.RETRY_AFTER, self.retry_after.encode()))
         fake_http.send_response(request, b"", status=status, headers=head)
 
-    def _order(self, request, body: dict) -> None:
+    def _handle_order(self, request, body: dict) -> None:
         self.orders.append(body)
-        if self._next("silent_orders"):
+        if self._consume_fault("silent_orders"):
             fake_http.cut_connection(request)
             return
-        if self._next("refuse_orders"):
-            self._not_run(request, {}, 503)
+        if self._consume_fault("refuse_orders"):
+            self._send_not_run(request, {}, 503)
             return
         with self._lock:
-            if body.get("precondition", self.taken) != self.taken:
+            if body.get("precondition", self.orders_taken) != self.orders_taken:
                 fake_http.send_response(
-                    request, b"{}", status=409, headers=self._notice()
+                    request, b"{}", status=409, headers=self._notice_headers()
                 )
                 return
-            self.taken += 1
+            self.orders_taken += 1
         fake_http.send_response(
-            request, b"{}", status=202, headers=self._notice()
+            request, b"{}", status=202, headers=self._notice_headers()
         )
-        timer = threading.Timer(self.load_seconds, self._loaded, [body])
+        timer = threading.Timer(self.load_seconds, self._finish_load, [body])
         timer.start()
 
-    def _loaded(self, body: dict) -> None:
+    def _finish_load(self, body: dict) -> None:
         self.weights[body["model"]] = body["version"]
         self.on_loaded()
 
-    def _report(self, request) -> None:
+    def _handle_report(self, request) -> None:
         body = {
             "models": [
                 {"name": name, "version": version, "adapters": []}
                 for name, version in self.weights.items()
             ],
             "busy": False,
-            "seq": self.taken,
+            "seq": self.orders_taken,
             "state": "draining" if self.reports_leaving else "ready",
         }
         fake_http.send_response(
-            request, msgspec.json.encode(body), headers=self._notice()
+            request, msgspec.json.encode(body), headers=self._notice_headers()
         )
 
 
-def model_named(call: ReceivedRequest) -> bool:
+def is_model_request(call: ReceivedRequest) -> bool:
     """Returns whether a request is for a model, whose answers are streams."""
     return names.MODEL.decode() in call.headers
--- a/pimentoledge/platform/stand_in_stores.py
+++ b/pimentoledge/platform/stand_in_stores.py
@@ -13,7 +13,7 @@
 
 THREADS = 48
 # Longest sleep of a waiting watch, so that it sees the server's end.
-WAIT_SECONDS = 0.1
+MAX_WAIT_SECONDS = 0.1
 
 
 class StandInStore:
@@ -38,9 +38,9 @@
         self.closing = False
         # Watches that began before the last cut, or the last forgetting, of
         # all watches.
-        self._cuts = 0
-        self._forgotten = 0
-        self._made: dict[str, int] = {}
+        self._cut_count = 0
+        self._silence_count = 0
+        self._create_revisions: dict[str, int] = {}
         self._server = fake_http.HttpServer(
             handle=self.handle, host=host, port=port, threads=THREADS
         )
@@ -50,11 +50,11 @@
         """IP:PORT of the store."""
         return f"{self._server.host}:{self._server.port}"
 
-    def another_address(self) -> "StandInStore":
+    def with_another_address(self) -> "StandInStore":
         """Returns a store of the same objects with calls' faults of its own."""
         other = StandInStore(host=self._server.host)
         other.objects = self.objects
-        other._made = self._made
+        other._create_revisions = self._create_revisions
         return other
 
     def start(self) -> None:
@@ -65,37 +65,39 @@
     def close(self) -> None:
         """Ends waiting watches and stops listening."""
         self.closing = True
-        self._wake()
+        self._notify_watches()
         self._server.close()
 
     def cut_watches(self) -> None:
         """Ends the connections of all watches that wait."""
-        self._cuts += 1
-        self._wake()
+        self._cut_count += 1
+        self._notify_watches()
 
     def silence_watches(self) -> None:
         """Lets all watches that wait hear nothing more, without an end."""
-        self._forgotten += 1
-        self._wake()
+        self._silence_count += 1
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         with self.objects.changed:
             self.objects.changed.notify_all()
 
-    def _hang(self, request) -> None:
+    def _hold_connection(self, request) -> None:
         """Keeps a connection open without an answer."""
         while not self.closing and not fake_http.is_disconnected(
             request.conn.socket
         ):
-            time.sleep(WAIT_SECONDS)
+            time.sleep(MAX_WAIT_SECONDS)
         fake_http.cut_connection(request)
 
     def put(self, kind: str, name: str, spec: object) -> None:
         """Writes an object as the operator or a server would."""
         path = f"{kind}/{name}"
         with self.objects.changed:
-            held = self.objects.objects.get(path)
-        expected = held.version if held and held.value is not None else 0
+            current = self.objects.objects.get(path)
+        expected = (
+            current.version if current and current.value is not None else 0
+        )
         self._write(path, msgspec.json.encode(spec), expected)
 
     def remove(self, kind: str, name: str) -> None:
@@ -119,106 +121,123 @@
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
         """Answers one call."""
         method = request.method.decode()
-        rest = fake_http.path_of(request).removeprefix(names.OBJECTS_PATH)
-        kind, _, name = rest.partition("/")
+        object_path = fake_http.path_of(request).removeprefix(
+            names.OBJECTS_PATH
+        )
+        kind, _, name = object_path.partition("/")
         count = f"{method} {kind}"
         self.counts[count] = self.counts.get(count, 0) + 1
         body = fake_http.read_body(request)
         if self.objects.latency:
             time.sleep(self.objects.latency)
         if self.silent:
-            self._hang(request)
+            self._hold_connection(request)
             return
         if self.objects.down or request.conn.remote_addr in self.refused:
             fake_http.send_response(request, b"{}", status=503)
             return
         query = fake_http.query_of(request)
         if method == "GET" and name:
-            self._read(request, f"{kind}/{urllib.parse.unquote(name)}")
+            self._send_object(request, f"{kind}/{urllib.parse.unquote(name)}")
         elif method == "GET" and "watch" in query:
-            self._watch(request, kind, query)
+            self._send_changes(request, kind, query)
         elif method == "GET":
-            self._list(request, kind)
+            self._send_listing(request, kind)
         else:
-            self._change(request, method, kind, msgspec.json.decode(body))
+            self._apply_write(request, method, kind, msgspec.json.decode(body))
 
-    def _read(self, request, path: str) -> None:
-        found = self.objects.call(stores.Read(call="", path=path))
-        if found.outcome is not stores.Outcome.FOUND:
+    def _send_object(self, request, path: str) -> None:
+        result = self.objects.call(stores.Read(call="", path=path))
+        if result.outcome is not stores.Outcome.FOUND:
             fake_http.send_response(request, b"{}", status=404)
             return
-        self._send(request, self._item(found.objects[0]))
+        self._send_json(request, self._encode_object(result.objects[0]))
 
-    def _list(self, request, kind: str) -> None:
-        found = self.objects.call(stores.Scan(call="", prefix=f"{kind}/"))
-        self._send(
+    def _send_listing(self, request, kind: str) -> None:
+        result = self.objects.call(stores.Scan(call="", prefix=f"{kind}/"))
+        self._send_json(
             request,
             {
-                "items": [self._item(each) for each in found.objects],
+                "items": [self._encode_object(each) for each in result.objects],
                 "more": False,
                 "storeRevision": self.objects.revision,
             },
         )
 
-    def _watch(self, request, kind: str, query: dict[str, str]) -> None:
+    def _send_changes(self, request, kind: str, query: dict[str, str]) -> None:
         after = int(query["watch"])
         if after < self.history_from:
             fake_http.send_response(request, b"{}", status=410)
             return
-        end = time.monotonic() + int(query["waitMs"]) / 1000
+        deadline = time.monotonic() + int(query["waitMs"]) / 1000
         objects = self.objects
-        cuts, forgotten = self._cuts, self._forgotten
+        cuts, silences = self._cut_count, self._silence_count
         with objects.changed:
-            while not self.closing and not objects.down and cuts == self._cuts:
-                left = end - time.monotonic()
-                if left <= 0 or objects.changes(f"{kind}/", after):
+            while (
+                not self.closing
+                and not objects.down
+                and cuts == self._cut_count
+            ):
+                remaining = deadline - time.monotonic()
+                if remaining <= 0 or objects.changes(f"{kind}/", after):
                     break
-                objects.changed.wait(min(left, WAIT_SECONDS))
-        if self.closing or objects.down or cuts != self._cuts:
+                objects.changed.wait(min(remaining, MAX_WAIT_SECONDS))
+        if self.closing or objects.down or cuts != self._cut_count:
             fake_http.cut_connection(request)
             return
-        if self.silent or forgotten != self._forgotten:
-            self._hang(request)
+        if self.silent or silences != self._silence_count:
+            self._hold_connection(request)
             return
-        found = objects.call(
+        result = objects.call(
             stores.Watch(call="", prefix=f"{kind}/", after=after, seconds=0)
         )
-        self._send(
+        self._send_json(
             request,
             {
                 "events": [
-                    {"deleted": each.value is None, "object": self._item(each)}
-                    for each in found.objects
+                    {
+                        "deleted": each.value is None,
+                        "object": self._encode_object(each),
+                    }
+                    for each in result.objects
                 ],
-                "storeRevision": found.version,
+                "storeRevision": result.version,
             },
         )
 
-    def _change(self, request, method: str, kind: str, body: dict) -> None:
+    def _apply_write(self, request, method: str, kind: str, body: dict) -> None:
         meta = body["metadata"]
         path = f"{kind}/{meta['name']}"
         expected = 0 if method == "POST" else meta["rev"]
-        done = self._write(path, msgspec.json.encode(body["spec"]), expected)
-        match done.outcome:
+        written = self._write(path, msgspec.json.encode(body["spec"]), expected)
+        match written.outcome:
             case stores.Outcome.WRITTEN:
-                held = self.objects.objects[path]
-                self._send(request, self._item(held))
+                stored = self.objects.objects[path]
+                self._send_json(request, self._encode_object(stored))
             case stores.Outcome.CONFLICT:
-                item = self._item(done.objects[0]) if done.objects else {}
-                self._send(request, item, status=409)
+                item = (
+                    self._encode_object(written.objects[0])
+                    if written.objects
+                    else {}
+                )
+                self._send_json(request, item, status=409)
             case stores.Outcome.LOST:
                 fake_http.cut_connection(request)
             case _:
                 fake_http.send_response(request, b"{}", status=503)
 
-    def _item(self, held: stores.Object) -> dict:
-        made = self._made.setdefault(held.path, held.version)
-        spec = None if held.value is None else msgspec.json.decode(held.value)
+    def _encode_object(self, stored: stores.Object) -> dict:
+        create_revision = self._create_revisions.setdefault(
+            stored.path, stored.version
+        )
+        spec = (
+            None if stored.value is None else msgspec.json.decode(stored.value)
+        )
         return {
             "metadata": {
-                "name": held.path.partition("/")[2],
-                "rev": held.version,
-                "createRev": made,
+                "name": stored.path.partition("/")[2],
+                "rev": stored.version,
+                "createRev": create_revision,
                 "finalizers": [],
                 "deleting": False,
             },
@@ -226,7 +245,7 @@
             "status": None,
         }
 
-    def _send(self, request, body: object, status: int = 200) -> None:
+    def _send_json(self, request, body: object, status: int = 200) -> None:
         fake_http.send_response(
             request, msgspec.json.encode(body), status=status
         )
--- a/pimentoledge/platform/stores.py
+++ b/pimentoledge/platform/stores.py
@@ -10,14 +10,14 @@
 from pimentoledge.routing import registrations
 
 # Answers take some ms, some hundred where the store is slow.
-CALL_SECONDS = 2.5
+CALL_TIMEOUT_SECONDS = 2.5
 # A watch may be answered this much later than it asked for.
 WATCH_GRACE_SECONDS = 2.0
 # How often a further page of a listing is asked for.
-PAGE_TRIES = 6
+MAX_PAGE_ATTEMPTS = 6
 # Longest pause before it is asked for again; drawn at random, since others
 # were turned away at the same moment.
-PAGE_RETRY_SECONDS = 0.5
+MAX_PAGE_RETRY_SECONDS = 0.5
 
 
 class StoreClient:
@@ -41,7 +41,7 @@
         method: str,
         target: str,
         body: object = None,
-        seconds: float = CALL_SECONDS,
+        seconds: float = CALL_TIMEOUT_SECONDS,
     ) -> calls.Reply | registrations.Unavailable:
         writes = method != "GET"
         try:
@@ -68,31 +68,31 @@
         self, kind: str
     ) -> registrations.Listing | registrations.Unavailable:
         """Returns all objects of a kind, as of the first page's revision."""
-        found: list[registrations.Stored] = []
+        listed: list[registrations.Stored] = []
         unreadable: list[str] = []
         revision = None
         after = ""
         while True:
-            reply = await self._page(kind, after)
+            reply = await self._read_page(kind, after)
             if isinstance(reply, registrations.Unavailable):
                 return reply
-            if reply.status != 200 or not _has(reply.body, "items"):
-                return _odd(reply)
-            page, bad = decode_items(reply.body["items"])
-            found += page
-            unreadable += bad
+            if reply.status != 200 or not _is_page(reply.body, "items"):
+                return _unexpected_response(reply)
+            page, errors = decode_items(reply.body["items"])
+            listed += page
+            unreadable += errors
             if revision is None:
                 # Changes while later pages are read are told by the watch.
                 revision = reply.body["storeRevision"]
             if not reply.body.get("more") or not page:
                 return registrations.Listing(
-                    objects=found,
+                    objects=listed,
                     revision=revision,
                     unreadable=tuple(unreadable),
                 )
             after = page[-1].name
 
-    async def _page(
+    async def _read_page(
         self, kind: str, after: str
     ) -> calls.Reply | registrations.Unavailable:
         """Reads one page of a listing; asks again where it was turned away.
@@ -105,15 +105,15 @@
         if after:
             target += "?after=" + parse.quote(after, safe="")
         reply = await self._call("GET", target)
-        tries = 1
+        attempts = 1
         while (
             after
             and isinstance(reply, registrations.Unavailable)
-            and tries < PAGE_TRIES
+            and attempts < MAX_PAGE_ATTEMPTS
         ):
-            await asyncio.sleep(PAGE_RETRY_SECONDS * random.random())
+            await asyncio.sleep(MAX_PAGE_RETRY_SECONDS * random.random())
             reply = await self._call("GET", target)
-            tries += 1
+            attempts += 1
         return reply
 
     async def watch(
@@ -128,9 +128,9 @@
             return reply
         if reply.status == 410:
             return registrations.HistoryGone()
-        if reply.status != 200 or not _has(reply.body, "events"):
-            return _odd(reply)
-        return _changes(reply.body)
+        if reply.status != 200 or not _is_page(reply.body, "events"):
+            return _unexpected_response(reply)
+        return _decode_changes(reply.body)
 
     async def read(
         self, kind: str, name: str
@@ -142,7 +142,7 @@
         if reply.status == 404:
             return None
         if reply.status != 200:
-            return _odd(reply)
+            return _unexpected_response(reply)
         return objects.decode_stored(reply.body)
 
     async def write(
@@ -180,10 +180,10 @@
             return registrations.Conflict(found=found)
         if reply.status == 404:
             return registrations.Conflict(found=None)
-        return _odd(reply)
+        return _unexpected_response(reply)
 
 
-def _has(body: object, name: str) -> bool:
+def _is_page(body: object, name: str) -> bool:
     """Returns whether an answer is a page of a listing or of a watch."""
     return (
         isinstance(body, dict)
@@ -199,29 +199,29 @@
 
     One that another writer has spoilt must not hide the rest of its page.
     """
-    found, bad = [], []
+    decoded, errors = [], []
     for item in items:
         try:
-            found.append(objects.decode_stored(item))
+            decoded.append(objects.decode_stored(item))
         except ValueError as error:
-            bad.append(str(error))
-    return found, bad
+            errors.append(str(error))
+    return decoded, errors
 
 
-def _changes(body: dict) -> registrations.Changes:
+def _decode_changes(body: dict) -> registrations.Changes:
     changed, removed, unreadable = {}, {}, []
     for event in body["events"]:
         if not isinstance(event, dict):
             unreadable.append("an event that is no table")
             continue
-        page, bad = decode_items([event.get("object")])
-        unreadable += bad
-        into, other = changed, removed
+        page, errors = decode_items([event.get("object")])
+        unreadable += errors
+        target, opposite = changed, removed
         if event.get("deleted"):
-            into, other = removed, changed
+            target, opposite = removed, changed
         for each in page:
-            into[each.name] = each
-            other.pop(each.name, None)
+            target[each.name] = each
+            opposite.pop(each.name, None)
     return registrations.Changes(
         changed=list(changed.values()),
         removed=list(removed.values()),
@@ -230,7 +230,7 @@
     )
 
 
-def _odd(reply: calls.Reply) -> registrations.Unavailable:
+def _unexpected_response(reply: calls.Reply) -> registrations.Unavailable:
     return registrations.Unavailable(
         reason=f"status {reply.status}: {str(reply.body)[:200]}",
         maybe_done=False,
--- a/pimentoledge/tests/soak/servers.py
+++ b/pimentoledge/tests/soak/servers.py
@@ -102,31 +102,33 @@
             with self._guard:
                 del self._present[request]
 
-    def _run(self, request, call) -> None:
+    def _run_request(self, request, call) -> None:
         arrival = self._present[request]
         if self.lose:
             arrival.harmed = True
         arrival.weights = call.weights
         arrival.ran = True
-        super()._run(request, call)
+        super()._run_request(request, call)
 
-    def _stream(self, request, call, head) -> None:
+    def _send_stream(self, request, call, head) -> None:
         if self.cut_after is not None:
             self._present[request].harmed = True
-        super()._stream(request, call, head)
+        super()._send_stream(request, call, head)
 
-    def _head(self, headers: dict[str, str]) -> list[tuple[bytes, bytes]]:
-        head = super()._head(headers)
+    def _response_headers(
+        self, headers: dict[str, str]
+    ) -> list[tuple[bytes, bytes]]:
+        head = super()._response_headers(headers)
         head.append((SERVER, self.incarnation.encode()))
         return head
 
-    def _piece(self, call, number: int) -> bytes:
+    def _encode_event(self, call, number: int) -> bytes:
         return piece(number, call.body)
 
-    def _not_run(self, request, headers, status: int) -> None:
+    def _send_not_run(self, request, headers, status: int) -> None:
         if status == 503 and self.retry_after:
             self._present[request].rest_seconds = float(self.retry_after)
-        super()._not_run(request, headers, status)
+        super()._send_not_run(request, headers, status)
 
 
 def piece(number: int, body: bytes) -> bytes:
--- a/pimentoledge/tests/soak/worlds.py
+++ b/pimentoledge/tests/soak/worlds.py
@@ -89,7 +89,7 @@
 
     def _add_store(self) -> stand_in_stores.StandInStore:
         """Starts another address of the store."""
-        store = self.platform.store.another_address()
+        store = self.platform.store.with_another_address()
         store.start()
         self._stores.append(store)
         return store
--- a/pimentoledge/tests/test_nodes.py
+++ b/pimentoledge/tests/test_nodes.py
@@ -14,10 +14,10 @@
 from pimentoledge.nodes import mailboxes
 from pimentoledge.nodes import messages
 
-WAIT = 10.0
+WAIT_SECONDS = 10.0
 
 
-class Owner:
+class MailboxOwner:
     """A mailbox with the inbox of its owner."""
 
     def __init__(self):
@@ -32,15 +32,15 @@
         now = time.monotonic()
         self.mailbox.send(address, message, configuration=7, now=now)
 
-    def next(self, kind: type) -> object:
+    def next_event(self, kind: type) -> object:
         """Returns the next event of a kind, handling connections' news."""
-        until = time.monotonic() + WAIT
+        deadline = time.monotonic() + WAIT_SECONDS
         while True:
             self.mailbox.expire(time.monotonic(), set())
             try:
                 event = self.inbox.get(timeout=0.05)
             except queue.Empty:
-                assert time.monotonic() < until
+                assert time.monotonic() < deadline
                 continue
             if isinstance(event, mailboxes.PeerUp | mailboxes.PeerDown):
                 self.mailbox.handle(event)
@@ -48,8 +48,8 @@
                 return event
 
 
-def test_every_message_survives_the_codec():
-    truth = messages.ServerStatus(server="s")
+def test_messages_decode_to_what_was_encoded():
+    status = messages.ServerStatus(server="s")
     dispatch = messages.Dispatch(
         request="r",
         attempt=1,
@@ -63,7 +63,7 @@
         ),
     )
     failed = messages.Failed(
-        request="r", attempt=1, code=4001, ran="ran", truth=truth
+        request="r", attempt=1, code=4001, ran="ran", truth=status
     )
     for message in (dispatch, failed, messages.Frames(frames=[])):
         data = codecs.CODEC.encode(message, sender="tcp://a", configuration=3)
@@ -73,7 +73,7 @@
         )
 
 
-def test_bytes_that_are_no_message_are_an_error():
+def test_bytes_that_are_not_a_message_give_an_error():
     for data in (
         b"",
         b"\xc1",
@@ -83,63 +83,63 @@
         assert isinstance(codecs.CODEC.decode(data), result.Failure)
 
 
-def test_messages_come_in_order_with_their_sender():
-    one, other = Owner(), Owner()
+def test_messages_arrive_in_order_with_their_sender():
+    one, other = MailboxOwner(), MailboxOwner()
     for number in range(300):
         one.send(other.mailbox.address, number)
     # What waited for the connection goes out when it is up.
-    one.next(mailboxes.PeerUp)
-    got = [other.next(events.FromNode) for _ in range(300)]
-    assert [each.message.attempt for each in got] == list(range(300))
-    assert got[0].sender == one.mailbox.address
-    assert got[0].configuration == 7
+    one.next_event(mailboxes.PeerUp)
+    received = [other.next_event(events.FromNode) for _ in range(300)]
+    assert [each.message.attempt for each in received] == list(range(300))
+    assert received[0].sender == one.mailbox.address
+    assert received[0].configuration == 7
     one.mailbox.close()
     other.mailbox.close()
 
 
-def test_a_peer_that_is_not_there_gives_back_what_was_unsent():
+def test_an_unreachable_peer_returns_the_unsent_messages():
     """A request is sent to an agent whose VM is gone, and its caller waits.
 
     The connection never comes up; the entry has to learn at once that its
     message left nowhere, so that "not run" is true and another try is safe.
     """
     probe = pynng.Pull0(listen="tcp://127.0.0.1:0")
-    nobody = str(probe.listeners[0].url)
+    unused_address = str(probe.listeners[0].url)
     probe.close()
-    one = Owner()
-    one.send(nobody, 1)
-    event = one.next(events.Unreachable)
-    assert event.address == nobody
+    one = MailboxOwner()
+    one.send(unused_address, 1)
+    event = one.next_event(events.Unreachable)
+    assert event.address == unused_address
     assert [each.attempt for each in event.unsent] == [1]
     one.mailbox.close()
 
 
-def test_a_peer_that_dies_is_reported():
+def test_a_broken_connection_is_reported():
     """An agent is killed while an entry waits for its answer.
 
     The broken connection tells the entry; without it the caller would wait
     for the deadline.
     """
-    one, other = Owner(), Owner()
+    one, other = MailboxOwner(), MailboxOwner()
     one.send(other.mailbox.address, 1)
-    one.next(mailboxes.PeerUp)
-    other.next(events.FromNode)
+    one.next_event(mailboxes.PeerUp)
+    other.next_event(events.FromNode)
     other.mailbox.close()
-    event = one.next(events.Unreachable)
+    event = one.next_event(events.Unreachable)
     assert event.unsent == []
     one.mailbox.close()
 
 
 def test_timers_fire_once_at_their_newest_time():
-    kept = timers.Timers()
-    kept.set(("a",), 1.0)
-    kept.set(("b",), 2.0)
-    kept.set(("a",), 3.0)
-    kept.cancel(("b",))
-    assert kept.next() == 3.0
-    assert kept.due(2.5) == []
-    assert kept.due(3.0) == [("a",)]
-    assert kept.next() is None
+    pending = timers.Timers()
+    pending.set(("a",), 1.0)
+    pending.set(("b",), 2.0)
+    pending.set(("a",), 3.0)
+    pending.cancel(("b",))
+    assert pending.next() == 3.0
+    assert pending.due(2.5) == []
+    assert pending.due(3.0) == [("a",)]
+    assert pending.next() is None
 
 
 class Core:
@@ -168,18 +168,18 @@
         return set()
 
 
-def test_a_defect_costs_only_the_event_that_met_it():
+def test_an_exception_affects_only_the_event_that_raised_it():
     """One request meets a defect while frames of other streams arrive.
 
     If the whole batch were lost with it, each of those streams would miss a
     frame and break; if the thread ended, all would hang.
     """
-    core, defects = Core(), []
+    core, failed_events = Core(), []
     loop = loops.EventLoop(
         core=core,
         mailbox_address="tcp://127.0.0.1:0",
         perform=lambda todo: None,
-        on_error=lambda event: defects.append(event) or [],
+        on_error=lambda event: failed_events.append(event) or [],
     )
     loop.start()
     for event in ("one", "bad", "two"):
@@ -187,26 +187,26 @@
     loop.run_thread()
     loop.close()
     assert core.handled == ["one", "two"]
-    assert defects == ["bad"]
+    assert failed_events == ["bad"]
 
 
-def test_an_idle_connection_is_closed_and_opened_again_on_use():
+def test_an_idle_connection_is_closed_and_reopened_on_use():
     """An entry meets thousands of agents a minute, each some 29 KB.
 
     Kept for long they would take several times what a node may spend. One
     that was closed must come back by itself, with nothing lost.
     """
-    one, other = Owner(), Owner()
+    one, other = MailboxOwner(), MailboxOwner()
     one.send(other.mailbox.address, 1)
-    one.next(mailboxes.PeerUp)
-    other.next(events.FromNode)
-    later = time.monotonic() + mailboxes.IDLE_SECONDS + 1
+    one.next_event(mailboxes.PeerUp)
+    other.next_event(events.FromNode)
+    later = time.monotonic() + mailboxes.IDLE_TIMEOUT_SECONDS + 1
     one.mailbox.expire(later, {other.mailbox.address})
     assert one.mailbox.peers
     one.mailbox.expire(later, set())
     assert not one.mailbox.peers
     one.send(other.mailbox.address, 2)
-    one.next(mailboxes.PeerUp)
-    assert other.next(events.FromNode).message.attempt == 2
+    one.next_event(mailboxes.PeerUp)
+    assert other.next_event(events.FromNode).message.attempt == 2
     one.mailbox.close()
     other.mailbox.close()
--- a/pimentoledge/tests/test_platform_adapter.py
+++ b/pimentoledge/tests/test_platform_adapter.py
@@ -67,7 +67,7 @@
 COMMON = {"host", "model", "hold", "connection", "keep-alive", "expect"}
 
 
-def literals(path):
+def string_literals(path):
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Constant):
             match node.value:
@@ -77,22 +77,22 @@
                     yield data.decode("latin-1").lower()
 
 
-def spelled():
-    found = set()
+def collect_platform_names():
+    platform_names = set()
     for value in vars(names).values():
         match value:
             case bytes():
-                found.add(value.decode().lower())
+                platform_names.add(value.decode().lower())
             case str() if value.startswith("/"):
-                found.add(value.lower())
-    return (found | {each.lower() for each in FIELDS}) - COMMON
+                platform_names.add(value.lower())
+    return (platform_names | {each.lower() for each in FIELDS}) - COMMON
 
 
-def test_only_the_adapter_knows_the_platforms_names():
-    platform_names = spelled()
+def test_routing_contains_no_platform_names():
+    platform_names = collect_platform_names()
     assert len(platform_names) > 40
     for path in (PACKAGE / "routing").glob("*.py"):
-        known = platform_names & set(literals(path))
+        known = platform_names & set(string_literals(path))
         assert not known, (path.name, known)
 
 
@@ -137,18 +137,18 @@
         80,
     )
     assert [part.tokens for part in client_request.parts] == [800, 650, 10]
-    kept = {name.lower() for name, _ in client_request.passed_on}
-    assert b"x-own" in kept and b"request-id" in kept
-    assert not kept & {b"authorization", b"connection", b"deadline-ms"}
+    forwarded = {name.lower() for name, _ in client_request.passed_on}
+    assert b"x-own" in forwarded and b"request-id" in forwarded
+    assert not forwarded & {b"authorization", b"connection", b"deadline-ms"}
 
 
-def test_a_request_without_one_id_is_refused():
+def test_a_request_without_exactly_one_id_is_rejected():
     for lines in ((), (b"Request-Id: a", b"Request-Id: b")):
         decoded = requests.decode_request(head(b"Host: h", *lines), b"", 0.0)
         assert isinstance(decoded, result.Failure)
 
 
-def test_what_goes_to_a_server_says_who_alone_may_run_it():
+def test_an_encoded_request_names_the_only_server_that_may_run_it():
     match requests.decode_request(
         head(b"Host: h", b"Request-Id: q", b"Hold: forged"), b"xyz", 0.0
     ):
@@ -178,7 +178,7 @@
     assert raw.endswith(b"\r\n\r\nxyz")
 
 
-def test_an_answer_says_whether_it_ran():
+def test_a_response_head_tells_whether_the_request_ran():
     def decode(status, **headers):
         pairs = [
             (name.replace("_", "-").encode(), value)
@@ -196,11 +196,11 @@
     assert decode(503, not_run=b"1").not_run
     assert decode(421).not_run
     assert not decode(503).not_run
-    answer = decode(200, server_load=b"3,1,8", keep_alive=b"timeout=7, max=3")
-    assert answer.load == request_types.ServerLoad(
+    response = decode(200, server_load=b"3,1,8", keep_alive=b"timeout=7, max=3")
+    assert response.load == request_types.ServerLoad(
         running=3, waiting=1, slots=8
     )
-    assert answer.idle_seconds == 7
+    assert response.idle_seconds == 7
     assert decode(200, server_load=b"x").load is None
 
 
@@ -216,7 +216,7 @@
     assert [each.name for each in built.cache_servers()] == ["kept"]
 
 
-def test_a_configuration_with_less_and_with_unknown_kinds_is_taken():
+def test_a_configuration_with_missing_fields_and_unknown_kinds_is_accepted():
     """A deployment of another kind must not be refused as a whole."""
     spec = {
         "version": 2,
@@ -242,12 +242,12 @@
 
 def test_one_bad_server_does_not_hide_the_others():
     view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
-    takers = view_updaters.ViewUpdater(
+    updater = view_updaters.ViewUpdater(
         view=view,
         lines=log_lines.Lines(counters=counters.Counters()),
     )
     good = {"service": "s", "address": "1.2.3.4:5", "zone": "a"}
-    takers.apply_servers(
+    updater.apply_servers(
         [
             registrations.Stored(name="bad", revision=1, value=None),
             registrations.Stored(name="odd", revision=2, value={"zone": 1}),
@@ -263,14 +263,14 @@
     path.write_text('name = "r"\nstore-address = "1.2.3.4:5"\n')
     variable = {daemons.CONFIG_VARIABLE: str(path)}
     match daemons.read_settings(variable):
-        case result.Success(chosen):
-            assert chosen.text("store-address") == "1.2.3.4:5"
+        case result.Success(read_settings):
+            assert read_settings.text("store-address") == "1.2.3.4:5"
     for text in ("lease-ms = -1\n", "unheard-of = 1\n", "not toml"):
         path.write_text('name = "r"\nstore-address = "1.2.3.4:5"\n' + text)
         assert isinstance(daemons.read_settings(variable), result.Failure)
 
 
-def test_the_deployments_template_names_only_settings_that_exist():
+def test_the_deployment_template_contains_only_known_settings():
     root = PACKAGE.parent
     for line in (root / "deploy" / "router.toml").read_text().splitlines():
         name = line.partition(" = ")[0]
@@ -278,7 +278,7 @@
         assert name in known
 
 
-def test_the_program_of_the_deployment_serves_and_ends(tmp_path):
+def test_the_deployed_program_serves_requests_and_exits_on_sigterm(tmp_path):
     platform = stand_in_platforms.StandInPlatform()
     platform.start(plain=1, runners=0)
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -295,7 +295,7 @@
         stdout=subprocess.PIPE,
     )
     try:
-        assert _ask(port).startswith(b"HTTP/1.1 200")
+        assert _request_until_ok(port).startswith(b"HTTP/1.1 200")
         process.send_signal(signal.SIGHUP)
         time.sleep(0.3)
         process.send_signal(signal.SIGTERM)
@@ -309,10 +309,12 @@
     assert b'"message":"ended"' in output
 
 
-def _ask(port):
-    until = time.monotonic() + 10
-    answer = b""
-    while not answer.startswith(b"HTTP/1.1 200") and time.monotonic() < until:
+def _request_until_ok(port):
+    deadline = time.monotonic() + 10
+    response = b""
+    while (
+        not response.startswith(b"HTTP/1.1 200") and time.monotonic() < deadline
+    ):
         time.sleep(0.1)
         try:
             with socket.create_connection(("127.0.0.1", port), 5) as client:
@@ -321,29 +323,29 @@
                     b"Request-Id: q\r\nAuthorization: Bearer key-of-acme\r\n"
                     b"Connection: close\r\n\r\n"
                 )
-                answer = client.recv(65536)
+                response = client.recv(65536)
         except OSError:
             continue
-    return answer
+    return response
 
 
-class Pages:
+class PagedStore:
     """A caller before a store whose listing has several pages.
 
     Attributes:
-        turned_away: how many of the next calls are answered with 429.
-        asked: the targets of all calls.
+        refusals_left: how many of the next calls are answered with 429.
+        targets: the targets of all calls.
     """
 
     def __init__(self, count):
         self.count = count
-        self.turned_away = 0
-        self.asked = []
+        self.refusals_left = 0
+        self.targets = []
 
     async def call(self, *, target, **_):
-        self.asked.append(target)
-        if self.turned_away:
-            self.turned_away -= 1
+        self.targets.append(target)
+        if self.refusals_left:
+            self.refusals_left -= 1
             return calls.Reply(status=429, body={})
         _, _, after = target.partition("?after=")
         number = int(after) if after else 0
@@ -361,37 +363,37 @@
         )
 
 
-def test_a_page_that_is_turned_away_does_not_begin_the_list_anew():
+def test_a_refused_page_is_retried_without_restarting_the_listing():
     """All VMs are back after a loss of power, and for 30 s few are served.
 
     Hundreds of routers list the servers at once; the store turns part of the
     calls away. Who began anew each time met too few good answers in a row.
     """
-    pages = Pages(4)
+    pages = PagedStore(4)
     store = stores.StoreClient(address="s", caller=pages)
 
-    async def play():
+    async def list_twice():
         first = await store.list("servers")
         assert [each.name for each in first.objects] == ["1", "2", "3", "4"]
         assert first.revision == 50
-        pages.asked.clear()
+        pages.targets.clear()
         pages.count = 3
-        call = pages.call
+        serve_page = pages.call
 
-        async def turns_away(**how):
+        async def refuse_third_page(**how):
             if how["target"].endswith("after=2"):
-                pages.turned_away = 2 if len(pages.asked) < 4 else 0
-            return await call(**how)
+                pages.refusals_left = 2 if len(pages.targets) < 4 else 0
+            return await serve_page(**how)
 
-        pages.call = turns_away
+        pages.call = refuse_third_page
         second = await store.list("servers")
         assert len(second.objects) == 3
-        assert pages.asked.count("/-/objects/servers") == 1
+        assert pages.targets.count("/-/objects/servers") == 1
 
-    asyncio.run(play())
+    asyncio.run(list_twice())
 
 
-def test_retry_after_is_read_in_seconds_and_in_no_other_form():
+def test_retry_after_is_accepted_only_as_a_number_of_seconds():
     def seconds(value):
         head = http_messages.ResponseHead(
             status=503,
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -49,7 +49,7 @@
     """Leaves every call of a router to the store without a response."""
 
     async def unanswered(*_, **__):
-        await asyncio.sleep(stores.CALL_SECONDS)
+        await asyncio.sleep(stores.CALL_TIMEOUT_SECONDS)
         return registrations.Unavailable(reason="silent", maybe_done=True)
 
     async def silent_watch(kind, revision, seconds):
@@ -78,7 +78,9 @@
         for number in range(2):
             await world.request("/notices/", number, body=b"n")
         await asyncio.sleep(0.02)
-    last = max((each.at for each in world.servers["p0"].calls), default=0.0)
+    last = max(
+        (each.received_at for each in world.servers["p0"].calls), default=0.0
+    )
     assert last < left + DRAIN_SECONDS
     assert all(has_seen_leaving(each) for each in world.routers)
 
--- a/pimentoledge/tests/test_router_peers.py
+++ b/pimentoledge/tests/test_router_peers.py
@@ -50,7 +50,7 @@
     await world.until(lambda: runner.weights[MODEL] == 2, seconds=9)
     first, second = runner.orders[:2]
     assert first["precondition"] == second["precondition"] == 0
-    assert runner.taken == 1
+    assert runner.orders_taken == 1
 
 
 @with_world(routers=2)
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -80,7 +80,7 @@
         named = world.servers[server]
         named.limit = limit
         answers = await load(world, path, 8.5, headers)
-        known = min(call.at for call in named.calls) + KNOWN_SECONDS
+        known = min(call.received_at for call in named.calls) + KNOWN_SECONDS
         assert most_in_window(named, known) <= allowed(float(limit))
         assert {each.status for each in answers} == {200}
 
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -348,7 +348,7 @@
     return [
         call
         for call in world.executed_requests("runners")
-        if call.weights == 1 and call.began > named + WEIGHTS_SECONDS
+        if call.weights == 1 and call.started_at > named + WEIGHTS_SECONDS
     ]
 
 
