--- a/pimentoledge/platform/names.py
+++ b/pimentoledge/platform/names.py
@@ -1,9 +1,10 @@
-"""The platform's spellings, each once.
+"""Names of the platform's headers, paths and kinds of objects.
 
-Where a name says little or misleads, a comment says what it holds.
+Each is written only here. A comment explains a name that is unclear or
+misleading.
 """
 
-# Headers of requests and answers.
+# Headers of requests and responses.
 REQUEST_ID = b"request-id"
 DEADLINE = b"deadline-ms"
 PROMPT_PREFIX = b"prompt-prefix"
@@ -14,19 +15,19 @@
 SERVER_LOAD = b"server-load"
 NOT_RUN = b"not-run"
 RETRY_AFTER = b"retry-after"
-# "1" in all answers of a server that leaves.
+# "1" in every response of a server that is leaving.
 SERVER_LEAVING = b"server-leaving"
-# Requests a second that a server in need takes of all machines together.
+# Requests a second that an overloaded server accepts from all routers.
 SERVER_LIMIT = b"server-limit"
 INCARNATION = b"instance-id"
 MODEL = b"model"
-# Two numbers: tokens of the prompt, most tokens of the answer.
+# Two numbers: tokens of the prompt, maximum of generated tokens.
 TOKEN_USAGE = b"token-usage"
 NAMESPACE = b"cache-salt"
 URGENCY = b"request-priority"
 KV_FETCH_FROM = b"kv-fetch"
 KV_SAVE_TO = b"kv-save"
-# One integer in an answer's head, though the name is a plural.
+# A single integer in a response, despite the plural name.
 WEIGHT_VERSIONS = b"weight-versions"
 EXPECTED_WEIGHT_VERSION = b"expect-version"
 PIN = b"pin-ms"
@@ -36,7 +37,7 @@
 AUTHORIZATION = b"authorization"
 BEARER_PREFIX = b"bearer "
 
-# Connections only; never passed on in either direction.
+# Apply to a single connection; never forwarded in either direction.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -52,7 +53,7 @@
         b"expect",
     )
 )
-# Only the system may set these; a client's are dropped.
+# Set only by the router; removed from clients' requests.
 ROUTER_ONLY = frozenset(
     (
         AUTHORIZATION,
@@ -73,7 +74,7 @@
     )
 )
 
-# Calls.
+# Paths of calls.
 READY_PATH = b"/-/ready"
 ORDER_PATH = "/-/order"
 REPORT_PATH = "/-/report"
@@ -81,7 +82,7 @@
 
 # Kinds of objects in the store.
 CONFIGURATION_KIND = "config"
-# The one object of that kind that is in force.
+# The object of that kind that holds the configuration in force.
 CONFIGURATION_NAME = "main"
 SERVER_KIND = "servers"
 WEIGHT_VERSION_KIND = "versions"
--- a/pimentoledge/platform/objects.py
+++ b/pimentoledge/platform/objects.py
@@ -1,7 +1,7 @@
-"""Objects of the store, decoded into the router's types.
+"""Decodes objects of the store into the router's types.
 
-Entries may come from another writer: each field is looked at before it is
-believed, and what can't be read raises ValueError.
+Other writers may store malformed entries, so each field of an entry is
+validated, and an invalid one raises ValueError.
 """
 
 from typing import Any
@@ -10,18 +10,18 @@
 from pimentoledge.routing import registrations
 from pimentoledge.routing import rollouts
 
-# States of a backend server that it takes requests in; in any other it would
-# be guesswork what it does with them.
+# Whether a backend server is leaving, by state. Other states are rejected,
+# because it is unknown how a server handles requests in them.
 _DRAINING = "draining"
 _LEAVING_BY_STATE = {"ready": False, _DRAINING: True}
-# Ports of TCP.
+# Highest TCP port.
 _MAX_PORT = 65535
 
 
 def decode_stored(item: Any) -> registrations.Stored:
-    """Returns an object of the store; raises ValueError on a bad one."""
+    """Decodes an object of the store; raises ValueError if it is invalid."""
     if not isinstance(item, dict):
-        raise ValueError("an object that is no table")
+        raise ValueError("stored object is not a JSON object")
     meta = _field(item, "metadata", dict)
     return registrations.Stored(
         name=_field(meta, "name", str),
@@ -33,14 +33,14 @@
 
 
 def _field(fields: dict, name: str, kind: type, default: Any = None) -> Any:
-    """Returns a field of a type; raises ValueError without it.
+    """Returns a field; raises ValueError if it is missing or of another type.
 
-    A `default` is returned where the field is missing or null.
+    If `default` is given, it is returned for a missing or null field.
     """
     value = fields.get(name)
     if value is None and default is not None:
         return default
-    # To Python a truth value is an int; to the platform it is none.
+    # A bool is an int in Python, but is no number on the platform.
     if not isinstance(value, kind) or isinstance(value, bool):
         raise ValueError(f"{name} is {value!r}"[:100])
     return value
@@ -49,10 +49,10 @@
 def decode_registration(
     stored: registrations.Stored,
 ) -> registrations.Registration:
-    """Returns a backend server's registration; raises ValueError."""
+    """Decodes a backend server's registration; raises ValueError."""
     spec = stored.value
     if not isinstance(spec, dict):
-        raise ValueError("a server's entry that is no table")
+        raise ValueError("server entry is not a JSON object")
     state = _field(spec, "state", str, "ready")
     if state not in _LEAVING_BY_STATE:
         raise ValueError(f"state is {state!r}"[:100])
@@ -69,15 +69,15 @@
 
 
 def decode_runner_report(body: Any) -> rollouts.RunnerReport:
-    """Returns what a runner reports of itself; raises ValueError."""
+    """Decodes a runner's report of its state; raises ValueError."""
     if not isinstance(body, dict):
-        raise ValueError("a report that is no table")
+        raise ValueError("report is not a JSON object")
     if not isinstance(body.get("busy"), bool):
-        raise ValueError("a report that doesn't say whether it is busy")
+        raise ValueError("report has no boolean field busy")
     return rollouts.RunnerReport(
         weights=_weight_versions(_field(body, "models", list)),
         loading=body["busy"],
-        # `seq` counts orders taken here; in the store it counts heartbeats.
+        # In a report, `seq` counts orders taken; in the store, heartbeats.
         orders_taken=_field(body, "seq", int),
         born=_incarnation_start(body),
         leaving=body.get("state") == _DRAINING,
@@ -85,7 +85,7 @@
 
 
 def _incarnation_start(fields: dict) -> int | None:
-    """Returns when the life began that a server tells of, or None."""
+    """Returns when a server's incarnation started, or None if not reported."""
     if fields.get("born") is None:
         return None
     return _field(fields, "born", int)
@@ -108,7 +108,7 @@
     versions = {}
     for model in models:
         if not isinstance(model, dict):
-            raise ValueError("a model that is no table")
+            raise ValueError("model is not a JSON object")
         versions[_field(model, "name", str)] = _field(model, "version", int)
     return versions
 
@@ -116,10 +116,10 @@
 def decode_named_weights(
     stored: registrations.Stored,
 ) -> registrations.NamedWeights:
-    """Returns which version of a model's weights is wanted."""
+    """Decodes the version of a model's weights that is wanted."""
     spec = stored.value
     if not isinstance(spec, dict):
-        raise ValueError("named weights that are no table")
+        raise ValueError("weights entry is not a JSON object")
     return registrations.NamedWeights(
         model=_field(spec, "model", str), version=_field(spec, "version", int)
     )
@@ -128,7 +128,7 @@
 def decode_configuration(
     stored: registrations.Stored,
 ) -> configurations.Configuration:
-    """Returns a configuration; raises KeyError or ValueError on a bad one."""
+    """Decodes a configuration; raises KeyError or ValueError if invalid."""
     spec = stored.value
     organisations = spec.get("tenants")
     return configurations.build(
@@ -187,7 +187,7 @@
 
 
 def _quota(entry: dict) -> configurations.Quota | None:
-    """Returns an organisation's limit; None for no rate, or one of 0."""
+    """Returns an organisation's rate limit; None without a rate or with 0."""
     rate = entry.get("ratePerS")
     if not rate:
         return None
@@ -220,7 +220,7 @@
 
 
 def _link_bytes_per_second(entry: dict) -> float | None:
-    """Returns bytes in a second of a link given in Mbit/s, or None."""
+    """Returns a link's bandwidth, which is given in Mbit/s, or None."""
     megabits_per_second = entry.get("linkMbps")
     return megabits_per_second * 1_000_000 / 8 if megabits_per_second else None
 
@@ -242,10 +242,10 @@
 
 
 def _repeatability(entry: dict) -> configurations.Repeatability:
-    """Returns a route's kind.
+    """Returns whether requests of a route may be retried.
 
-    What is not known here is treated as what may run only once: that is true
-    of every kind.
+    Requests of an unknown kind are treated as unsafe to retry, because running
+    them at most once is correct for every kind.
     """
     try:
         return configurations.Repeatability(entry.get("kind"))
--- a/pimentoledge/platform/orders.py
+++ b/pimentoledge/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to runners, and what runners report of themselves."""
+"""Sends orders to runners and reads their reports."""
 
 from collections.abc import Callable
 
@@ -13,11 +13,11 @@
 from pimentoledge.routing import request_types
 from pimentoledge.routing import rollouts
 
-# A runner says at once whether it takes an order; one that stays silent may
-# carry it out seconds later.
+# A runner accepts or refuses an order at once. One that has not responded by
+# then may still execute the order seconds later.
 ORDER_TIMEOUT_SECONDS = 0.4
 REPORT_TIMEOUT_SECONDS = 0.4
-# Runs go on while weights change; the measured rounds say what that gains.
+# Running requests continue while the weights change.
 SWITCH_MODE = "keep"
 
 _EXPECTED_INCARNATION = names.EXPECTED_INCARNATION.decode()
@@ -25,25 +25,24 @@
 
 @attrs.define(kw_only=True)
 class RunnerClient:
-    """Gives orders to runners.
+    """Sends orders to runners and requests their reports.
 
     Attributes:
         caller: makes the calls.
-        holder: the name under which this process gives orders.
-        on_response: called with the runner that was called and its answer's
-            head.
+        holder: name of this process as the sender of orders.
+        on_response: called with the runner and the head of its response.
     """
 
     caller: calls.Caller
     holder: str
     on_response: Callable[
         [registrations.Registration, request_types.ServerResponse], None
-    ] = lambda runner, answer: None
+    ] = lambda runner, response: None
 
     async def report(
         self, runner: registrations.Registration
     ) -> rollouts.RunnerReport | registrations.Unavailable:
-        """Asks a runner what it has."""
+        """Requests a runner's report of its state."""
         try:
             reply = await self.caller.call(
                 address=runner.address,
@@ -74,7 +73,7 @@
     async def load(
         self, runner: registrations.Registration, order: rollouts.LoadOrder
     ) -> rollouts.OrderVerdict:
-        """Orders a runner to load weights; says what it made of it."""
+        """Orders a runner to load weights; returns its verdict."""
         try:
             reply = await self.caller.call(
                 address=runner.address,
@@ -122,7 +121,7 @@
 _VERDICTS_BY_STATUS = {
     202: rollouts.OrderVerdict.TAKEN,
     200: rollouts.OrderVerdict.HOLDS,
-    # Another order is under way, or the count of orders differs.
+    # Another order is in progress, or the count of orders differs.
     409: rollouts.OrderVerdict.OUT_OF_STEP,
     412: rollouts.OrderVerdict.FENCED,
     421: rollouts.OrderVerdict.WRONG_SERVER,
--- a/pimentoledge/platform/requests.py
+++ b/pimentoledge/platform/requests.py
@@ -1,4 +1,4 @@
-"""Clients' requests and servers' answers: from and to the wire."""
+"""Encodes and decodes requests of clients and responses of servers."""
 
 from returns import result
 
@@ -20,7 +20,7 @@
 
 
 def _parse_decimal(value: bytes | None) -> float | None:
-    """Returns a number, whole or with a fraction; None for all else."""
+    """Parses a non-negative decimal number; returns None if invalid."""
     if value is None:
         return None
     whole, _, fraction = value.strip().partition(b".")
@@ -69,19 +69,19 @@
 
 
 def is_readiness_probe(head: http_messages.RequestHead) -> bool:
-    """Returns whether this is the balancer's question."""
+    """Returns whether a request is the load balancer's readiness probe."""
     return head.target.partition(b"?")[0] == names.READY_PATH
 
 
 def decode_request(
     head: http_messages.RequestHead, body: bytes, arrived: float
 ) -> result.Result[request_types.ClientRequest, results.Error]:
-    """Returns what a client asks for, or why that can't be told.
+    """Decodes a client's request, or returns why it is invalid.
 
     Args:
         head: the request's head.
-        body: its whole body.
-        arrived: when it was read, in seconds of clocks.now.
+        body: its complete body.
+        arrived: when it was fully received, in seconds of clocks.now.
     """
     request_ids = head.values(names.REQUEST_ID)
     if not head.target.startswith(b"/"):
@@ -127,7 +127,7 @@
     client_request: request_types.ClientRequest,
     dispatch: request_types.Dispatch,
 ) -> bytes:
-    """Returns a client's request as it goes to a server."""
+    """Encodes a client's request as sent to a server."""
     lines = [b"%b %b HTTP/1.1" % (client_request.method, client_request.target)]
     lines += [b"%b: %b" % pair for pair in client_request.passed_on]
     lines += [b"%b: %b" % pair for pair in _system_headers(dispatch)]
@@ -165,7 +165,7 @@
 def decode_response_head(
     head: http_messages.ResponseHead,
 ) -> request_types.ServerResponse:
-    """Returns the head of a server's answer."""
+    """Decodes the head of a server's response."""
     request_id = head.value(names.REQUEST_ID)
     return request_types.ServerResponse(
         status=head.status,
@@ -220,7 +220,7 @@
     retry_seconds: float | None = None,
     closes: bool = False,
 ) -> bytes:
-    """Returns an answer that is the system's own."""
+    """Encodes a response that the router itself generates."""
     lines = [
         b"HTTP/1.1 %d %b" % (status, _REASON_PHRASES.get(status, b"Answer")),
         b"Content-Type: application/json",
@@ -255,12 +255,12 @@
 def encode_response_head(
     response: request_types.ServerResponse, *, length: int | None, closes: bool
 ) -> bytes:
-    """Returns the head of a server's answer for the client.
+    """Encodes the head of a server's response for the client.
 
     Args:
         response: the server's response.
         length: length of the body, or None if it is sent in chunks.
-        closes: whether the connection ends after it.
+        closes: whether the connection is closed after the response.
     """
     reason = _REASON_PHRASES.get(response.status, b"Answer")
     lines = [b"HTTP/1.1 %d %b" % (response.status, reason)]
--- a/pimentoledge/platform/stand_in_platforms.py
+++ b/pimentoledge/platform/stand_in_platforms.py
@@ -1,4 +1,4 @@
-"""A whole platform as a stand-in: store, servers and a configuration."""
+"""Stand-in of the whole platform: store, servers and configuration."""
 
 from pimentoledge.platform import names
 from pimentoledge.platform import stand_in_servers
@@ -10,14 +10,14 @@
 MODEL = "m"
 
 
-def route(name: str, *, service: str, kind: str, **more: object) -> dict:
-    """Returns a route as the operator writes it.
+def route(name: str, *, service: str, kind: str, **overrides: object) -> dict:
+    """Returns a route as an operator writes it.
 
     Args:
-        name: its name; the path prefix as well.
-        service: where it goes.
-        kind: what may be repeated.
-        **more: fields that differ from the usual.
+        name: name of the route, and its path prefix.
+        service: the service that gets its requests.
+        kind: whether its requests may be retried.
+        **overrides: fields that replace the defaults.
     """
     fields = {
         "name": name,
@@ -33,7 +33,7 @@
         "sticky": kind == "stream",
         "resumable": False,
     }
-    fields.update(more)
+    fields.update(overrides)
     return fields
 
 
@@ -41,15 +41,15 @@
     version: int = 1,
     routes: list[dict] | None = None,
     kv_address: str = "127.0.0.1:9",
-    **more: object,
+    **overrides: object,
 ) -> dict:
-    """Returns a configuration as the operator writes it.
+    """Returns a configuration as an operator writes it.
 
     Args:
-        version: its version.
-        routes: other routes than the usual four.
+        version: version of the configuration.
+        routes: routes that replace the four default ones.
         kv_address: address of the KV cache server.
-        **more: fields that differ from the usual.
+        **overrides: fields that replace the defaults.
     """
     return {
         "version": version,
@@ -83,7 +83,7 @@
             {"name": "acme", "apiKeys": [KEY], "priority": 2},
             {"name": "walled", "apiKeys": [ISOLATED_KEY], "isolated": True},
         ],
-        **more,
+        **overrides,
     }
 
 
@@ -104,7 +104,7 @@
         self.servers: dict[str, stand_in_servers.StandInServer] = {}
 
     def start(self, *, plain: int = 2, runners: int = 2) -> None:
-        """Listens, and writes what a router needs into the store."""
+        """Starts all servers and writes what a router needs into the store."""
         self.store.start()
         self.kv_server.start()
         spec = configuration(kv_address=self.kv_server.address)
@@ -117,7 +117,7 @@
             self.add_server(f"r{number}", service="runners", weights={MODEL: 1})
 
     def close(self) -> None:
-        """Stops everything."""
+        """Stops all servers."""
         self.store.close()
         self.kv_server.close()
         for server in self.servers.values():
@@ -130,7 +130,7 @@
         service: str,
         weights: dict[str, int] | None = None,
     ) -> stand_in_servers.StandInServer:
-        """Starts a backend server, which registers itself."""
+        """Starts a backend server and writes its registration."""
         server = stand_in_servers.StandInServer(
             incarnation=incarnation, service=service, weights=weights
         )
--- a/pimentoledge/platform/stand_in_servers.py
+++ b/pimentoledge/platform/stand_in_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers of the platform as stand-ins, with their faults."""
+"""Stand-ins of backend servers, with injected faults."""
 
 import threading
 import time
@@ -12,23 +12,23 @@
 
 THREADS = 32
 SIGNATURE = b"stand.in"
-# Between two looks at whether a caller that waits is still there.
+# Interval at which a queued request's connection is checked.
 QUEUE_POLL_SECONDS = 0.02
 
 
 @attrs.define(kw_only=True)
 class ReceivedRequest:
-    """A request as the server got it.
+    """A request as the server received it.
 
     Attributes:
         method: HTTP method.
         target: path and query.
-        headers: by lower-case name.
-        body: its bytes.
-        ran: whether the server worked on it.
-        received_at: when it came, in seconds of time.monotonic.
+        headers: values by lower-case name.
+        body: body of the request.
+        ran: whether the server executed it.
+        received_at: when it was received, in seconds of time.monotonic.
         started_at: when execution started, on the same clock; 0 if not run.
-        weights: version of the model's weights that it began on, or None.
+        weights: version of the weights that it started on, or None.
     """
 
     method: str
@@ -42,35 +42,38 @@
 
 
 class StandInServer:
-    """One backend server.
+    """A backend server.
 
     Attributes:
-        incarnation: id of its life.
-        service: service that it serves.
-        data_centre: where it stands.
+        incarnation: id of the server.
+        service: service to which it belongs.
+        data_centre: data centre in which it runs.
         weights: version of each of its models.
-        calls: requests that it got, in order.
-        arrival_times: when anything reached it, orders and reports too, in
-            seconds of time.monotonic.
-        orders: orders that it got, in order.
-        orders_taken: orders that it has taken.
-        events: events of a stream.
-        event_seconds: pause between them.
-        queue_seconds: how long a request waits before it begins.
-        work_seconds: how long a plain call takes.
-        refuse: number of next requests that it doesn't run.
-        fail: number of next requests that it fails with a 500.
-        cut_after: events after which the next stream is cut, or None.
-        lose: number of next requests that it runs without an answer.
-        misnumber: number of next answers that bear another request's id.
-        load_seconds: how long weights take to load.
-        refuse_orders: number of next orders that it turns away with a 503.
-        silent_orders: number of next orders that it takes without an answer.
-        active_requests: requests that it works on now.
-        leaving: whether all its answers say that it leaves.
-        reports_leaving: whether its reports alone say so.
-        retry_after: for how long its refusals ask for no request, or "".
-        limit: requests a second that all its answers name as a limit, or "".
+        calls: received requests, in order.
+        arrival_times: when requests, orders and reports arrived, in seconds
+            of time.monotonic.
+        orders: received orders, in order.
+        orders_taken: number of orders that it has taken.
+        events: number of events of a stream.
+        event_seconds: delay after each event.
+        queue_seconds: how long a request is queued.
+        work_seconds: execution time of a request.
+        refuse: number of next requests that it refuses to run.
+        fail: number of next requests that it answers with status 500.
+        cut_after: number of events after which it cuts the next stream, or
+            None.
+        lose: number of next requests that it runs without responding.
+        misnumber: number of next responses with another request's id.
+        load_seconds: how long loading weights takes.
+        refuse_orders: number of next orders that it refuses with status 503.
+        silent_orders: number of next orders that it drops without responding.
+        active_requests: number of running requests.
+        leaving: whether all its responses announce that it is leaving.
+        reports_leaving: whether its reports, but no other responses, state
+            that it is draining.
+        retry_after: backoff requested by its refusals, in seconds, or "".
+        limit: limit in requests a second that its responses state, or "".
+        on_loaded: called after weights were loaded.
     """
 
     def __init__(
@@ -118,15 +121,15 @@
         return f"127.0.0.1:{self._server.port}"
 
     def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self._server.start()
 
     def close(self) -> None:
-        """Stops."""
+        """Stops listening."""
         self._server.close()
 
     def entry(self, *, leaving: bool = False) -> dict:
-        """Returns what it writes of itself into the store."""
+        """Returns its own entry in the store."""
         return {
             "service": self.service,
             "address": self.address,
@@ -143,7 +146,7 @@
         }
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers one request."""
+        """Handles one request."""
         headers = {
             name.decode().lower(): value.decode("latin-1")
             for name, value in request.inheaders.items()
@@ -169,7 +172,7 @@
             self._handle_call(request, call)
 
     def _consume_fault(self, fault: str) -> bool:
-        """Returns whether one of the next faults of a kind is due."""
+        """Returns whether a fault is pending, and decrements its counter."""
         with self._lock:
             remaining = getattr(self, fault)
             if remaining <= 0:
@@ -178,13 +181,9 @@
             return True
 
     def _handle_call(self, request, call: ReceivedRequest) -> None:
-        expected_version = call.headers.get(
-            names.EXPECTED_WEIGHT_VERSION.decode()
-        )
+        expected = call.headers.get(names.EXPECTED_WEIGHT_VERSION.decode())
         model = call.headers.get(names.MODEL.decode(), "")
-        if expected_version is not None and int(
-            expected_version
-        ) != self.weights.get(model):
+        if expected is not None and int(expected) != self.weights.get(model):
             self._send_not_run(request, call.headers, 421)
             return
         if self._consume_fault("refuse"):
@@ -203,7 +202,7 @@
             self.active_requests -= 1
 
     def _wait_in_queue(self, request) -> bool:
-        """Waits for a turn; returns whether the caller is still there."""
+        """Queues a request; returns whether its caller is still connected."""
         deadline = time.monotonic() + self.queue_seconds
         while time.monotonic() < deadline:
             if fake_http.is_disconnected(request.conn.socket):
@@ -244,23 +243,21 @@
         ]
 
     def _notice_headers(self) -> list[tuple[bytes, bytes]]:
-        """Returns the headers of all its answers, whatever was asked."""
+        """Returns the headers that every response of the server has."""
         headers = [(names.SERVER_LEAVING, b"1")] if self.leaving else []
         if self.limit:
             headers.append((names.SERVER_LIMIT, self.limit.encode()))
         return headers
 
     def _send_stream(self, request, call: ReceivedRequest, head: list) -> None:
-        first_number = (
-            int(call.headers.get(names.LAST_EVENT_ID.decode(), 0)) + 1
-        )
+        first = int(call.headers.get(names.LAST_EVENT_ID.decode(), 0)) + 1
         fake_http.begin_response(
             request,
             200,
             [*head, (b"Content-Type", b"text/event-stream")],
         )
         cut_after, self.cut_after = self.cut_after, None
-        for number in range(first_number, self.events + 1):
+        for number in range(first, self.events + 1):
             if cut_after is not None and number > cut_after:
                 request.conn.wfile.write(b"6\r\nid: 9\n\r\n")
                 fake_http.cut_connection(request)
@@ -326,5 +323,5 @@
 
 
 def is_model_request(call: ReceivedRequest) -> bool:
-    """Returns whether a request is for a model, whose answers are streams."""
+    """Returns whether a request names a model; its response is a stream."""
     return names.MODEL.decode() in call.headers
--- a/pimentoledge/platform/stand_in_stores.py
+++ b/pimentoledge/platform/stand_in_stores.py
@@ -1,4 +1,4 @@
-"""The platform's store as a stand-in: its wire over the object API's fake."""
+"""Stand-in of the platform's store: its HTTP API over fake objects."""
 
 import time
 import urllib.parse
@@ -12,7 +12,7 @@
 from pimentoledge.stores import fake_objects
 
 THREADS = 48
-# Longest sleep of a waiting watch, so that it sees the server's end.
+# Longest sleep of a waiting watch, so that it notices that the server closes.
 MAX_WAIT_SECONDS = 0.1
 
 
@@ -20,13 +20,13 @@
     """Serves objects by kind and name.
 
     Attributes:
-        objects: the fake that holds them, with its faults.
-        history_from: watches from before this revision are told that it is
-            gone.
-        refused: addresses of callers that are turned away.
-        silent: whether calls are never answered, those that arrive and those
-            whose wait ends, also when it is over.
-        counts: calls by method and kind.
+        objects: the fake object store, with its faults.
+        history_from: watches of earlier revisions get status 410.
+        refused: addresses of callers that get status 503.
+        silent: whether calls, and watches whose wait ends, get no response.
+            They never get one, even after the fault ends.
+        counts: number of calls by method and kind.
+        closing: whether the server is stopping.
     """
 
     def __init__(self, *, host: str = "127.0.0.1", port: int = 0):
@@ -36,8 +36,8 @@
         self.silent = False
         self.counts: dict[str, int] = {}
         self.closing = False
-        # Watches that began before the last cut, or the last forgetting, of
-        # all watches.
+        # A watch that started before the latest increment is cut, or gets no
+        # response.
         self._cut_count = 0
         self._silence_count = 0
         self._create_revisions: dict[str, int] = {}
@@ -51,30 +51,30 @@
         return f"{self._server.host}:{self._server.port}"
 
     def with_another_address(self) -> "StandInStore":
-        """Returns a store of the same objects with calls' faults of its own."""
+        """Returns another server of the same objects, with its own faults."""
         other = StandInStore(host=self._server.host)
         other.objects = self.objects
         other._create_revisions = self._create_revisions
         return other
 
     def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self.closing = False
         self._server.start()
 
     def close(self) -> None:
-        """Ends waiting watches and stops listening."""
+        """Cuts waiting watches and stops listening."""
         self.closing = True
         self._notify_watches()
         self._server.close()
 
     def cut_watches(self) -> None:
-        """Ends the connections of all watches that wait."""
+        """Cuts the connections of all waiting watches."""
         self._cut_count += 1
         self._notify_watches()
 
     def silence_watches(self) -> None:
-        """Lets all watches that wait hear nothing more, without an end."""
+        """Leaves all waiting watches open without a response."""
         self._silence_count += 1
         self._notify_watches()
 
@@ -83,7 +83,7 @@
             self.objects.changed.notify_all()
 
     def _hold_connection(self, request) -> None:
-        """Keeps a connection open without an answer."""
+        """Keeps a connection open without a response."""
         while not self.closing and not fake_http.is_disconnected(
             request.conn.socket
         ):
@@ -91,7 +91,7 @@
         fake_http.cut_connection(request)
 
     def put(self, kind: str, name: str, spec: object) -> None:
-        """Writes an object as the operator or a server would."""
+        """Writes an object as an operator or a server would."""
         path = f"{kind}/{name}"
         with self.objects.changed:
             current = self.objects.objects.get(path)
@@ -101,7 +101,7 @@
         self._write(path, msgspec.json.encode(spec), expected)
 
     def remove(self, kind: str, name: str) -> None:
-        """Takes an object away."""
+        """Deletes an object."""
         path = f"{kind}/{name}"
         self._write(path, None, self.objects.objects[path].version)
 
@@ -119,7 +119,7 @@
         )
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers one call."""
+        """Handles one call."""
         method = request.method.decode()
         object_path = fake_http.path_of(request).removeprefix(
             names.OBJECTS_PATH
--- a/pimentoledge/platform/stores.py
+++ b/pimentoledge/platform/stores.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's store."""
+"""Client of the platform's store."""
 
 import asyncio
 import random
@@ -9,19 +9,19 @@
 from pimentoledge.routing import calls
 from pimentoledge.routing import registrations
 
-# Answers take some ms, some hundred where the store is slow.
+# Responses take a few milliseconds, a few hundred if the store is slow.
 CALL_TIMEOUT_SECONDS = 2.5
-# A watch may be answered this much later than it asked for.
+# How long after its requested duration a watch may still be answered.
 WATCH_GRACE_SECONDS = 2.0
-# How often a further page of a listing is asked for.
+# Attempts to read each page of a listing after the first.
 MAX_PAGE_ATTEMPTS = 6
-# Longest pause before it is asked for again; drawn at random, since others
-# were turned away at the same moment.
+# Longest delay before a page is requested again. The delay is random, because
+# calls of other routers were refused at the same time.
 MAX_PAGE_RETRY_SECONDS = 0.5
 
 
 class StoreClient:
-    """The store's client; every method answers with a typed result.
+    """Client of the store; every method returns a typed result.
 
     Attributes:
         address: IP:PORT of the store.
@@ -33,7 +33,7 @@
         self.caller = caller
 
     def forget_connections(self) -> None:
-        """Lets the next call go by a new connection."""
+        """Makes the next call open a new connection."""
         self.caller.pool.forget(self.address)
 
     async def _call(
@@ -82,7 +82,7 @@
             listed += page
             unreadable += errors
             if revision is None:
-                # Changes while later pages are read are told by the watch.
+                # Changes made while later pages are read appear in the watch.
                 revision = reply.body["storeRevision"]
             if not reply.body.get("more") or not page:
                 return registrations.Listing(
@@ -95,11 +95,11 @@
     async def _read_page(
         self, kind: str, after: str
     ) -> calls.Reply | registrations.Unavailable:
-        """Reads one page of a listing; asks again where it was turned away.
+        """Reads a page of a listing; retries any page but the first.
 
-        When hundreds of routers start at once, the store turns part of their
-        calls away. One that began anew each time would hardly ever meet six
-        good answers in a row.
+        When hundreds of routers start at once, the store refuses part of their
+        calls. A router that restarted the listing after each refusal would
+        hardly ever get six successful responses in a row.
         """
         target = kind
         if after:
@@ -119,7 +119,7 @@
     async def watch(
         self, kind: str, revision: int, seconds: float
     ) -> registrations.WatchResult:
-        """Returns what changed after a revision, as soon as something did."""
+        """Waits for changes after a revision and returns them."""
         target = f"{kind}?watch={revision}&waitMs={int(seconds * 1000)}"
         reply = await self._call(
             "GET", target, seconds=seconds + WATCH_GRACE_SECONDS
@@ -152,13 +152,13 @@
         | registrations.Conflict
         | registrations.Unavailable
     ):
-        """Creates an object, or replaces it if its revision is as told.
+        """Creates an object, or replaces it if its revision matches.
 
         Args:
-            kind: its kind.
-            name: its name.
-            value: what it is to hold.
-            revision: None creates it.
+            kind: kind of the object.
+            name: name of the object.
+            value: its new content.
+            revision: the expected revision, or None to create the object.
         """
         meta: dict[str, object] = {"name": name}
         method, target = "POST", kind
@@ -184,7 +184,7 @@
 
 
 def _is_page(body: object, name: str) -> bool:
-    """Returns whether an answer is a page of a listing or of a watch."""
+    """Returns whether a body is a page of a listing or of a watch."""
     return (
         isinstance(body, dict)
         and isinstance(body.get(name), list)
@@ -195,9 +195,9 @@
 def decode_items(
     items: list,
 ) -> tuple[list[registrations.Stored], list[str]]:
-    """Returns the objects that can be read, and why others can't.
+    """Returns the readable objects, and the errors of all others.
 
-    One that another writer has spoilt must not hide the rest of its page.
+    An invalid object of another writer must not hide the rest of its page.
     """
     decoded, errors = [], []
     for item in items:
@@ -212,7 +212,7 @@
     changed, removed, unreadable = {}, {}, []
     for event in body["events"]:
         if not isinstance(event, dict):
-            unreadable.append("an event that is no table")
+            unreadable.append("event is not a JSON object")
             continue
         page, errors = decode_items([event.get("object")])
         unreadable += errors
