--- a/pimentoledge/nodes/codecs.py
+++ b/pimentoledge/nodes/codecs.py
@@ -1,4 +1,4 @@
-"""Messages to bytes and back: MessagePack in a numbered envelope."""
+"""Encodes messages as MessagePack in an envelope with a message number."""
 
 import msgspec
 from returns import result
@@ -8,7 +8,7 @@
 from pimentoledge.nodes import messages
 
 _ENCODER = msgspec.msgpack.Encoder()
-# number, sender's mailbox, sender's configuration version, body.
+# Message number, sender's mailbox, sender's configuration version, body.
 _ENVELOPE_DECODER = msgspec.msgpack.Decoder(tuple[int, str, int, msgspec.Raw])
 
 
@@ -35,8 +35,8 @@
         """Encodes a message.
 
         Args:
-            message: one of the classes in `numbers`.
-            sender: the sender's mailbox, to answer to.
+            message: instance of one of the classes in `numbers`.
+            sender: address of the sender's mailbox, for replies.
             configuration: newest configuration version that the sender
                 knows.
 
@@ -49,12 +49,12 @@
     def decode(
         self, data: bytes
     ) -> result.Result[events.FromNode, results.Error]:
-        """Decodes an envelope; bytes that are none give an Error."""
+        """Decodes an envelope; returns an Error if the bytes are invalid."""
         try:
             number, sender, configuration, body = _ENVELOPE_DECODER.decode(data)
             message = self._decoders[number].decode(body)
         except (msgspec.MsgspecError, KeyError) as error:
-            # A process of a newer version may send what this can't read.
+            # A process of a newer version may send unknown messages.
             text = f"unreadable message: {error}"
             code = results.Code.INTERNAL
             return result.Failure(results.Error(code=code, text=text))
--- a/pimentoledge/nodes/configuration_messages.py
+++ b/pimentoledge/nodes/configuration_messages.py
@@ -1,4 +1,4 @@
-"""Messages by which processes keep each other's configuration complete."""
+"""Messages that replicate the configuration between processes."""
 
 import attrs
 
@@ -7,12 +7,12 @@
 
 @attrs.define(kw_only=True)
 class BucketState:
-    """A bucket as a node has it.
+    """A node's state of a bucket.
 
     Attributes:
         number: the bucket's number.
         digest: digest of its live objects and their versions.
-        known: revision up to which it is complete; -1 for not.
+        known: revision up to which it is complete; -1 if it is incomplete.
     """
 
     number: int
@@ -25,9 +25,9 @@
     """Objects that the receiver may lack.
 
     Attributes:
-        objects: newest objects of the store, deleted ones with no value.
-        done: buckets that were asked for and that end with this message; the
-            receiver has them whole if it comes to the same digest.
+        objects: newest objects of the store; deleted ones have no value.
+        done: requested buckets of which this message contains the last
+            objects; the receiver's copy is complete if its digest is equal.
     """
 
     objects: list[stores.Object]
@@ -36,17 +36,18 @@
 
 @attrs.define(kw_only=True)
 class Digest:
-    """Entry to entry: what I have, in a few numbers; answer with Summary.
+    """Entry to entry: digest of the sender's objects; the reply is Summary.
 
     Attributes:
         root: digest of all live objects and their versions.
-        known: revision up to which the sender is complete; -1 for not.
+        known: revision up to which the sender is complete; -1 if it is
+            incomplete.
         name: the sender's name.
-        data_centre: where the sender is.
+        data_centre: the sender's data centre.
         watched: seconds since an entry of that data centre last called the
-            store for changes, as far as the sender has heard.
-        floor: up to this version the sender knows what it does not have to
-            be deleted.
+            store for changes, as far as the sender knows.
+        floor: an object that the sender lacks was deleted if its version is
+            not above this one.
     """
 
     root: int
@@ -59,7 +60,7 @@
 
 @attrs.define(kw_only=True)
 class Summary:
-    """Entry to entry: answer to Digest.
+    """Entry to entry: reply to Digest.
 
     Attributes:
         root: as in Digest.
@@ -68,10 +69,10 @@
         data_centre: as in Digest.
         watched: as in Digest.
         buckets: digest of each bucket; empty when the roots are equal.
-        whole: number and revision of the buckets that are complete, while
-            the sender is not complete itself.
+        whole: numbers and revisions of the complete buckets, if the sender
+            itself is incomplete.
         floor: as in Digest.
-        scan: whether the receiver, which lacks objects, shall read the store
+        scan: whether the receiver, which lacks objects, must read the store
             for its data centre.
     """
 
@@ -88,11 +89,11 @@
 
 @attrs.define(kw_only=True)
 class BucketContents:
-    """What the sender has in one bucket.
+    """The sender's objects in a bucket.
 
     Attributes:
         number: the bucket's number.
-        fingerprints: one for each object and version, deleted ones too.
+        fingerprints: one for each object and version, also of deleted ones.
     """
 
     number: int
@@ -101,11 +102,11 @@
 
 @attrs.define(kw_only=True)
 class BucketRequest:
-    """Send me what these buckets hold beyond what I list.
+    """Requests the objects in some buckets that the sender lacks.
 
     Attributes:
-        buckets: what the sender has.
-        answer: whether the receiver may ask back for what it lacks itself.
+        buckets: the sender's objects in these buckets.
+        answer: whether the receiver may in turn request objects that it lacks.
     """
 
     buckets: list[BucketContents]
@@ -114,12 +115,12 @@
 
 @attrs.define(kw_only=True)
 class Poll:
-    """Agent to entry: this is what I have; tell me what is newer.
+    """Agent to entry: requests the changes since the agent's versions.
 
     Attributes:
         server: the agent's backend server.
-        versions: path and version of the declarations that it goes by.
-        held: the buckets that it keeps for entries that restart.
+        versions: paths and versions of the declarations that the agent uses.
+        held: the buckets that it stores for entries that restart.
     """
 
     server: str
@@ -129,14 +130,15 @@
 
 @attrs.define(kw_only=True)
 class PollAnswer:
-    """Entry to agent: answer to Poll, after Changes if there are any.
+    """Entry to agent: reply to Poll, sent after Changes if there are any.
 
     Attributes:
-        known: revision up to which the entry is complete; -1 for not.
-        entries: mailboxes of entries to poll.
-        held: the buckets to keep, with the entry's own digests; meaningless
-            while `known` is -1.
-        runners: how many runners of the agent's model are declared in.
+        known: revision up to which the entry is complete; -1 if it is
+            incomplete.
+        entries: mailboxes of the entries to poll.
+        held: the buckets to store, with the entry's own digests; invalid if
+            `known` is -1.
+        runners: number of runners of the agent's model that are declared in.
     """
 
     known: int
@@ -147,22 +149,22 @@
 
 @attrs.define(kw_only=True)
 class StatusRequest:
-    """Entry to entry: an operator asks what is in force at you."""
+    """Entry to entry: requests the receiver's status for an operator."""
 
 
 @attrs.define(kw_only=True)
 class StatusAnswer:
-    """Entry to entry: answer to StatusRequest.
+    """Entry to entry: reply to StatusRequest.
 
     Attributes:
         name: the sender's name.
-        data_centre: where it is.
+        data_centre: the sender's data centre.
         version: newest version that it has.
         known: revision up to which it is complete.
-        root: digest of all that it has.
-        rejected: paths whose newest version it can't read; a few.
-        agents: agents that lately polled it.
-        behind: names of those that are behind it; a few.
+        root: digest of all its objects.
+        rejected: some of the paths whose newest version it can't read.
+        agents: number of agents that polled it recently.
+        behind: names of some agents with older versions than its own.
     """
 
     name: str
--- a/pimentoledge/nodes/loops.py
+++ b/pimentoledge/nodes/loops.py
@@ -1,4 +1,4 @@
-"""The thread that owns a process's state machine."""
+"""The event loop thread that owns a process's state machine."""
 
 from collections.abc import Callable
 import queue
@@ -14,22 +14,22 @@
 
 logger = logbook.Logger("loops")
 
-# Longest sleep: how often silent connections are looked after.
+# Longest wait for an event, and interval at which connections expire.
 MAX_WAIT_SECONDS = 0.25
-# Longest wait of another thread for an answer.
+# Longest wait of another thread for the result of a query.
 QUERY_TIMEOUT_SECONDS = 5.0
-# Events handled before the actions are carried out: bounds the delay of the
-# first of them under a burst.
+# Most events handled before their actions are executed; bounds the delay of
+# the first action in a burst.
 MAX_BATCH_EVENTS = 64
 
 
 @attrs.define(kw_only=True)
 class Query:
-    """Asks something of the state machine, from another thread.
+    """A query of the state machine by another thread.
 
     Attributes:
-        function: called with the state machine, in its own thread.
-        answer: where the result goes.
+        function: called with the state machine, in the loop's thread.
+        answer: queue that gets the result.
     """
 
     function: Callable[[object], object]
@@ -37,17 +37,20 @@
 
 
 class EventLoop:
-    """Gives events to a state machine and carries out its actions.
+    """Passes events to a state machine and executes its actions.
 
     Attributes:
-        core: has `handle(event, now)`, `next_wake()`, `partners()` and a
+        core: the state machine; has `handle(event, now)`, `tick(now)`,
+            `flush()`, `next_wake()`, `partners()` and a
             `configuration.version`.
-        inbox: events from the other threads.
-        mailbox: connection to the other processes.
-        perform: carries out every action other than Send.
-        on_error: what to do about an event that met a defect.
+        inbox: events from other threads.
+        mailbox: connections to other processes.
+        perform: executes all actions other than Send.
+        on_error: returns the actions for an event whose handling raised an
+            exception.
         closing: whether `close` was called.
-        stopped: whether the thread handles nothing more.
+        stopped: whether the thread handles no more events.
+        last_expiry: when the mailbox last expired connections.
     """
 
     def __init__(
@@ -71,7 +74,7 @@
         self.last_expiry = 0.0
 
     def start(self) -> None:
-        """Opens the mailbox; `run_thread` then starts the work."""
+        """Opens the mailbox; `run_thread` then starts handling events."""
         self.mailbox.start()
 
     def run_thread(self) -> None:
@@ -79,7 +82,7 @@
         self.thread.start()
 
     def close(self) -> None:
-        """Handles what has arrived, then stops."""
+        """Handles the events received so far, then stops."""
         self.closing = True
         self.inbox.put(None)
         if self.thread.ident is not None:
@@ -87,10 +90,10 @@
         self.mailbox.close()
 
     def query(self, function: Callable[[object], object]) -> object:
-        """Calls a function with the state machine, in its own thread.
+        """Calls a function with the state machine, in the loop's thread.
 
-        For other threads; returns its result, or None while closing and
-        when the state machine did not answer in QUERY_TIMEOUT_SECONDS.
+        Used by other threads. Returns the function's result, or None if the
+        loop is closing or there is no result in QUERY_TIMEOUT_SECONDS.
         """
         query = Query(function=function)
         self.inbox.put(query)
@@ -108,7 +111,7 @@
             self.handle_batch(self.collect_batch())
 
     def collect_batch(self) -> list[object]:
-        """Waits for events until the next timer, and takes a batch."""
+        """Waits for events until the next timer; returns a batch of them."""
         wait = MAX_WAIT_SECONDS
         wake_at = self.core.next_wake()
         if wake_at is not None:
@@ -122,7 +125,7 @@
         return batch
 
     def handle_batch(self, batch: list[object]) -> None:
-        """Handles a batch and whatever timer is due."""
+        """Handles a batch of events and all due timers."""
         now = time.monotonic()
         due: list[actions.Action] = []
         for event in batch:
@@ -139,11 +142,11 @@
     def call_guarded(
         self, event: object, function: Callable, *arguments: object
     ) -> list[actions.Action]:
-        """Calls a function; a defect costs only the event that met it.
+        """Calls a function; an exception affects only the event it handles.
 
-        Without this one defect would end the thread, and every stream of the
-        process would hang; or lose the actions of the whole batch, and
-        streams of others would miss a frame.
+        Otherwise an exception would end the thread, and every stream of the
+        process would hang; or it would discard the actions of the whole batch,
+        and other streams would lose a frame.
         """
         try:
             return function(*arguments) or []
@@ -165,7 +168,7 @@
         return []
 
     def dispatch_actions(self, due: list[actions.Action], now: float) -> None:
-        """Sends what is to be sent and hands the rest to the daemon."""
+        """Sends messages and passes other actions to `perform`."""
         others = []
         version = self.core.configuration.version
         for action in due:
--- a/pimentoledge/nodes/mailboxes.py
+++ b/pimentoledge/nodes/mailboxes.py
@@ -1,9 +1,9 @@
-"""One inbox per process, and one connection to each process it writes to.
+"""An inbox per process, and a connection to each process it sends to.
 
-pynng's push and pull sockets keep the order of one sender's messages and
-never drop one while the connection lives. What was waiting when a connection
-broke is thrown away, so that a message never arrives long after its sender
-gave up on it; its sender is told by events.Unreachable.
+pynng's push and pull sockets deliver a sender's messages in order and drop
+none while the connection is up. When a connection breaks, its pending messages
+are discarded, so that none arrives long after its sender gave up on it.
+events.Unreachable reports this to the sender.
 """
 
 from collections.abc import Callable
@@ -19,18 +19,20 @@
 
 logger = logbook.Logger("mailboxes")
 
-# Messages that one connection buffers; above it the peer counts as stuck.
+# Messages buffered per connection; on overflow the connection is closed and
+# the peer reported as unreachable.
 SEND_BUFFER = 512
 RECEIVE_BUFFER = 512
-# How long a message waits for a connection to come up.
+# How long a message may wait until its connection is up.
 CONNECT_TIMEOUT_SECONDS = 1.0
-# A connection costs some 29 KB, and an entry meets thousands of agents.
+# How long an idle connection stays open. A connection takes about 29 KB, and
+# an entry sends messages to thousands of agents.
 IDLE_TIMEOUT_SECONDS = 15.0
 
 
 @attrs.define(kw_only=True)
 class PeerUp:
-    """A connection came up; the owner sends what waits for it."""
+    """A connection came up; the owner's thread sends its pending messages."""
 
     address: str
     generation: int
@@ -50,11 +52,12 @@
 
     Attributes:
         socket: its push socket.
-        generation: tells this connection's events from an older one's.
-        connected: whether the connection stands.
-        pending: messages and their bytes, until it stands.
-        opened_at: when it was opened.
-        last_used_at: when it was last used.
+        generation: distinguishes this connection's events from those of an
+            earlier connection to the same address.
+        opened_at: when the connection was opened.
+        last_used_at: when a message was last sent.
+        connected: whether the connection is up.
+        pending: messages, with their encoding, until the connection is up.
     """
 
     socket: pynng.Push0
@@ -68,15 +71,18 @@
 class Mailbox:
     """Sends and receives messages between processes.
 
-    All methods but `start` and `close` belong to the thread that owns the
-    process's state machine.
+    All methods except `start` and `close` are called only in the thread that
+    owns the process's state machine.
 
     Attributes:
-        address: where this process listens, as tcp://ip:port; port 0 takes a
-            free one, and the address is right after `start`.
-        deliver: called with each event, from another thread.
-        codec: which messages it sends and reads.
+        address: address of this process, as tcp://ip:port; port 0 chooses a
+            free port, which `start` fills in.
+        deliver: called with each event, possibly in another thread.
+        codec: encodes and decodes the messages.
         peers: connections by address.
+        generation: number of connections opened so far.
+        socket: the pull socket, after `start`.
+        thread: the receiving thread, after `start`.
     """
 
     def __init__(
@@ -95,7 +101,7 @@
         self.thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Listens; raises pynng.NNGException when the address is taken."""
+        """Listens; raises pynng.NNGException if the address is in use."""
         self.socket = pynng.Pull0(recv_buffer_size=RECEIVE_BUFFER)
         self.socket.listen(self.address)
         if self.address.endswith(":0"):
@@ -104,7 +110,7 @@
         self.thread.start()
 
     def close(self) -> None:
-        """Closes all connections; what still waits is thrown away."""
+        """Closes all connections and discards pending messages."""
         for peer in self.peers.values():
             peer.socket.close()
         self.peers.clear()
@@ -114,7 +120,7 @@
             self.thread.join()
 
     def receive(self) -> None:
-        """Reads messages until the socket is closed."""
+        """Receives messages until the socket is closed."""
         while True:
             try:
                 data = self.socket.recv()
@@ -129,7 +135,7 @@
     def send(
         self, address: str, message: object, *, configuration: int, now: float
     ) -> None:
-        """Sends a message, or reports events.Unreachable later."""
+        """Sends a message; a failure is reported by events.Unreachable."""
         self.send_all([address], message, configuration=configuration, now=now)
 
     def send_all(
@@ -140,7 +146,7 @@
         configuration: int,
         now: float,
     ) -> None:
-        """Sends a message to several; it is encoded once."""
+        """Sends a message to several addresses, encoding it once."""
         data = self.codec.encode(
             message, sender=self.address, configuration=configuration
         )
@@ -153,7 +159,7 @@
                 peer.pending.append((message, data))
 
     def open(self, address: str, now: float) -> Peer:
-        """Starts a connection without waiting for it."""
+        """Starts to open a connection, without waiting until it is up."""
         self.generation += 1
         generation = self.generation
         socket = pynng.Push0(send_buffer_size=SEND_BUFFER)
@@ -174,33 +180,33 @@
     def push(
         self, address: str, peer: Peer, message: object, data: bytes
     ) -> None:
-        """Hands bytes to the socket of a connection that stands."""
+        """Sends an encoded message over a connection that is up."""
         try:
             peer.socket.send(data, block=False)
         except pynng.NNGException:
-            # The receiver reads nothing any more: it is paused or cut off.
-            # Blocking here would stop every other peer's traffic too.
+            # The buffers are full, because the receiver is paused or
+            # unreachable. Blocking would delay messages to all other peers.
             self.drop(address, [message])
 
     def drop(self, address: str, unsent: list[object]) -> None:
-        """Closes a connection and reports it."""
+        """Closes a connection and reports its unsent messages."""
         peer = self.peers.pop(address)
         unsent = [message for message, _ in peer.pending] + unsent
         peer.socket.close()
         self.deliver(events.Unreachable(address=address, unsent=unsent))
 
     def renew(self, address: str, now: float, min_age_seconds: float) -> bool:
-        """Closes a connection, so that the next message opens another one.
+        """Closes a connection, so that the next message opens a new one.
 
-        What was handed to it and has not arrived is lost.
+        Messages sent over it that have not arrived are lost.
 
         Args:
-            address: the process at its other end.
-            now: the time.
-            min_age_seconds: a connection that is younger stays.
+            address: address of the peer.
+            now: current time.
+            min_age_seconds: a younger connection is not closed.
 
         Returns:
-            Whether it was closed.
+            Whether the connection was closed.
         """
         peer = self.peers.get(address)
         if (
@@ -214,7 +220,7 @@
         return True
 
     def handle(self, event: PeerUp | PeerDown) -> None:
-        """Takes the news of a connection, from the owner's thread."""
+        """Handles a change of a connection's state, in the owner's thread."""
         peer = self.peers.get(event.address)
         if peer is None or peer.generation != event.generation:
             return
@@ -236,13 +242,13 @@
                     self.push(event.address, peer, message, data)
 
     def expire(self, now: float, partners: set[str]) -> None:
-        """Gives up on connections that don't come up, and on idle ones.
+        """Closes connections that did not come up in time or are idle.
 
         Args:
-            now: the time.
-            partners: processes that this one waits for. Their connections
-                stay, however idle: that one breaks is the first sign of a
-                partner's death.
+            now: current time.
+            partners: addresses of processes that this one waits for. Their
+                connections are kept even if idle, because a broken connection
+                is the first sign that a partner has failed.
         """
         for address, peer in list(self.peers.items()):
             if (
--- a/pimentoledge/nodes/messages.py
+++ b/pimentoledge/nodes/messages.py
@@ -1,6 +1,6 @@
-"""Messages between the processes, each with a number on the wire.
+"""Messages between processes, each with a number on the wire.
 
-Times are durations in seconds: the processes share no clock.
+Times are durations in seconds, because the processes share no clock.
 """
 
 import attrs
@@ -10,16 +10,16 @@
 
 @attrs.define(kw_only=True)
 class Completion:
-    """A completion as the agent hands it to its engine.
+    """A completion as the agent passes it to its engine.
 
     Attributes:
         model: model name.
-        adapter: adapter name; empty for none.
+        adapter: adapter name, or empty.
         prompt: the rendered prompt, UTF-8.
-        max_tokens: most tokens to generate.
-        parameters: JSON object of sampling parameters, passed on unread.
-        continued: text already sent to the caller by an earlier attempt; the
-            engine continues behind it.
+        max_tokens: maximum number of tokens to generate.
+        parameters: JSON object of sampling parameters, forwarded unparsed.
+        continued: text that an earlier attempt already sent to the caller; the
+            engine continues after it.
         continued_tokens: tokens in `continued`.
     """
 
@@ -34,7 +34,7 @@
 
 @attrs.define(kw_only=True)
 class ServiceCall:
-    """A call to a plain service, passed on unread.
+    """A call to a plain service, forwarded unparsed.
 
     Attributes:
         service: the service's name.
@@ -42,7 +42,7 @@
         path: path below the service's root.
         query: query string without the question mark.
         headers: name and value pairs.
-        body: the body.
+        body: body of the request.
         repeatable: whether it may run more than once.
     """
 
@@ -57,23 +57,23 @@
 
 @attrs.define(kw_only=True)
 class ServerStatus:
-    """What an agent knows of its own backend server; corrects hints.
+    """An agent's status of its own backend server; corrects an entry's hints.
 
     Attributes:
         server: backend server's name.
-        incarnation: id of the engine's life; empty when it is down.
+        incarnation: id of the engine's current run; empty if it is down.
         weights: weights version loaded.
         adapters: adapters loaded.
-        leaving: whether it takes no new work any more.
-        loading: whether it takes no new work until weights are loaded.
+        leaving: whether it is draining and accepts no new work.
+        loading: whether it accepts no new work until weights are loaded.
         running: requests in the engine.
         queued: requests waiting at the agent.
         queued_tokens: uncached prompt tokens waiting or in prefill.
-        slots: requests that the engine can run at one time.
-        token_seconds: prefill time of one uncached prompt token.
-        step_seconds: time between two tokens of one stream.
-        received: dispatches received so far in this agent's life from the
-            process that this message goes to; covers what it had sent.
+        slots: requests that the engine can run at once.
+        token_seconds: prefill time per uncached prompt token.
+        step_seconds: time between two tokens of a stream.
+        received: number of dispatches that this run of the agent received
+            from the receiver of this message; the status covers these.
         configuration: newest configuration version that the agent has.
     """
 
@@ -95,26 +95,26 @@
 
 @attrs.define(kw_only=True)
 class Dispatch:
-    """Entry to agent: run this, if what I assume is still true.
+    """Entry to agent: runs a request if the entry's assumptions still hold.
 
     Attributes:
         request: request id, unique over all entries.
         attempt: number of the attempt, from 1.
-        organisation: whose request it is.
+        organisation: owner of the request.
         priority: declarations.Priority.
-        share: the contract's weight in the fair share.
-        seconds_left: time to the deadline.
-        server: backend server that is meant.
-        incarnation: engine incarnation assumed; empty for any, when the
+        share: the contract's weight in fair sharing.
+        seconds_left: time remaining until the deadline.
+        server: name of the backend server that must run it.
+        incarnation: expected incarnation of the engine; empty for any, if the
             entry has no hint yet and relies on no cached block.
-        weights: weights version assumed; empty for a plain service.
+        weights: expected weights version; empty for a plain service.
         configuration: entry's configuration version.
-        expected_depth: prompt tokens expected to be cached there.
+        expected_depth: prompt tokens that are expected to be cached there.
         prompt_tokens: estimated length of the prompt.
         fingerprint: digest of organisation and content, for quarantine.
-        crashes: engines that this content is known to have crashed.
-        key: idempotency key; empty when the call may be repeated.
-        sequence: number that the first frame shall have.
+        crashes: number of engines that this content is known to have crashed.
+        key: idempotency key; empty if the call may be repeated.
+        sequence: number of the first frame.
         completion: the completion, or None.
         call: the service call, or None.
         trace: traceparent header.
@@ -143,7 +143,7 @@
 
 @attrs.define(kw_only=True)
 class Admitted:
-    """Agent to entry: accepted; it runs or waits in the queue here."""
+    """Agent to entry: the request is running or queued at the agent."""
 
     request: str
     attempt: int
@@ -152,14 +152,14 @@
 
 @attrs.define(kw_only=True)
 class Refused:
-    """Agent to entry: not run, and never will be for this attempt.
+    """Agent to entry: this attempt was not run and never will be.
 
     Attributes:
         request: request id.
         attempt: attempt number.
         code: results.Code.
-        truth: what is true here.
-        retry_after: seconds; 0 for no advice.
+        truth: status of the agent's backend server.
+        retry_after: advised backoff in seconds; 0 if there is none.
     """
 
     request: str
@@ -171,15 +171,15 @@
 
 @attrs.define(kw_only=True)
 class Frame:
-    """Agent to entry: the next piece of a stream.
+    """Agent to entry: the next part of a stream.
 
     Attributes:
         request: request id.
         attempt: attempt number.
         sequence: number of this frame within the request; a later attempt
-            goes on where the one before it stopped.
+            continues the numbers of the previous one.
         text: generated text.
-        tokens: tokens in it.
+        tokens: number of tokens in the text.
     """
 
     request: str
@@ -203,13 +203,13 @@
     Attributes:
         request: request id.
         attempt: attempt number.
-        sequence: number of the frame that would come next; a smaller count
-            at the entry means that frames were lost.
+        sequence: number of the frame that would be next; if the entry expects
+            a smaller number, frames were lost.
         reason: the engine's finish reason, "stop" or "length".
         prompt_tokens: tokens in the prompt.
-        cached_tokens: prompt tokens that the engine took from its cache.
+        cached_tokens: prompt tokens that were in the engine's cache.
         completion_tokens: tokens generated by this attempt.
-        truth: what is true here.
+        truth: status of the agent's backend server.
     """
 
     request: str
@@ -224,16 +224,16 @@
 
 @attrs.define(kw_only=True)
 class ServiceAnswer:
-    """Agent to entry: the plain service's whole answer.
+    """Agent to entry: the complete response of a plain service.
 
     Attributes:
         request: request id.
         attempt: attempt number.
         status: HTTP status.
         headers: name and value pairs.
-        body: the body.
-        truth: what is true here.
-        replayed: whether this is the kept answer of an earlier run.
+        body: body of the response.
+        truth: status of the agent's backend server.
+        replayed: whether this is the stored response of an earlier run.
     """
 
     request: str
@@ -247,16 +247,16 @@
 
 @attrs.define(kw_only=True)
 class Failed:
-    """Agent to entry: admitted, and then it did not end well.
+    """Agent to entry: the request failed after it was admitted.
 
     Attributes:
         request: request id.
         attempt: attempt number.
         code: results.Code.
-        ran: results.Ran; "not_run" only when the server never got it.
-        truth: what is true here.
-        suspects: fingerprints that were running when the engine died.
-        incarnation: the life that ended, if the engine died.
+        ran: results.Ran; "not_run" only if the server never received it.
+        truth: status of the agent's backend server.
+        suspects: fingerprints that were running when the engine crashed.
+        incarnation: incarnation of the engine that crashed, if it did.
     """
 
     request: str
@@ -270,7 +270,7 @@
 
 @attrs.define(kw_only=True)
 class Cancel:
-    """Entry to agent: nobody waits for this attempt any more."""
+    """Entry to agent: cancels an attempt that no caller waits for."""
 
     request: str
     attempt: int
@@ -278,10 +278,10 @@
 
 @attrs.define(kw_only=True)
 class Probe:
-    """Entry to agent: tell me your truth, and which requests you hold.
+    """Entry to agent: requests its status and checks for lost requests.
 
     Attributes:
-        requests: ids of requests the entry believes are there.
+        requests: ids of requests that the entry expects at the agent.
     """
 
     requests: list[str] = attrs.field(factory=list)
@@ -289,11 +289,11 @@
 
 @attrs.define(kw_only=True)
 class ProbeAnswer:
-    """Agent to entry: answer to Probe.
+    """Agent to entry: reply to Probe.
 
     Attributes:
-        truth: what is true here.
-        unknown: requests named in the probe that are not held here.
+        truth: status of the agent's backend server.
+        unknown: requests named in the probe that the agent does not have.
     """
 
     truth: ServerStatus
@@ -302,26 +302,27 @@
 
 @attrs.define(kw_only=True)
 class QuotaRequest:
-    """Entry to the entry that owns a contract's limits: lend to me.
+    """Entry to the owner of a contract's limits: requests tokens and slots.
 
-    Levels (`running`, `slots`) are absolute, so a lost or repeated message
-    is put right by the next one.
+    Levels (`running`, `slots`) are absolute, so the next message corrects the
+    effect of a lost or repeated one.
 
     Attributes:
-        organisation: whose contract.
-        life: a number drawn when the sender's process started.
-        number: grows by one with each message of this life for this
-            organisation, so that one that comes late is known.
-        version: the contract's version that the sender has.
+        organisation: organisation of the contract.
+        life: random number chosen when the sender's process started.
+        number: increases by one with each message of this process run for
+            this organisation, so that a late message is recognized.
+        version: the sender's version of the contract.
         rate: that version's requests per second; 0 for no limit.
         burst: that version's burst.
         concurrency: that version's concurrent requests; 0 for no limit.
-        tokens: tokens wanted, each good for one request.
-        debt: requests that were let in ahead of a token.
-        returned: tokens handed back unspent.
-        running: requests that run at the sender.
+        tokens: requested tokens; each admits one request.
+        debt: requests that were admitted before their token was granted.
+        returned: unused tokens that are returned.
+        running: requests running at the sender.
         waiting: requests that wait there for a slot or a token.
-        slots: concurrent requests wanted, with those that run or wait.
+        slots: requested number of concurrent requests, including those that
+            run or wait.
     """
 
     organisation: str
@@ -341,19 +342,19 @@
 
 @attrs.define(kw_only=True)
 class QuotaGrant:
-    """Answer to QuotaRequest, or a recall of slots that are lent and unused.
+    """Reply to QuotaRequest, or a recall of leased slots that are unused.
 
     Attributes:
-        organisation: whose contract.
-        number: that of the QuotaRequest; 0 for a recall.
-        tokens: tokens lent; they lapse after `token_seconds`.
-        slots: concurrent requests that the receiver may run, in all.
-        token_seconds: from the sending of the QuotaRequest.
-        slot_seconds: from the sending of the QuotaRequest.
-        wait: seconds until a token will be there; 0 when some were lent or
-            none was wanted.
-        scarce: whether no slot is free now; who ends a request says so at
-            once.
+        organisation: organisation of the contract.
+        number: number of the QuotaRequest; 0 for a recall.
+        tokens: leased tokens; they expire after `token_seconds`.
+        slots: total number of concurrent requests that the receiver may run.
+        token_seconds: lease time, from the sending of the QuotaRequest.
+        slot_seconds: lease time, from the sending of the QuotaRequest.
+        wait: seconds until a token is available; 0 if some were leased or
+            none was requested.
+        scarce: whether no slot is free; the receiver then reports the end of
+            each request at once.
     """
 
     organisation: str
@@ -368,14 +369,14 @@
 
 @attrs.define(kw_only=True)
 class Suspects:
-    """Entry to entry, and in the store: an engine died running these.
+    """Entry to entry, and in the store: requests running at a crash.
 
     Attributes:
         server: the engine's backend server.
-        incarnation: the life that ended.
-        fingerprints: what it ran, sorted.
-        certain: whether its agent saw the engine die; false when the whole
-            VM vanished.
+        incarnation: incarnation of the engine that crashed.
+        fingerprints: fingerprints of the running requests, sorted.
+        certain: whether the agent observed the crash; false if the whole VM
+            disappeared.
     """
 
     server: str
@@ -386,18 +387,18 @@
 
 @attrs.define(kw_only=True)
 class SuspectCleared:
-    """Entry to entry: an engine completed this suspect.
+    """Entry to entry: an engine completed a suspect without a crash.
 
     Attributes:
-        fingerprint: what is released.
-        crashes: ids of the crashes that it is cleared of.
+        fingerprint: fingerprint of the suspect that is released.
+        crashes: ids of the crashes of which it is cleared.
     """
 
     fingerprint: bytes
     crashes: list[bytes]
 
 
-# Numbers on the wire; a number is never used for another message.
+# Numbers on the wire. A number is never reused for another message.
 # 1-29 requests; 30-39 limits; 40-49 quarantine; 50-69 configuration and
 # membership; 70-79 claims; 80-89 orders and permits.
 NUMBERS: dict[int, type] = {
