--- a/pimentoledge/tests/test_nodes.py
+++ b/pimentoledge/tests/test_nodes.py
@@ -1,4 +1,4 @@
-"""Messages between processes: codec, mailboxes, timers."""
+"""Tests of codec, mailboxes, timers and event loop."""
 
 import queue
 import time
@@ -18,7 +18,7 @@
 
 
 class MailboxOwner:
-    """A mailbox with the inbox of its owner."""
+    """A mailbox and the inbox of its owner."""
 
     def __init__(self):
         self.inbox: queue.SimpleQueue[object] = queue.SimpleQueue()
@@ -33,7 +33,7 @@
         self.mailbox.send(address, message, configuration=7, now=now)
 
     def next_event(self, kind: type) -> object:
-        """Returns the next event of a kind, handling connections' news."""
+        """Returns the next event of a kind; handles connection events."""
         deadline = time.monotonic() + WAIT_SECONDS
         while True:
             self.mailbox.expire(time.monotonic(), set())
@@ -84,50 +84,51 @@
 
 
 def test_messages_arrive_in_order_with_their_sender():
-    one, other = MailboxOwner(), MailboxOwner()
+    sender, receiver = MailboxOwner(), MailboxOwner()
     for number in range(300):
-        one.send(other.mailbox.address, number)
-    # What waited for the connection goes out when it is up.
-    one.next_event(mailboxes.PeerUp)
-    received = [other.next_event(events.FromNode) for _ in range(300)]
+        sender.send(receiver.mailbox.address, number)
+    # Pending messages are sent once the connection is up.
+    sender.next_event(mailboxes.PeerUp)
+    received = [receiver.next_event(events.FromNode) for _ in range(300)]
     assert [each.message.attempt for each in received] == list(range(300))
-    assert received[0].sender == one.mailbox.address
+    assert received[0].sender == sender.mailbox.address
     assert received[0].configuration == 7
-    one.mailbox.close()
-    other.mailbox.close()
+    sender.mailbox.close()
+    receiver.mailbox.close()
 
 
 def test_an_unreachable_peer_returns_the_unsent_messages():
-    """A request is sent to an agent whose VM is gone, and its caller waits.
+    """Guards against a caller that waits for an agent whose VM is gone.
 
-    The connection never comes up; the entry has to learn at once that its
-    message left nowhere, so that "not run" is true and another try is safe.
+    The connection never comes up. The entry must learn soon that its message
+    was not sent, so that the request is known to be not run and a retry is
+    safe.
     """
     probe = pynng.Pull0(listen="tcp://127.0.0.1:0")
     unused_address = str(probe.listeners[0].url)
     probe.close()
-    one = MailboxOwner()
-    one.send(unused_address, 1)
-    event = one.next_event(events.Unreachable)
+    sender = MailboxOwner()
+    sender.send(unused_address, 1)
+    event = sender.next_event(events.Unreachable)
     assert event.address == unused_address
     assert [each.attempt for each in event.unsent] == [1]
-    one.mailbox.close()
+    sender.mailbox.close()
 
 
 def test_a_broken_connection_is_reported():
-    """An agent is killed while an entry waits for its answer.
+    """Guards against a caller that waits until the deadline for a dead agent.
 
-    The broken connection tells the entry; without it the caller would wait
-    for the deadline.
+    The agent is killed before it replies; the broken connection must be
+    reported to the entry.
     """
-    one, other = MailboxOwner(), MailboxOwner()
-    one.send(other.mailbox.address, 1)
-    one.next_event(mailboxes.PeerUp)
-    other.next_event(events.FromNode)
-    other.mailbox.close()
-    event = one.next_event(events.Unreachable)
+    sender, receiver = MailboxOwner(), MailboxOwner()
+    sender.send(receiver.mailbox.address, 1)
+    sender.next_event(mailboxes.PeerUp)
+    receiver.next_event(events.FromNode)
+    receiver.mailbox.close()
+    event = sender.next_event(events.Unreachable)
     assert event.unsent == []
-    one.mailbox.close()
+    sender.mailbox.close()
 
 
 def test_timers_fire_once_at_their_newest_time():
@@ -143,7 +144,7 @@
 
 
 class Core:
-    """A state machine that fails on some events."""
+    """A state machine that raises an exception on some events."""
 
     def __init__(self):
         self.configuration = configuration.Configuration()
@@ -169,16 +170,16 @@
 
 
 def test_an_exception_affects_only_the_event_that_raised_it():
-    """One request meets a defect while frames of other streams arrive.
+    """Guards against one request's exception breaking other streams.
 
-    If the whole batch were lost with it, each of those streams would miss a
-    frame and break; if the thread ended, all would hang.
+    If the whole batch were discarded, every stream with a frame in it would
+    lose that frame and break; if the thread ended, all streams would hang.
     """
     core, failed_events = Core(), []
     loop = loops.EventLoop(
         core=core,
         mailbox_address="tcp://127.0.0.1:0",
-        perform=lambda todo: None,
+        perform=lambda due: None,
         on_error=lambda event: failed_events.append(event) or [],
     )
     loop.start()
@@ -191,22 +192,23 @@
 
 
 def test_an_idle_connection_is_closed_and_reopened_on_use():
-    """An entry meets thousands of agents a minute, each some 29 KB.
+    """Guards against connections that use up a node's memory.
 
-    Kept for long they would take several times what a node may spend. One
-    that was closed must come back by itself, with nothing lost.
+    An entry sends to thousands of agents a minute, and each connection takes
+    about 29 KB, so open idle connections would exceed a node's memory budget
+    several times. A closed connection must be reopened without a loss.
     """
-    one, other = MailboxOwner(), MailboxOwner()
-    one.send(other.mailbox.address, 1)
-    one.next_event(mailboxes.PeerUp)
-    other.next_event(events.FromNode)
+    sender, receiver = MailboxOwner(), MailboxOwner()
+    sender.send(receiver.mailbox.address, 1)
+    sender.next_event(mailboxes.PeerUp)
+    receiver.next_event(events.FromNode)
     later = time.monotonic() + mailboxes.IDLE_TIMEOUT_SECONDS + 1
-    one.mailbox.expire(later, {other.mailbox.address})
-    assert one.mailbox.peers
-    one.mailbox.expire(later, set())
-    assert not one.mailbox.peers
-    one.send(other.mailbox.address, 2)
-    one.next_event(mailboxes.PeerUp)
-    assert other.next_event(events.FromNode).message.attempt == 2
-    one.mailbox.close()
-    other.mailbox.close()
+    sender.mailbox.expire(later, {receiver.mailbox.address})
+    assert sender.mailbox.peers
+    sender.mailbox.expire(later, set())
+    assert not sender.mailbox.peers
+    sender.send(receiver.mailbox.address, 2)
+    sender.next_event(mailboxes.PeerUp)
+    assert receiver.next_event(events.FromNode).message.attempt == 2
+    sender.mailbox.close()
+    receiver.mailbox.close()
--- a/pimentoledge/tests/test_platform_adapter.py
+++ b/pimentoledge/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what is spoken on the platform, and that only it knows it."""
+"""Tests of the platform adapter, and that only it contains platform names."""
 
 import ast
 import asyncio
@@ -30,7 +30,7 @@
 from pimentoledge.routing import view_updaters
 
 PACKAGE = pathlib.Path(__file__).parents[1]
-# Fields of the platform's bodies that mean nothing elsewhere.
+# Fields of the platform's JSON bodies that are used nowhere else.
 FIELDS = [
     "pathPrefix",
     "trafficSplit",
@@ -63,7 +63,7 @@
     "bootEpoch",
     "draining",
 ]
-# Of HTTP itself, or common words.
+# Names that HTTP itself uses, or common words.
 COMMON = {"host", "model", "hold", "connection", "keep-alive", "expect"}
 
 
@@ -217,7 +217,7 @@
 
 
 def test_a_configuration_with_missing_fields_and_unknown_kinds_is_accepted():
-    """A deployment of another kind must not be refused as a whole."""
+    """Guards against rejecting a whole configuration for unknown values."""
     spec = {
         "version": 2,
         "routes": [
@@ -330,11 +330,12 @@
 
 
 class PagedStore:
-    """A caller before a store whose listing has several pages.
+    """A caller of a store whose listing has several pages.
 
     Attributes:
-        refusals_left: how many of the next calls are answered with 429.
-        targets: the targets of all calls.
+        count: number of pages.
+        refusals_left: number of next calls that get status 429.
+        targets: targets of all calls.
     """
 
     def __init__(self, count):
@@ -364,10 +365,11 @@
 
 
 def test_a_refused_page_is_retried_without_restarting_the_listing():
-    """All VMs are back after a loss of power, and for 30 s few are served.
+    """Guards against routers that get no listing for 30 s after a power loss.
 
-    Hundreds of routers list the servers at once; the store turns part of the
-    calls away. Who began anew each time met too few good answers in a row.
+    Hundreds of routers list the servers at once, and the store refuses part of
+    the calls. A router that restarts the listing after each refusal gets too
+    few successful responses in a row.
     """
     pages = PagedStore(4)
     store = stores.StoreClient(address="s", caller=pages)
