--- a/pimentoledge/nodes/mailboxes.py
+++ b/pimentoledge/nodes/mailboxes.py
@@ -1,9 +1,9 @@
-"""One inbox per process, and one connection to each process it writes to.
+"""An inbox per process, and a connection to each process it sends to.
 
-pynng's push and pull sockets keep the order of one sender's messages and
-never drop one while the connection lives. What was waiting when a connection
-broke is thrown away, so that a message never arrives long after its sender
-gave up on it; its sender is told by events.Unreachable.
+pynng's push and pull sockets deliver a sender's messages in order and drop
+none while the connection is up. When a connection breaks, its pending messages
+are discarded, so that none arrives long after its sender gave up on it.
+events.Unreachable reports this to the sender.
 """
 
 from collections.abc import Callable
@@ -19,18 +19,20 @@
 
 logger = logbook.Logger("mailboxes")
 
-# Messages that one connection buffers; above it the peer counts as stuck.
+# Messages buffered per connection; on overflow the connection is closed and
+# the peer reported as unreachable.
 SEND_BUFFER = 512
 RECEIVE_BUFFER = 512
-# How long a message waits for a connection to come up.
-CONNECT_SECONDS = 1.0
-# A connection costs some 29 KB, and an entry meets thousands of agents.
-IDLE_SECONDS = 15.0
+# How long a message may wait until its connection is up.
+CONNECT_TIMEOUT_SECONDS = 1.0
+# How long an idle connection stays open. A connection takes about 29 KB, and
+# an entry sends messages to thousands of agents.
+IDLE_TIMEOUT_SECONDS = 15.0
 
 
 @attrs.define(kw_only=True)
 class PeerUp:
-    """A connection came up; the owner sends what waits for it."""
+    """A connection came up; the owner's thread sends its pending messages."""
 
     address: str
     generation: int
@@ -50,33 +52,37 @@
 
     Attributes:
         socket: its push socket.
-        generation: tells this connection's events from an older one's.
-        up: whether the connection stands.
-        waiting: messages and their bytes, until it stands.
-        since: when it was opened.
-        used: when it was last used.
+        generation: distinguishes this connection's events from those of an
+            earlier connection to the same address.
+        opened_at: when the connection was opened.
+        last_used_at: when a message was last sent.
+        connected: whether the connection is up.
+        pending: messages, with their encoding, until the connection is up.
     """
 
     socket: pynng.Push0
     generation: int
-    since: float
-    used: float
-    up: bool = False
-    waiting: list[tuple[object, bytes]] = attrs.field(factory=list)
+    opened_at: float
+    last_used_at: float
+    connected: bool = False
+    pending: list[tuple[object, bytes]] = attrs.field(factory=list)
 
 
 class Mailbox:
     """Sends and receives messages between processes.
 
-    All methods but `start` and `close` belong to the thread that owns the
-    process's state machine.
+    All methods except `start` and `close` are called only in the thread that
+    owns the process's state machine.
 
     Attributes:
-        address: where this process listens, as tcp://ip:port; port 0 takes a
-            free one, and the address is right after `start`.
-        deliver: called with each event, from another thread.
-        codec: which messages it sends and reads.
+        address: address of this process, as tcp://ip:port; port 0 chooses a
+            free port, which `start` fills in.
+        deliver: called with each event, possibly in another thread.
+        codec: encodes and decodes the messages.
         peers: connections by address.
+        generation: number of connections opened so far.
+        socket: the pull socket, after `start`.
+        thread: the receiving thread, after `start`.
     """
 
     def __init__(
@@ -95,7 +101,7 @@
         self.thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Listens; raises pynng.NNGException when the address is taken."""
+        """Listens; raises pynng.NNGException if the address is in use."""
         self.socket = pynng.Pull0(recv_buffer_size=RECEIVE_BUFFER)
         self.socket.listen(self.address)
         if self.address.endswith(":0"):
@@ -104,7 +110,7 @@
         self.thread.start()
 
     def close(self) -> None:
-        """Closes all connections; what still waits is thrown away."""
+        """Closes all connections and discards pending messages."""
         for peer in self.peers.values():
             peer.socket.close()
         self.peers.clear()
@@ -114,7 +120,7 @@
             self.thread.join()
 
     def receive(self) -> None:
-        """Reads messages until the socket is closed."""
+        """Receives messages until the socket is closed."""
         while True:
             try:
                 data = self.socket.recv()
@@ -129,7 +135,7 @@
     def send(
         self, address: str, message: object, *, configuration: int, now: float
     ) -> None:
-        """Sends a message, or reports events.Unreachable later."""
+        """Sends a message; a failure is reported by events.Unreachable."""
         self.send_all([address], message, configuration=configuration, now=now)
 
     def send_all(
@@ -140,24 +146,29 @@
         configuration: int,
         now: float,
     ) -> None:
-        """Sends a message to several; it is encoded once."""
+        """Sends a message to several addresses, encoding it once."""
         data = self.codec.encode(
             message, sender=self.address, configuration=configuration
         )
         for address in addresses:
             peer = self.peers.get(address) or self.open(address, now)
-            peer.used = now
-            if peer.up:
+            peer.last_used_at = now
+            if peer.connected:
                 self.push(address, peer, message, data)
             else:
-                peer.waiting.append((message, data))
+                peer.pending.append((message, data))
 
     def open(self, address: str, now: float) -> Peer:
-        """Starts a connection without waiting for it."""
+        """Starts to open a connection, without waiting until it is up."""
         self.generation += 1
         generation = self.generation
         socket = pynng.Push0(send_buffer_size=SEND_BUFFER)
-        peer = Peer(socket=socket, generation=generation, since=now, used=now)
+        peer = Peer(
+            socket=socket,
+            generation=generation,
+            opened_at=now,
+            last_used_at=now,
+        )
         up = PeerUp(address=address, generation=generation)
         down = PeerDown(address=address, generation=generation)
         socket.add_post_pipe_connect_cb(lambda _: self.deliver(up))
@@ -169,43 +180,47 @@
     def push(
         self, address: str, peer: Peer, message: object, data: bytes
     ) -> None:
-        """Hands bytes to the socket of a connection that stands."""
+        """Sends an encoded message over a connection that is up."""
         try:
             peer.socket.send(data, block=False)
         except pynng.NNGException:
-            # The receiver reads nothing any more: it is paused or cut off.
-            # Blocking here would stop every other peer's traffic too.
+            # The buffers are full, because the receiver is paused or
+            # unreachable. Blocking would delay messages to all other peers.
             self.drop(address, [message])
 
     def drop(self, address: str, unsent: list[object]) -> None:
-        """Closes a connection and reports it."""
+        """Closes a connection and reports its unsent messages."""
         peer = self.peers.pop(address)
-        unsent = [message for message, _ in peer.waiting] + unsent
+        unsent = [message for message, _ in peer.pending] + unsent
         peer.socket.close()
         self.deliver(events.Unreachable(address=address, unsent=unsent))
 
-    def renew(self, address: str, now: float, least_seconds: float) -> bool:
-        """Closes a connection, so that the next message opens another one.
+    def renew(self, address: str, now: float, min_age_seconds: float) -> bool:
+        """Closes a connection, so that the next message opens a new one.
 
-        What was handed to it and has not arrived is lost.
+        Messages sent over it that have not arrived are lost.
 
         Args:
-            address: the process at its other end.
-            now: the time.
-            least_seconds: a connection that is younger stays.
+            address: address of the peer.
+            now: current time.
+            min_age_seconds: a younger connection is not closed.
 
         Returns:
-            Whether it was closed.
+            Whether the connection was closed.
         """
         peer = self.peers.get(address)
-        if peer is None or not peer.up or now - peer.since < least_seconds:
+        if (
+            peer is None
+            or not peer.connected
+            or now - peer.opened_at < min_age_seconds
+        ):
             return False
         del self.peers[address]
         peer.socket.close()
         return True
 
     def handle(self, event: PeerUp | PeerDown) -> None:
-        """Takes the news of a connection, from the owner's thread."""
+        """Handles a change of a connection's state, in the owner's thread."""
         peer = self.peers.get(event.address)
         if peer is None or peer.generation != event.generation:
             return
@@ -213,33 +228,36 @@
             case PeerDown():
                 self.drop(event.address, [])
             case PeerUp():
-                peer.up = True
-                waiting, peer.waiting = peer.waiting, []
-                for index, (message, data) in enumerate(waiting):
+                peer.connected = True
+                pending, peer.pending = peer.pending, []
+                for index, (message, data) in enumerate(pending):
                     if self.peers.get(event.address) is not peer:
-                        rest = [each for each, _ in waiting[index:]]
+                        unsent = [each for each, _ in pending[index:]]
                         self.deliver(
                             events.Unreachable(
-                                address=event.address, unsent=rest
+                                address=event.address, unsent=unsent
                             )
                         )
                         return
                     self.push(event.address, peer, message, data)
 
     def expire(self, now: float, partners: set[str]) -> None:
-        """Gives up on connections that don't come up, and on idle ones.
+        """Closes connections that did not come up in time or are idle.
 
         Args:
-            now: the time.
-            partners: processes that this one waits for. Their connections
-                stay, however idle: that one breaks is the first sign of a
-                partner's death.
+            now: current time.
+            partners: addresses of processes that this one waits for. Their
+                connections are kept even if idle, because a broken connection
+                is the first sign that a partner has failed.
         """
         for address, peer in list(self.peers.items()):
-            if not peer.up and now - peer.since > CONNECT_SECONDS:
+            if (
+                not peer.connected
+                and now - peer.opened_at > CONNECT_TIMEOUT_SECONDS
+            ):
                 self.drop(address, [])
             elif address in partners:
                 continue
-            elif now - peer.used > IDLE_SECONDS:
+            elif now - peer.last_used_at > IDLE_TIMEOUT_SECONDS:
                 self.peers.pop(address)
                 peer.socket.close()
--- a/pimentoledge/tests/test_nodes.py
+++ b/pimentoledge/tests/test_nodes.py
@@ -1,4 +1,4 @@
-"""Messages between processes: codec, mailboxes, timers."""
+"""Tests of codec, mailboxes, timers and event loop."""
 
 import queue
 import time
@@ -14,11 +14,11 @@
 from pimentoledge.nodes import mailboxes
 from pimentoledge.nodes import messages
 
-WAIT = 10.0
+WAIT_SECONDS = 10.0
 
 
-class Owner:
-    """A mailbox with the inbox of its owner."""
+class MailboxOwner:
+    """A mailbox and the inbox of its owner."""
 
     def __init__(self):
         self.inbox: queue.SimpleQueue[object] = queue.SimpleQueue()
@@ -32,15 +32,15 @@
         now = time.monotonic()
         self.mailbox.send(address, message, configuration=7, now=now)
 
-    def next(self, kind: type) -> object:
-        """Returns the next event of a kind, handling connections' news."""
-        until = time.monotonic() + WAIT
+    def next_event(self, kind: type) -> object:
+        """Returns the next event of a kind; handles connection events."""
+        deadline = time.monotonic() + WAIT_SECONDS
         while True:
             self.mailbox.expire(time.monotonic(), set())
             try:
                 event = self.inbox.get(timeout=0.05)
             except queue.Empty:
-                assert time.monotonic() < until
+                assert time.monotonic() < deadline
                 continue
             if isinstance(event, mailboxes.PeerUp | mailboxes.PeerDown):
                 self.mailbox.handle(event)
@@ -48,8 +48,8 @@
                 return event
 
 
-def test_every_message_survives_the_codec():
-    truth = messages.ServerStatus(server="s")
+def test_messages_decode_to_what_was_encoded():
+    status = messages.ServerStatus(server="s")
     dispatch = messages.Dispatch(
         request="r",
         attempt=1,
@@ -63,7 +63,7 @@
         ),
     )
     failed = messages.Failed(
-        request="r", attempt=1, code=4001, ran="ran", truth=truth
+        request="r", attempt=1, code=4001, ran="ran", truth=status
     )
     for message in (dispatch, failed, messages.Frames(frames=[])):
         data = codecs.CODEC.encode(message, sender="tcp://a", configuration=3)
@@ -73,7 +73,7 @@
         )
 
 
-def test_bytes_that_are_no_message_are_an_error():
+def test_bytes_that_are_not_a_message_give_an_error():
     for data in (
         b"",
         b"\xc1",
@@ -83,67 +83,68 @@
         assert isinstance(codecs.CODEC.decode(data), result.Failure)
 
 
-def test_messages_come_in_order_with_their_sender():
-    one, other = Owner(), Owner()
+def test_messages_arrive_in_order_with_their_sender():
+    sender, receiver = MailboxOwner(), MailboxOwner()
     for number in range(300):
-        one.send(other.mailbox.address, number)
-    # What waited for the connection goes out when it is up.
-    one.next(mailboxes.PeerUp)
-    got = [other.next(events.FromNode) for _ in range(300)]
-    assert [each.message.attempt for each in got] == list(range(300))
-    assert got[0].sender == one.mailbox.address
-    assert got[0].configuration == 7
-    one.mailbox.close()
-    other.mailbox.close()
-
-
-def test_a_peer_that_is_not_there_gives_back_what_was_unsent():
-    """A request is sent to an agent whose VM is gone, and its caller waits.
-
-    The connection never comes up; the entry has to learn at once that its
-    message left nowhere, so that "not run" is true and another try is safe.
+        sender.send(receiver.mailbox.address, number)
+    # Pending messages are sent once the connection is up.
+    sender.next_event(mailboxes.PeerUp)
+    received = [receiver.next_event(events.FromNode) for _ in range(300)]
+    assert [each.message.attempt for each in received] == list(range(300))
+    assert received[0].sender == sender.mailbox.address
+    assert received[0].configuration == 7
+    sender.mailbox.close()
+    receiver.mailbox.close()
+
+
+def test_an_unreachable_peer_returns_the_unsent_messages():
+    """Guards against a caller that waits for an agent whose VM is gone.
+
+    The connection never comes up. The entry must learn soon that its message
+    was not sent, so that the request is known to be not run and a retry is
+    safe.
     """
     probe = pynng.Pull0(listen="tcp://127.0.0.1:0")
-    nobody = str(probe.listeners[0].url)
+    unused_address = str(probe.listeners[0].url)
     probe.close()
-    one = Owner()
-    one.send(nobody, 1)
-    event = one.next(events.Unreachable)
-    assert event.address == nobody
+    sender = MailboxOwner()
+    sender.send(unused_address, 1)
+    event = sender.next_event(events.Unreachable)
+    assert event.address == unused_address
     assert [each.attempt for each in event.unsent] == [1]
-    one.mailbox.close()
+    sender.mailbox.close()
 
 
-def test_a_peer_that_dies_is_reported():
-    """An agent is killed while an entry waits for its answer.
+def test_a_broken_connection_is_reported():
+    """Guards against a caller that waits until the deadline for a dead agent.
 
-    The broken connection tells the entry; without it the caller would wait
-    for the deadline.
+    The agent is killed before it replies; the broken connection must be
+    reported to the entry.
     """
-    one, other = Owner(), Owner()
-    one.send(other.mailbox.address, 1)
-    one.next(mailboxes.PeerUp)
-    other.next(events.FromNode)
-    other.mailbox.close()
-    event = one.next(events.Unreachable)
+    sender, receiver = MailboxOwner(), MailboxOwner()
+    sender.send(receiver.mailbox.address, 1)
+    sender.next_event(mailboxes.PeerUp)
+    receiver.next_event(events.FromNode)
+    receiver.mailbox.close()
+    event = sender.next_event(events.Unreachable)
     assert event.unsent == []
-    one.mailbox.close()
+    sender.mailbox.close()
 
 
 def test_timers_fire_once_at_their_newest_time():
-    kept = timers.Timers()
-    kept.set(("a",), 1.0)
-    kept.set(("b",), 2.0)
-    kept.set(("a",), 3.0)
-    kept.cancel(("b",))
-    assert kept.next() == 3.0
-    assert kept.due(2.5) == []
-    assert kept.due(3.0) == [("a",)]
-    assert kept.next() is None
+    pending = timers.Timers()
+    pending.set(("a",), 1.0)
+    pending.set(("b",), 2.0)
+    pending.set(("a",), 3.0)
+    pending.cancel(("b",))
+    assert pending.next() == 3.0
+    assert pending.due(2.5) == []
+    assert pending.due(3.0) == [("a",)]
+    assert pending.next() is None
 
 
 class Core:
-    """A state machine that fails on some events."""
+    """A state machine that raises an exception on some events."""
 
     def __init__(self):
         self.configuration = configuration.Configuration()
@@ -168,18 +169,18 @@
         return set()
 
 
-def test_a_defect_costs_only_the_event_that_met_it():
-    """One request meets a defect while frames of other streams arrive.
+def test_an_exception_affects_only_the_event_that_raised_it():
+    """Guards against one request's exception breaking other streams.
 
-    If the whole batch were lost with it, each of those streams would miss a
-    frame and break; if the thread ended, all would hang.
+    If the whole batch were discarded, every stream with a frame in it would
+    lose that frame and break; if the thread ended, all streams would hang.
     """
-    core, defects = Core(), []
+    core, failed_events = Core(), []
     loop = loops.EventLoop(
         core=core,
         mailbox_address="tcp://127.0.0.1:0",
-        perform=lambda todo: None,
-        on_error=lambda event: defects.append(event) or [],
+        perform=lambda due: None,
+        on_error=lambda event: failed_events.append(event) or [],
     )
     loop.start()
     for event in ("one", "bad", "two"):
@@ -187,26 +188,27 @@
     loop.run_thread()
     loop.close()
     assert core.handled == ["one", "two"]
-    assert defects == ["bad"]
+    assert failed_events == ["bad"]
 
 
-def test_an_idle_connection_is_closed_and_opened_again_on_use():
-    """An entry meets thousands of agents a minute, each some 29 KB.
+def test_an_idle_connection_is_closed_and_reopened_on_use():
+    """Guards against connections that use up a node's memory.
 
-    Kept for long they would take several times what a node may spend. One
-    that was closed must come back by itself, with nothing lost.
+    An entry sends to thousands of agents a minute, and each connection takes
+    about 29 KB, so open idle connections would exceed a node's memory budget
+    several times. A closed connection must be reopened without a loss.
     """
-    one, other = Owner(), Owner()
-    one.send(other.mailbox.address, 1)
-    one.next(mailboxes.PeerUp)
-    other.next(events.FromNode)
-    later = time.monotonic() + mailboxes.IDLE_SECONDS + 1
-    one.mailbox.expire(later, {other.mailbox.address})
-    assert one.mailbox.peers
-    one.mailbox.expire(later, set())
-    assert not one.mailbox.peers
-    one.send(other.mailbox.address, 2)
-    one.next(mailboxes.PeerUp)
-    assert other.next(events.FromNode).message.attempt == 2
-    one.mailbox.close()
-    other.mailbox.close()
+    sender, receiver = MailboxOwner(), MailboxOwner()
+    sender.send(receiver.mailbox.address, 1)
+    sender.next_event(mailboxes.PeerUp)
+    receiver.next_event(events.FromNode)
+    later = time.monotonic() + mailboxes.IDLE_TIMEOUT_SECONDS + 1
+    sender.mailbox.expire(later, {receiver.mailbox.address})
+    assert sender.mailbox.peers
+    sender.mailbox.expire(later, set())
+    assert not sender.mailbox.peers
+    sender.send(receiver.mailbox.address, 2)
+    sender.next_event(mailboxes.PeerUp)
+    assert receiver.next_event(events.FromNode).message.attempt == 2
+    sender.mailbox.close()
+    receiver.mailbox.close()
