--- a/pimentoledge/agent.py
+++ b/pimentoledge/agent.py
@@ -107,7 +107,7 @@
         if self.kind == declarations.ServerKind.SERVICE:
             return clients.ServiceClient(url=url)
         silence = self.chosen.number("engine-timeout")
-        return engines.EngineClient(url=url, silence=silence)
+        return engines.EngineClient(url=url, idle_timeout=silence)
 
     def start(self) -> None:
         """Opens every socket and starts every task."""
@@ -212,7 +212,7 @@
     def give_order(self, order: messages.Order) -> None:
         """Gives an order to the engine and delivers its answer."""
         answer = self.backend.order(order)
-        if answer.reason == engines.NO_ANSWER:
+        if answer.reason == engines.NO_ANSWER_REASON:
             answer = None
         self.loop.inbox.put(events.OrderDone(order=order, answer=answer))
         self.ask_now.set()
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -78,7 +78,7 @@
             client=vms.VmListClient(
                 url=chosen.text("store"), timeout=chosen.number("store-timeout")
             ),
-            seconds=chosen.number("vm-list-seconds"),
+            interval_seconds=chosen.number("vm-list-seconds"),
             deliver=self.loop.inbox.put,
         )
         self.metrics = metrics.EntryMetrics()
--- a/pimentoledge/platform/stand_in_stores.py
+++ b/pimentoledge/platform/stand_in_stores.py
@@ -171,7 +171,7 @@
         with objects.changed:
             while not self.closing and not objects.down and cuts == self._cuts:
                 left = end - time.monotonic()
-                if left <= 0 or objects.changes(f"{kind}/", after):
+                if left <= 0 or objects.has_changes(f"{kind}/", after):
                     break
                 objects.changed.wait(min(left, WAIT_SECONDS))
         if self.closing or objects.down or cuts != self._cuts:
--- a/pimentoledge/runners/blocks.py
+++ b/pimentoledge/runners/blocks.py
@@ -23,11 +23,11 @@
         prompt: the prompt in UTF-8.
         block_bytes: bytes of a block; an incomplete last block has no digest.
     """
-    key = _key(salt)
+    key = _hash_key(salt)
     return prefixes.chain(salt=key, text=prompt, block_bytes=block_bytes)
 
 
-def _key(salt: str) -> bytes:
+def _hash_key(salt: str) -> bytes:
     try:
         key = bytes.fromhex(salt)
     except ValueError:
--- a/pimentoledge/runners/engines.py
+++ b/pimentoledge/runners/engines.py
@@ -21,9 +21,9 @@
 from pimentoledge.runners import wires
 
 POOL_SIZE = 128
-CLOSED = "the client was closed"
+CLIENT_CLOSED = "the client was closed"
 # The reason given with an order that was not answered.
-NO_ANSWER = "down"
+NO_ANSWER_REASON = "down"
 
 
 class EngineClient:
@@ -37,16 +37,16 @@
     """
 
     def __init__(
-        self, *, url: str, timeout: float = 2.0, silence: float = 60.0
+        self, *, url: str, timeout: float = 2.0, idle_timeout: float = 60.0
     ):
         self.url = url
         self.timeout = timeout
-        self.silence = silence
+        self.idle_timeout = idle_timeout
         self.pool = None
-        self.starters = None
+        self.executor = None
         self.closing = False
-        self.opening: set[stream_tasks.OpenStream] = set()
-        self.task = stream_tasks.StreamTask(silence=silence)
+        self.opening_streams: set[stream_tasks.OpenStream] = set()
+        self.task = stream_tasks.StreamTask(idle_timeout=idle_timeout)
 
     def start(self) -> None:
         """Opens the connection pool and starts the reading thread."""
@@ -54,7 +54,7 @@
         self.pool = http_pools.HttpPool(size=POOL_SIZE, timeout=self.timeout)
         # A thread is needed from the sending of a completion to the first
         # bytes of its answer.
-        self.starters = futures.ThreadPoolExecutor(
+        self.executor = futures.ThreadPoolExecutor(
             max_workers=POOL_SIZE, thread_name_prefix="engine-start"
         )
         self.task.start()
@@ -68,9 +68,9 @@
         # A starter that waits for first bytes would hold up the end of the
         # process until the engine speaks; the pool no longer knows its
         # connection.
-        for reading in list(self.opening):
-            reading.disconnect()
-        self.starters.shutdown()
+        for stream in list(self.opening_streams):
+            stream.disconnect()
+        self.executor.shutdown()
         self.task.close()
 
     def run(
@@ -87,8 +87,8 @@
             salt: what its cached blocks depend on: organisation, model,
                 adapter and weights version.
         """
-        return _Events(
-            begin=lambda deliver: self.start_run(run, salt, deliver),
+        return _EventIterator(
+            start=lambda deliver: self.start_run(run, salt, deliver),
             abandon=self.abandon,
         )
 
@@ -112,13 +112,13 @@
         reader = streams.StreamReader(request=run.request, attempt=run.attempt)
         body = wires.encode(wires.CompletionBody(run=run, salt=salt))
         headers = {"traceparent": run.trace} if run.trace else {}
-        call = Call(
+        stream_request = StreamRequest(
             method="POST",
             url=self.url + wires.COMPLETIONS_PATH,
             body=body,
             headers=headers,
         )
-        return self._begin(reader, call, deliver)
+        return self._submit(reader, stream_request, deliver)
 
     def resume(
         self, request: str, attempt: int, index: int
@@ -130,8 +130,8 @@
             attempt: attempt number.
             index: number of the first token that is still needed.
         """
-        return _Events(
-            begin=lambda deliver: self.start_resume(
+        return _EventIterator(
+            start=lambda deliver: self.start_resume(
                 request, attempt, index, deliver
             ),
             abandon=self.abandon,
@@ -156,23 +156,25 @@
             request=request, attempt=attempt, index=index
         )
         fields = {"request": request, "attempt": attempt, "index": index}
-        call = Call(method="GET", url=self._url(wires.RESUME, fields))
-        return self._begin(reader, call, deliver)
+        stream_request = StreamRequest(
+            method="GET", url=self._url(wires.RESUME_PATH, fields)
+        )
+        return self._submit(reader, stream_request, deliver)
 
-    def abandon(self, reading: stream_tasks.OpenStream) -> None:
+    def abandon(self, stream: stream_tasks.OpenStream) -> None:
         """Closes a stream's connection; the engine itself goes on."""
-        self.task.abandon(reading)
+        self.task.abandon(stream)
 
     def cancel(self, request: str, attempt: int) -> bool:
         """Cancels a stream; False when the engine did not confirm it."""
         fields = {"request": request, "attempt": attempt}
-        answer = self._call("POST", wires.CANCEL, fields=fields)
-        return answer is not None and answer.status == 200
+        response = self._call("POST", wires.CANCEL_PATH, fields=fields)
+        return response is not None and response.status == 200
 
     def status(self) -> events.EngineStatus:
         """Returns what the engine says; empty when it can't be reached."""
-        answer = self._call("GET", wires.STATUS_PATH)
-        status = _decoded(answer, wires.status_decoder)
+        response = self._call("GET", wires.STATUS_PATH)
+        status = _decode_response(response, wires.status_decoder)
         return status or events.EngineStatus()
 
     def order(self, order: messages.Order) -> messages.OrderAnswer:
@@ -181,9 +183,13 @@
         An order whose answer did not come may have been accepted; the status
         tells.
         """
-        answer = self._call("POST", wires.ORDERS, body=wires.encode(order))
-        decoded = _decoded(answer, wires.order_answer_decoder)
-        return decoded or messages.OrderAnswer(accepted=False, reason=NO_ANSWER)
+        response = self._call(
+            "POST", wires.ORDERS_PATH, body=wires.encode(order)
+        )
+        decoded = _decode_response(response, wires.order_answer_decoder)
+        return decoded or messages.OrderAnswer(
+            accepted=False, reason=NO_ANSWER_REASON
+        )
 
     def cache_events(
         self, after: int, seconds: float = 0.0
@@ -195,16 +201,16 @@
             seconds: how long the engine may wait for the first one.
         """
         fields = {"after": after, "seconds": seconds}
-        answer = self._call(
+        response = self._call(
             "GET", wires.EVENTS_PATH, fields=fields, seconds=seconds
         )
-        return _decoded(answer, wires.cache_events_decoder)
+        return _decode_response(response, wires.cache_events_decoder)
 
     def export_kv(self, blocks: list[bytes]) -> messages.KvBlocks | None:
         """Returns cached blocks from the start of a chain; None on a fault."""
         body = wires.encode(wires.ExportRequest(blocks=blocks))
-        answer = self._call("POST", wires.KV_EXPORT, body=body)
-        return _decoded(answer, wires.kv_decoder)
+        response = self._call("POST", wires.KV_EXPORT_PATH, body=body)
+        return _decode_response(response, wires.kv_blocks_decoder)
 
     def import_kv(self, kv: messages.KvBlocks) -> float | None:
         """Gives blocks; returns the seconds until they can be used.
@@ -212,8 +218,10 @@
         Returns:
             None when the engine did not take them.
         """
-        answer = self._call("POST", wires.KV_IMPORT, body=wires.encode(kv))
-        decoded = _decoded(answer, wires.seconds_decoder)
+        response = self._call(
+            "POST", wires.KV_IMPORT_PATH, body=wires.encode(kv)
+        )
+        decoded = _decode_response(response, wires.import_answer_decoder)
         return None if decoded is None else decoded.seconds
 
     def _url(self, path: str, fields: dict[str, object] | None) -> str:
@@ -239,71 +247,79 @@
         except urllib3.exceptions.HTTPError:
             return None
 
-    def _begin(
+    def _submit(
         self,
         reader: streams.StreamReader,
-        call: "Call",
+        request: "StreamRequest",
         deliver: stream_tasks.Deliver,
     ) -> stream_tasks.OpenStream:
-        reading = stream_tasks.OpenStream(reader=reader, deliver=deliver)
+        stream = stream_tasks.OpenStream(reader=reader, deliver=deliver)
         try:
-            self.starters.submit(self._open, reading, call)
+            self.executor.submit(self._open_stream, stream, request)
         except RuntimeError:
             # The executor takes nothing more: `close` was faster.
-            reading.deliver([reader.broken(CLOSED, results.Ran.NOT_RUN)])
-        return reading
+            stream.deliver(
+                [reader.mark_broken(CLIENT_CLOSED, results.Ran.NOT_RUN)]
+            )
+        return stream
 
-    def _open(self, reading: stream_tasks.OpenStream, call: "Call") -> None:
-        self.opening.add(reading)
+    def _open_stream(
+        self, stream: stream_tasks.OpenStream, request: "StreamRequest"
+    ) -> None:
+        self.opening_streams.add(stream)
         try:
-            going_on = self._first(reading, call)
+            unfinished = self._send_request(stream, request)
         except Exception as error:
             # Nobody looks at what a starter raises; its receiver would wait
             # for ever for the end of the stream.
-            going_on = False
-            reading.deliver([reading.reader.broken(f"defect: {error!r}")])
+            unfinished = False
+            stream.deliver([stream.reader.mark_broken(f"defect: {error!r}")])
         finally:
-            self.opening.discard(reading)
-        if going_on:
-            self.task.add(reading)
-        elif reading.answer is not None:
-            reading.answer.close()
-
-    def _first(self, reading: stream_tasks.OpenStream, call: "Call") -> bool:
+            self.opening_streams.discard(stream)
+        if unfinished:
+            self.task.add(stream)
+        elif stream.response is not None:
+            stream.response.close()
+
+    def _send_request(
+        self, stream: stream_tasks.OpenStream, request: "StreamRequest"
+    ) -> bool:
         """Sends a request; returns whether the stream task reads on."""
-        reader = reading.reader
+        reader = stream.reader
         if self.closing:
-            reading.deliver([reader.broken(CLOSED, results.Ran.NOT_RUN)])
+            stream.deliver(
+                [reader.mark_broken(CLIENT_CLOSED, results.Ran.NOT_RUN)]
+            )
             return False
-        timeout = urllib3.Timeout(connect=self.timeout, read=self.silence)
+        timeout = urllib3.Timeout(connect=self.timeout, read=self.idle_timeout)
         try:
-            reading.answer = self.pool.request(
-                call.method,
-                call.url,
-                body=call.body,
-                headers=call.headers,
+            stream.response = self.pool.request(
+                request.method,
+                request.url,
+                body=request.body,
+                headers=request.headers,
                 timeout=timeout,
                 preload_content=False,
             )
         except urllib3.exceptions.HTTPError as error:
             not_run = http_faults.never_sent(error)
             ran = results.Ran.NOT_RUN if not_run else results.Ran.RAN
-            reading.deliver([reader.broken(str(error), ran)])
+            stream.deliver([reader.mark_broken(str(error), ran)])
             return False
-        if reading.answer.status != 200:
-            reading.deliver([_refused(reader, reading.answer)])
+        if stream.response.status != 200:
+            stream.deliver([_refusal_event(reader, stream.response)])
             return False
         if self.closing:
-            reading.disconnect()
-        chunked = "transfer-encoding" in reading.answer.headers
-        reading.read()
-        while chunked and not reader.over and not reading.abandoned:
-            reading.read()
-        return not chunked and not reader.over
+            stream.disconnect()
+        chunked = "transfer-encoding" in stream.response.headers
+        stream.receive_and_deliver()
+        while chunked and not reader.finished and not stream.abandoned:
+            stream.receive_and_deliver()
+        return not chunked and not reader.finished
 
 
 @attrs.define(kw_only=True)
-class Call:
+class StreamRequest:
     """A request that is answered by a stream."""
 
     method: str
@@ -312,55 +328,57 @@
     headers: dict[str, str] = attrs.field(factory=dict)
 
 
-class _Events:
+class _EventIterator:
     """Iterator over the events of one stream; waits for the next."""
 
-    def __init__(self, *, begin, abandon):
+    def __init__(self, *, start, abandon):
         self.queue = queue.SimpleQueue()
         self.abandon = abandon
-        self.waiting = collections.deque()
-        self.over = False
-        self.reading = begin(self.queue.put)
+        self.pending = collections.deque()
+        self.finished = False
+        self.stream = start(self.queue.put)
 
     def __iter__(self):
         return self
 
     def __next__(self) -> streams.Event:
-        if self.over:
+        if self.finished:
             raise StopIteration
-        while not self.waiting:
-            self.waiting.extend(self.queue.get())
-        event = self.waiting.popleft()
-        self.over = isinstance(event, events.EngineEnded | events.EngineBroken)
+        while not self.pending:
+            self.pending.extend(self.queue.get())
+        event = self.pending.popleft()
+        self.finished = isinstance(
+            event, events.EngineEnded | events.EngineBroken
+        )
         return event
 
     def close(self) -> None:
         """Gives the rest of the stream up."""
-        self.over = True
-        self.abandon(self.reading)
+        self.finished = True
+        self.abandon(self.stream)
 
 
-def _refused(
-    reader: streams.StreamReader, answer: urllib3.BaseHTTPResponse
+def _refusal_event(
+    reader: streams.StreamReader, response: urllib3.BaseHTTPResponse
 ) -> events.EngineBroken:
     try:
-        data = answer.read(decode_content=False)
+        data = response.read(decode_content=False)
         refusal = wires.refusal_decoder.decode(data)
     except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
         # Some other server's words, or half an answer: it may have run.
-        return reader.broken(f"status {answer.status}")
+        return reader.mark_broken(f"status {response.status}")
     if (
-        answer.status != wires.REFUSED_STATUS
+        response.status != wires.REFUSED_STATUS
         or refusal.ran != results.Ran.NOT_RUN
     ):
-        return reader.broken(refusal.reason)
-    return reader.broken(refusal.reason, results.Ran.NOT_RUN)
+        return reader.mark_broken(refusal.reason)
+    return reader.mark_broken(refusal.reason, results.Ran.NOT_RUN)
 
 
-def _decoded(answer, decoder):
-    if answer is None or answer.status != 200:
+def _decode_response(response, decoder):
+    if response is None or response.status != 200:
         return None
     try:
-        return decoder.decode(answer.data)
+        return decoder.decode(response.data)
     except msgspec.MsgspecError:
         return None
--- a/pimentoledge/runners/fake_answers.py
+++ b/pimentoledge/runners/fake_answers.py
@@ -31,18 +31,21 @@
 LENGTH = "length"
 
 
-def seed_of(prompt: bytes) -> int:
+def text_seed(prompt: bytes) -> int:
     """Returns what the text of a prompt's answer depends on."""
     return zlib.crc32(prompt)
 
 
 def generate_text(seed: int, first: int, count: int) -> str:
     """Returns so many tokens of an answer, a numbered word for each."""
-    size = len(WORDS)
+    word_count = len(WORDS)
     if count == 1:
-        return f"{WORDS[(seed + first) % size]}{first} "
+        return f"{WORDS[(seed + first) % word_count]}{first} "
     return "".join(
-        [f"{WORDS[(seed + n) % size]}{n} " for n in range(first, first + count)]
+        [
+            f"{WORDS[(seed + n) % word_count]}{n} "
+            for n in range(first, first + count)
+        ]
     )
 
 
@@ -59,7 +62,7 @@
 
 
 @functools.lru_cache(maxsize=256)
-def _parameters(raw: bytes) -> Parameters:
+def _decode_parameters(raw: bytes) -> Parameters:
     try:
         return msgspec.json.decode(raw, type=Parameters)
     except msgspec.MsgspecError:
@@ -67,7 +70,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class End:
+class AnswerEnd:
     """Where an answer ends, and how.
 
     Attributes:
@@ -79,9 +82,9 @@
     reason: str
 
 
-def end_of(completion: messages.Completion) -> End:
+def end_of(completion: messages.Completion) -> AnswerEnd:
     """Returns where the answer to a completion ends."""
-    length = _parameters(completion.parameters).fake_length
+    length = _decode_parameters(completion.parameters).fake_length
     if 0 < length <= completion.max_tokens:
-        return End(tokens=length, reason=STOP)
-    return End(tokens=completion.max_tokens, reason=LENGTH)
+        return AnswerEnd(tokens=length, reason=STOP)
+    return AnswerEnd(tokens=completion.max_tokens, reason=LENGTH)
--- a/pimentoledge/runners/fake_caches.py
+++ b/pimentoledge/runners/fake_caches.py
@@ -8,8 +8,8 @@
 
 from pimentoledge.runners import messages
 
-LOG_SIZE = 100_000
-BATCH_SIZE = 1000
+MAX_LOG_EVENTS = 100_000
+MAX_BATCH_EVENTS = 1000
 
 
 @attrs.define(kw_only=True)
@@ -36,37 +36,37 @@
 
     def __init__(self, *, faults: LogFaults, seed: int):
         self.faults = faults
-        self.random = random.Random(seed)
-        self.number = 0
+        self.rng = random.Random(seed)
+        self.last_number = 0
         self.numbers: list[int] = []
         self.entries: list[tuple[float, bool, bytes]] = []
 
     def record(self, block: bytes, now: float, *, stored: bool) -> None:
         """Adds an event, or loses it."""
-        self.number += 1
+        self.last_number += 1
         loss = self.faults.loss
-        if loss > 0 and self.random.random() < loss:
+        if loss > 0 and self.rng.random() < loss:
             return
-        self.numbers.append(self.number)
+        self.numbers.append(self.last_number)
         self.entries.append((now + self.faults.delay, stored, block))
-        if len(self.numbers) > 2 * LOG_SIZE:
-            del self.numbers[:LOG_SIZE]
-            del self.entries[:LOG_SIZE]
+        if len(self.numbers) > 2 * MAX_LOG_EVENTS:
+            del self.numbers[:MAX_LOG_EVENTS]
+            del self.entries[:MAX_LOG_EVENTS]
 
     def read(self, after: int, now: float) -> list[messages.CacheEvent]:
         """Returns events with greater numbers that can be read by now."""
         first = bisect.bisect_right(self.numbers, after)
-        found = []
+        batch = []
         for position in range(first, len(self.numbers)):
-            when, stored, block = self.entries[position]
-            if when > now or len(found) == BATCH_SIZE:
+            readable_at, stored, block = self.entries[position]
+            if readable_at > now or len(batch) == MAX_BATCH_EVENTS:
                 break
-            found.append(
+            batch.append(
                 messages.CacheEvent(
                     number=self.numbers[position], stored=stored, block=block
                 )
             )
-        return found
+        return batch
 
 
 class BlockCache:
@@ -88,31 +88,31 @@
         self.free: collections.OrderedDict[bytes, None] = (
             collections.OrderedDict()
         )
-        self.pinned: dict[bytes, int] = {}
+        self.pin_counts: dict[bytes, int] = {}
         self.log = log
         self.evictions = 0
 
     def __len__(self) -> int:
-        return len(self.free) + len(self.pinned)
+        return len(self.free) + len(self.pin_counts)
 
-    def holds(self, block: bytes) -> bool:
+    def contains(self, block: bytes) -> bool:
         """Returns whether a block is in the cache."""
-        return block in self.pinned or block in self.free
+        return block in self.pin_counts or block in self.free
 
     def match(self, chain: list[bytes]) -> int:
         """Returns how many blocks of a chain, from its start, are here."""
-        depth = 0
+        count = 0
         for block in chain:
-            if block not in self.pinned and block not in self.free:
+            if block not in self.pin_counts and block not in self.free:
                 break
-            depth += 1
-        return depth
+            count += 1
+        return count
 
     def pin(self, chain: list[bytes]) -> None:
         """Marks blocks that are here as used by one more stream."""
         for block in chain:
             self.free.pop(block, None)
-            self.pinned[block] = self.pinned.get(block, 0) + 1
+            self.pin_counts[block] = self.pin_counts.get(block, 0) + 1
 
     def store(self, chain: list[bytes], now: float) -> int:
         """Takes computed blocks in, pinned by the stream that computed them.
@@ -121,8 +121,8 @@
             How many are pinned; the rest didn't fit beside pinned blocks.
         """
         for position, block in enumerate(chain):
-            if not self.holds(block):
-                if not self._make_room(now):
+            if not self.contains(block):
+                if not self._evict_if_full(now):
                     return position
                 self.log.record(block, now, stored=True)
             self.pin([block])
@@ -131,14 +131,14 @@
     def release(self, chain: list[bytes]) -> None:
         """Ends one stream's use of its blocks."""
         for block in reversed(chain):
-            users = self.pinned[block] - 1
+            users = self.pin_counts[block] - 1
             if users:
-                self.pinned[block] = users
+                self.pin_counts[block] = users
             else:
-                del self.pinned[block]
+                del self.pin_counts[block]
                 self.free[block] = None
 
-    def _make_room(self, now: float) -> bool:
+    def _evict_if_full(self, now: float) -> bool:
         if len(self) < self.capacity:
             return True
         if not self.free:
--- a/pimentoledge/runners/fake_engines.py
+++ b/pimentoledge/runners/fake_engines.py
@@ -28,7 +28,7 @@
 from pimentoledge.runners import messages
 from pimentoledge.runners import streams
 
-KEPT_STREAMS = 4096
+MAX_ENDED_STREAMS = 4096
 MAX_WAITING = 1000
 CRASHED = "crashed"
 CANCELLED = "cancelled"
@@ -42,7 +42,7 @@
         first: number of the first token, from 0 over the whole answer.
         count: tokens.
     """
-    seed = fake_answers.seed_of(prompt.encode("utf-8"))
+    seed = fake_answers.text_seed(prompt.encode("utf-8"))
     return fake_answers.generate_text(seed, first, count)
 
 
@@ -87,7 +87,7 @@
             None to stay down until `restart`.
         poison: a prompt with this marker crashes it; empty for none.
         poison_after: tokens that such a prompt generates before the crash.
-        forgets_fencing: whether a crash makes it forget the highest fencing
+        resets_fencing: whether a crash makes it forget the highest fencing
             number.
         incarnation: id of this life; empty while it is down.
         weights: weights version loaded; after a crash the one it was made
@@ -133,13 +133,13 @@
         self.restart_seconds: float | None = None
         self.poison = ""
         self.poison_after = 0
-        self.forgets_fencing = False
+        self.resets_fencing = False
         self.fencing = 0
         self.counters = Counters()
-        self.lives = 0
+        self.starts = 0
         self.now = 0.0
         self.output: list[streams.Event] = []
-        self._begin_life()
+        self._start_incarnation()
 
     @property
     def event_delay(self) -> float:
@@ -184,23 +184,23 @@
         key = (run.request, run.attempt)
         if key in self.streams:
             return fake_streams.broken_event(key, results.Ran.RAN, "duplicate")
-        if reason := self._refusal(run):
+        if reason := self._refusal_reason(run):
             return fake_streams.broken_event(key, results.Ran.NOT_RUN, reason)
-        stream = self._stream(run, salt, chain)
+        stream = self._create_stream(run, salt, chain)
         self.streams[key] = stream
         self._queue_of(stream).append(stream)
         self._begin_prefill(now)
-        self._changed(now)
+        self._record_status(now)
         return None
 
     def step(self, now: float) -> list[streams.Event]:
         """Does all that is due by now, in order; returns what came out."""
         while True:
-            due = self._next_due()
+            due = self._next_due_time()
             if due > now:
                 break
             self.now = due
-            self._do(due)
+            self._run_due(due)
         self.now = now
         output = self.output
         self.output = []
@@ -210,7 +210,7 @@
         """Returns when the next thing is due; None for never."""
         if self.output:
             return self.now
-        due = self._next_due()
+        due = self._next_due_time()
         return None if due == math.inf else due
 
     def cancel(self, request: str, attempt: int, now: float) -> bool:
@@ -221,21 +221,21 @@
             return False
         started = stream is self.prefill or stream in self.decoding
         if stream is self.prefill:
-            self._stop_prefill()
+            self._clear_prefill()
         elif started:
             self.decoding.remove(stream)
             if not self.decoding:
-                self.tick_due = math.inf
+                self.decode_due = math.inf
         else:
             self._queue_of(stream).remove(stream)
-        self._forget(stream)
+        self._remove_stream(stream)
         self.counters.cancelled += 1
         ran = results.Ran.RAN if started else results.Ran.NOT_RUN
         self.output.append(
             fake_streams.broken_event((request, attempt), ran, CANCELLED)
         )
         self._begin_prefill(now)
-        self._changed(now)
+        self._record_status(now)
         return True
 
     def resume(
@@ -260,19 +260,19 @@
             return None
         found: list[streams.Event] = []
         if index < stream.sent:
-            found.append(stream.piece(index, stream.sent - index))
+            found.append(stream.text_event(index, stream.sent - index))
         if key in self.ended:
-            found.append(stream.end())
+            found.append(stream.ended_event())
         return found
 
     def status(self, now: float) -> events.EngineStatus:
         """Returns what the engine says of itself; late by `report_lag`."""
         if not self.incarnation:
             return events.EngineStatus()
-        if self.report_lag <= 0 or not self.reports:
+        if self.report_lag <= 0 or not self.statuses:
             return self._snapshot()
-        self._drop_reports(now)
-        return self.reports[0][1]
+        self._drop_old_statuses(now)
+        return self.statuses[0][1]
 
     def cache_events(
         self, after: int, now: float
@@ -334,8 +334,8 @@
         if not self.incarnation or self.loading:
             return None
         seconds = self.kv_block_seconds * len(kv.blocks)
-        self.imports.append((now + seconds, kv.blocks))
-        self.imports.sort(key=lambda each: each[0])
+        self.pending_imports.append((now + seconds, kv.blocks))
+        self.pending_imports.sort(key=lambda each: each[0])
         return seconds
 
     def crash(self, now: float) -> None:
@@ -349,7 +349,7 @@
             self.output.append(
                 fake_streams.broken_event(key, results.Ran.RAN, CRASHED)
             )
-        self._empty()
+        self._reset()
         self.incarnation = ""
         if self.restart_seconds is not None:
             self.restart_due = now + self.restart_seconds
@@ -358,19 +358,19 @@
         """Comes back empty, as it was made, with a new incarnation."""
         self.now = now
         if not self.incarnation:
-            self._begin_life()
+            self._start_incarnation()
 
-    def _begin_life(self) -> None:
-        self.lives += 1
-        self.incarnation = f"{self.name}-{self.seed}-{self.lives}"
+    def _start_incarnation(self) -> None:
+        self.starts += 1
+        self.incarnation = f"{self.name}-{self.seed}-{self.starts}"
         self.weights = self.boot_weights
         self.adapters = list(self.boot_adapters)
         self.role = "both"
-        if self.forgets_fencing:
+        if self.resets_fencing:
             self.fencing = 0
-        self._empty()
+        self._reset()
 
-    def _empty(self) -> None:
+    def _reset(self) -> None:
         self.streams: dict[tuple[str, int], fake_streams.FakeStream] = {}
         self.ended: collections.OrderedDict[
             tuple[str, int], fake_streams.FakeStream
@@ -384,23 +384,23 @@
         self.prefill: fake_streams.FakeStream | None = None
         self.decoding: list[fake_streams.FakeStream] = []
         self.loading = ""
-        self.imports: list[tuple[float, list[bytes]]] = []
-        self.reports: collections.deque[tuple[float, events.EngineStatus]] = (
+        self.pending_imports: list[tuple[float, list[bytes]]] = []
+        self.statuses: collections.deque[tuple[float, events.EngineStatus]] = (
             collections.deque()
         )
         self.prefill_due = math.inf
-        self.tick_due = math.inf
+        self.decode_due = math.inf
         self.load_due = math.inf
         self.restart_due = math.inf
-        self._empty_cache()
+        self._reset_cache()
 
-    def _empty_cache(self) -> None:
+    def _reset_cache(self) -> None:
         log = fake_caches.CacheLog(
-            faults=self.log_faults, seed=self.seed * 1000 + self.lives
+            faults=self.log_faults, seed=self.seed * 1000 + self.starts
         )
         self.cache = fake_caches.BlockCache(capacity=self.cache_blocks, log=log)
 
-    def _refusal(self, run: actions.RunCompletion) -> str:
+    def _refusal_reason(self, run: actions.RunCompletion) -> str:
         if not self.incarnation:
             return "down"
         if self.slots == 0:
@@ -414,7 +414,7 @@
             return "full"
         return ""
 
-    def _stream(
+    def _create_stream(
         self,
         run: actions.RunCompletion,
         salt: str,
@@ -425,11 +425,11 @@
             chain = blocks.chain(
                 salt=salt, prompt=prompt, block_bytes=self.block_bytes
             )
-        stream = fake_streams.begin(run, prompt, chain)
+        stream = fake_streams.create_stream(run, prompt, chain)
         stream.poisonous = bool(self.poison) and (
             self.poison in run.completion.prompt
         )
-        if run.completion.continued != stream.text(0, stream.first):
+        if run.completion.continued != stream.text(0, stream.first_token):
             self.counters.wrong_continuations += 1
         return stream
 
@@ -438,31 +438,31 @@
     ) -> collections.deque[fake_streams.FakeStream]:
         return self.interactive if stream.interactive else self.batch
 
-    def _next_due(self) -> float:
-        due = self.tick_due
+    def _next_due_time(self) -> float:
+        due = self.decode_due
         if self.prefill_due < due:
             due = self.prefill_due
         if self.load_due < due:
             due = self.load_due
         if self.restart_due < due:
             due = self.restart_due
-        if self.imports and self.imports[0][0] < due:
-            due = self.imports[0][0]
+        if self.pending_imports and self.pending_imports[0][0] < due:
+            due = self.pending_imports[0][0]
         return due
 
-    def _do(self, due: float) -> None:
-        if self.imports and self.imports[0][0] <= due:
-            _, found = self.imports.pop(0)
-            stored = self.cache.store(found, due)
-            self.cache.release(found[:stored])
+    def _run_due(self, due: float) -> None:
+        if self.pending_imports and self.pending_imports[0][0] <= due:
+            _, imported = self.pending_imports.pop(0)
+            stored = self.cache.store(imported, due)
+            self.cache.release(imported[:stored])
         elif self.load_due <= due:
             self._end_load()
         elif self.restart_due <= due:
-            self._begin_life()
+            self._start_incarnation()
         elif self.prefill_due <= due:
             self._end_prefill(due)
         else:
-            self._tick(due)
+            self._decode_step(due)
 
     def _begin_prefill(self, now: float) -> None:
         if self.prefill is not None or len(self.decoding) >= self.slots:
@@ -473,11 +473,15 @@
             stream = self.batch.popleft()
         else:
             return
-        depth = self.cache.match(stream.chain)
-        self.cache.pin(stream.chain[:depth])
-        stream.pinned = depth
-        stream.cached_tokens = blocks.tokens_in(depth * self.block_bytes)
-        uncached = stream.prompt_tokens + stream.first - stream.cached_tokens
+        cached_blocks = self.cache.match(stream.chain)
+        self.cache.pin(stream.chain[:cached_blocks])
+        stream.pinned_blocks = cached_blocks
+        stream.cached_tokens = blocks.tokens_in(
+            cached_blocks * self.block_bytes
+        )
+        uncached = (
+            stream.prompt_tokens + stream.first_token - stream.cached_tokens
+        )
         self.prefill = stream
         self.prefill_due = now + max(uncached, 1) * self.token_seconds
         self.counters.runs[stream.request] += 1
@@ -491,27 +495,27 @@
             )
         )
 
-    def _stop_prefill(self) -> None:
+    def _clear_prefill(self) -> None:
         self.prefill = None
         self.prefill_due = math.inf
 
     def _end_prefill(self, now: float) -> None:
         stream = self.prefill
-        self._stop_prefill()
+        self._clear_prefill()
         computed = stream.prompt_tokens - stream.cached_tokens
         self.counters.computed_tokens += computed
         self.counters.cached_tokens += stream.cached_tokens
-        rest = stream.chain[stream.pinned :]
-        stream.pinned += self.cache.store(rest, now)
+        uncached = stream.chain[stream.pinned_blocks :]
+        stream.pinned_blocks += self.cache.store(uncached, now)
         if not self.decoding:
-            self.tick_due = now + self.step_seconds
+            self.decode_due = now + self.step_seconds
         self.decoding.append(stream)
         if self._advance([stream], now):
             self._begin_prefill(now)
-            self._changed(now)
+            self._record_status(now)
 
-    def _tick(self, now: float) -> None:
-        self.tick_due = now + self.step_seconds
+    def _decode_step(self, now: float) -> None:
+        self.decode_due = now + self.step_seconds
         if self._advance(list(self.decoding), now):
             self._begin_prefill(now)
 
@@ -519,51 +523,53 @@
         self, streams: list[fake_streams.FakeStream], now: float
     ) -> bool:
         """Gives each stream a token; False when that crashed the engine."""
-        every = self.text_every
+        text_every = self.text_every
         ended = []
         for stream in streams:
-            if stream.poisonous and stream.made >= self.poison_after:
+            if stream.poisonous and stream.generated >= self.poison_after:
                 self.crash(now)
                 return False
-            if stream.first + stream.made < stream.last:
-                stream.made += 1
+            if stream.first_token + stream.generated < stream.end_token:
+                stream.generated += 1
                 self.counters.generated_tokens += 1
-            unsent = stream.made - stream.sent
-            over = stream.first + stream.made >= stream.last
-            if unsent and (over or unsent >= every or stream.made == 1):
-                self.output.append(stream.piece(stream.sent, unsent))
-                stream.sent = stream.made
-            if over:
-                self.output.append(stream.end())
+            unsent = stream.generated - stream.sent
+            finished = stream.first_token + stream.generated >= stream.end_token
+            if unsent and (
+                finished or unsent >= text_every or stream.generated == 1
+            ):
+                self.output.append(stream.text_event(stream.sent, unsent))
+                stream.sent = stream.generated
+            if finished:
+                self.output.append(stream.ended_event())
                 ended.append(stream)
         if ended:
             self._finish(ended)
-            self._changed(now)
+            self._record_status(now)
         return True
 
     def _finish(self, ended: list[fake_streams.FakeStream]) -> None:
         for stream in ended:
-            self._forget(stream)
+            self._remove_stream(stream)
             self.ended[(stream.request, stream.attempt)] = stream
-            if len(self.ended) > KEPT_STREAMS:
+            if len(self.ended) > MAX_ENDED_STREAMS:
                 self.ended.popitem(last=False)
         self.decoding = [each for each in self.decoding if each not in ended]
         if not self.decoding:
-            self.tick_due = math.inf
+            self.decode_due = math.inf
 
-    def _forget(self, stream: fake_streams.FakeStream) -> None:
+    def _remove_stream(self, stream: fake_streams.FakeStream) -> None:
         del self.streams[(stream.request, stream.attempt)]
-        self.cache.release(stream.chain[: stream.pinned])
+        self.cache.release(stream.chain[: stream.pinned_blocks])
 
-    def _changed(self, now: float) -> None:
+    def _record_status(self, now: float) -> None:
         if self.report_lag > 0:
-            self._drop_reports(now)
-            self.reports.append((now, self._snapshot()))
+            self._drop_old_statuses(now)
+            self.statuses.append((now, self._snapshot()))
 
-    def _drop_reports(self, now: float) -> None:
+    def _drop_old_statuses(self, now: float) -> None:
         horizon = now - self.report_lag
-        while len(self.reports) > 1 and self.reports[1][0] <= horizon:
-            self.reports.popleft()
+        while len(self.statuses) > 1 and self.statuses[1][0] <= horizon:
+            self.statuses.popleft()
 
     def _snapshot(self) -> events.EngineStatus:
         return events.EngineStatus(
@@ -587,19 +593,19 @@
         if self.weights == weights:
             return self._accept_order()
         self.loading = weights
-        self.load_due = now + self.weight_store.begin(now)
+        self.load_due = now + self.weight_store.begin_load(now)
         return self._accept_order()
 
     def _end_load(self) -> None:
         self.weights = self.loading
         self.loading = ""
         self.load_due = math.inf
-        old = self.cache
-        self._empty_cache()
+        old_cache = self.cache
+        self._reset_cache()
         # Numbers go on: one incarnation has one sequence of events.
-        self.cache.log = old.log
-        for block in old.free:
-            old.log.record(block, self.now, stored=False)
+        self.cache.log = old_cache.log
+        for block in old_cache.free:
+            old_cache.log.record(block, self.now, stored=False)
 
     def _accept_order(self) -> messages.OrderAnswer:
         highest = self.fencing if self.checks_orders else 0
--- a/pimentoledge/runners/fake_servers.py
+++ b/pimentoledge/runners/fake_servers.py
@@ -42,27 +42,27 @@
         self.chunked = chunked
         self.socket = request.conn.socket
         self.socket.setblocking(False)
-        self.rest = b""
-        self.gone = False
-        self.broken = False
+        self.unsent = b""
+        self.disconnected = False
+        self.aborted = False
         self.done = threading.Event()
 
     def write(self, data: bytes) -> None:
         """Writes blocks, as far as the socket takes them."""
-        framed = data
+        payload = data
         if self.chunked:
-            framed = b"%x\r\n%s\r\n" % (len(data), data)
-        if self.rest:
-            framed = self.rest + framed
+            payload = b"%x\r\n%s\r\n" % (len(data), data)
+        if self.unsent:
+            payload = self.unsent + payload
         try:
-            sent = self.socket.send(framed)
+            sent = self.socket.send(payload)
         except BlockingIOError:
             sent = 0
         except OSError:
             # The reader closed. The engine goes on, for it may resume.
-            self.gone = True
-            sent = len(framed)
-        self.rest = framed[sent:]
+            self.disconnected = True
+            sent = len(payload)
+        self.unsent = payload[sent:]
 
     def finish(self) -> None:
         """Lets the request's thread end the answer."""
@@ -70,19 +70,19 @@
 
     def cut(self) -> None:
         """Ends the connection without an end mark."""
-        self.broken = True
+        self.aborted = True
         self.done.set()
 
     def wait(self) -> None:
         """Waits until the stream is over, then ends the answer."""
         self.done.wait()
         self.socket.settimeout(DRAIN_SECONDS)
-        if not self.broken and not self.gone:
+        if not self.aborted and not self.disconnected:
             try:
-                self.socket.sendall(self.rest)
+                self.socket.sendall(self.unsent)
             except OSError:
-                self.gone = True
-        if self.broken or self.gone:
+                self.disconnected = True
+        if self.aborted or self.disconnected:
             fake_http.cut_connection(self.request)
 
 
@@ -118,7 +118,7 @@
         self.closing = threading.Event()
         self.thread = None
         self.serving = False
-        self.closings = 0
+        self.port_closings = 0
         self.server = fake_http.HttpServer(
             handle=self.handle,
             host=host,
@@ -127,13 +127,13 @@
         )
         self.routes = {
             wires.COMPLETIONS_PATH: self.complete,
-            wires.RESUME: self.resume,
-            wires.CANCEL: self.cancel,
+            wires.RESUME_PATH: self.resume,
+            wires.CANCEL_PATH: self.cancel,
             wires.STATUS_PATH: self.status,
-            wires.ORDERS: self.order,
+            wires.ORDERS_PATH: self.order,
             wires.EVENTS_PATH: self.events,
-            wires.KV_EXPORT: self.export_kv,
-            wires.KV_IMPORT: self.import_kv,
+            wires.KV_EXPORT_PATH: self.export_kv,
+            wires.KV_IMPORT_PATH: self.import_kv,
         }
 
     @property
@@ -161,12 +161,13 @@
     def crash(self) -> None:
         """Makes the engine die; returns when its port is closed."""
         with self.lock:
-            before = self.closings
+            closings_before = self.port_closings
             self.engine.crash(time.monotonic())
             self.lock.notify_all()
             # It may be up again by the time that this thread looks.
             self.lock.wait_for(
-                lambda: self.closings > before or self.engine.incarnation
+                lambda: self.port_closings > closings_before
+                or self.engine.incarnation
             )
 
     def restart(self) -> None:
@@ -190,7 +191,7 @@
                 self._step()
                 up = bool(self.engine.incarnation)
             if up != self.serving:
-                self._serve(up)
+                self._set_serving(up)
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
         """Answers one request."""
@@ -203,7 +204,7 @@
     def complete(self, request: cheroot.server.HTTPRequest) -> None:
         """Runs a completion."""
         body = fake_http.read_body(request)
-        submission = wires.submission_decoder.decode(body)
+        submission = wires.completion_body_decoder.decode(body)
         run = submission.run
         with self.lock:
             if self.closing.is_set():
@@ -211,7 +212,7 @@
                 return
             refused = self.engine.submit(run, submission.salt, time.monotonic())
             if refused is None:
-                sink = self._open(request, (run.request, run.attempt))
+                sink = self._open_sink(request, (run.request, run.attempt))
                 self.lock.notify_all()
         if refused is None:
             sink.wait()
@@ -233,7 +234,7 @@
             if found is not None:
                 if old := self.sinks.pop(key, None):
                     old.cut()
-                sink = self._open(request, key)
+                sink = self._open_sink(request, key)
                 self._deliver(found)
         if found is None:
             refusal = wires.Refusal(ran="ran", reason="unknown stream")
@@ -251,13 +252,13 @@
                 fields["request"], int(fields["attempt"]), time.monotonic()
             )
             self.lock.notify_all()
-        self._answer(request, b"{}", status=200 if found else 404)
+        self._respond(request, b"{}", status=200 if found else 404)
 
     def status(self, request: cheroot.server.HTTPRequest) -> None:
         """Says how the engine is."""
         with self.lock:
             status = self.engine.status(time.monotonic())
-        self._answer(request, wires.encode(status))
+        self._respond(request, wires.encode(status))
 
     def order(self, request: cheroot.server.HTTPRequest) -> None:
         """Takes an order."""
@@ -265,7 +266,7 @@
         with self.lock:
             answer = self.engine.order(order, time.monotonic())
             self.lock.notify_all()
-        self._answer(request, wires.encode(answer))
+        self._respond(request, wires.encode(answer))
 
     def events(self, request: cheroot.server.HTTPRequest) -> None:
         """Gives cache events, or waits for the first."""
@@ -283,33 +284,35 @@
         if found is None:
             fake_http.cut_connection(request)
             return
-        self._answer(request, wires.encode(found))
+        self._respond(request, wires.encode(found))
 
     def export_kv(self, request: cheroot.server.HTTPRequest) -> None:
         """Gives cached blocks."""
-        wanted = wires.chain_decoder.decode(fake_http.read_body(request))
+        body = wires.export_request_decoder.decode(fake_http.read_body(request))
         with self.lock:
-            found = self.engine.export_kv(wanted.blocks)
-        time.sleep(found.seconds)
-        self._answer(request, wires.encode(found))
+            kv = self.engine.export_kv(body.blocks)
+        time.sleep(kv.seconds)
+        self._respond(request, wires.encode(kv))
 
     def import_kv(self, request: cheroot.server.HTTPRequest) -> None:
         """Takes blocks in."""
-        given = wires.kv_decoder.decode(fake_http.read_body(request))
+        kv = wires.kv_blocks_decoder.decode(fake_http.read_body(request))
         with self.lock:
-            seconds = self.engine.import_kv(given, time.monotonic())
+            seconds = self.engine.import_kv(kv, time.monotonic())
             self.lock.notify_all()
         if seconds is None:
-            self._answer(request, b"{}", status=wires.DOWN_STATUS)
+            self._respond(request, b"{}", status=wires.DOWN_STATUS)
             return
-        self._answer(request, wires.encode(wires.ImportAnswer(seconds=seconds)))
+        self._respond(
+            request, wires.encode(wires.ImportAnswer(seconds=seconds))
+        )
 
-    def _answer(self, request, body: bytes, status: int = 200) -> None:
+    def _respond(self, request, body: bytes, status: int = 200) -> None:
         if self.latency > 0:
             time.sleep(self.latency)
         fake_http.send_response(request, body, status=status)
 
-    def _open(
+    def _open_sink(
         self, request: cheroot.server.HTTPRequest, key: StreamKey
     ) -> StreamSink:
         headers = [(b"Content-Type", fake_http.EVENT_STREAM)]
@@ -317,7 +320,7 @@
             fake_http.end_with_connection(request, headers)
         fake_http.begin_response(request, 200, headers)
         sink = StreamSink(request=request, chunked=self.chunked)
-        sink.write(wires.ACCEPTED)
+        sink.write(wires.ACCEPTED_COMMENT)
         self.sinks[key] = sink
         return sink
 
@@ -334,33 +337,37 @@
         else:
             self._deliver(self.engine.step(now))
 
-    def _deliver(self, output: list[streams.Event]) -> None:
+    def _deliver(self, engine_events: list[streams.Event]) -> None:
         """Writes what came out, each stream's events in one write."""
         by_stream = collections.defaultdict(list)
-        for event in output:
+        for event in engine_events:
             by_stream[(event.request, event.attempt)].append(event)
-        for key, found in by_stream.items():
+        for key, stream_events in by_stream.items():
             sink = self.sinks.get(key)
             if sink is not None:
-                self._write(key, sink, found)
+                self._write_events(key, sink, stream_events)
 
-    def _write(self, key: StreamKey, sink: StreamSink, found: list) -> None:
-        last = found[-1]
+    def _write_events(
+        self, key: StreamKey, sink: StreamSink, stream_events: list
+    ) -> None:
+        last = stream_events[-1]
         crashed = (
             isinstance(last, events.EngineBroken)
             and last.text == fake_engines.CRASHED
         )
         if crashed:
-            found = found[:-1]
+            stream_events = stream_events[:-1]
         if self.lose_writes > 0:
             self.lose_writes -= 1
-            found = [
+            stream_events = [
                 each
-                for each in found
+                for each in stream_events
                 if not isinstance(each, events.EngineText)
             ]
-        if found:
-            sink.write(b"".join([wires.encode_event(each) for each in found]))
+        if stream_events:
+            sink.write(
+                b"".join([wires.encode_event(each) for each in stream_events])
+            )
         if crashed:
             sink.cut()
             del self.sinks[key]
@@ -371,7 +378,7 @@
             sink.finish()
             del self.sinks[key]
 
-    def _serve(self, up: bool) -> None:
+    def _set_serving(self, up: bool) -> None:
         if up:
             self.server.start()
         else:
@@ -383,5 +390,5 @@
             self.server.close()
         with self.lock:
             self.serving = up
-            self.closings += not up
+            self.port_closings += not up
             self.lock.notify_all()
--- a/pimentoledge/runners/fake_streams.py
+++ b/pimentoledge/runners/fake_streams.py
@@ -39,30 +39,30 @@
     seed: int
     chain: list[bytes]
     prompt_tokens: int
-    first: int
-    last: int
+    first_token: int
+    end_token: int
     reason: str
     poisonous: bool = False
-    made: int = 0
+    generated: int = 0
     sent: int = 0
     cached_tokens: int = 0
-    pinned: int = 0
+    pinned_blocks: int = 0
 
     def text(self, first: int, count: int) -> str:
         """Returns text of the whole answer."""
         return fake_answers.generate_text(self.seed, first, count)
 
-    def piece(self, index: int, count: int) -> events.EngineText:
+    def text_event(self, index: int, count: int) -> events.EngineText:
         """Returns the event for tokens of this attempt."""
         return events.EngineText(
             request=self.request,
             attempt=self.attempt,
             index=index,
-            text=self.text(self.first + index, count),
+            text=self.text(self.first_token + index, count),
             tokens=count,
         )
 
-    def end(self) -> events.EngineEnded:
+    def ended_event(self) -> events.EngineEnded:
         """Returns the event for the end of this attempt."""
         return events.EngineEnded(
             request=self.request,
@@ -70,11 +70,11 @@
             reason=self.reason,
             prompt_tokens=self.prompt_tokens,
             cached_tokens=self.cached_tokens,
-            completion_tokens=self.made,
+            completion_tokens=self.generated,
         )
 
 
-def begin(
+def create_stream(
     run: actions.RunCompletion, prompt: bytes, chain: list[bytes]
 ) -> FakeStream:
     """Returns the stream of a completion.
@@ -92,11 +92,11 @@
         attempt=run.attempt,
         adapter=completion.adapter,
         interactive=run.priority == declarations.Priority.INTERACTIVE,
-        seed=fake_answers.seed_of(prompt),
+        seed=fake_answers.text_seed(prompt),
         chain=chain,
         prompt_tokens=blocks.tokens_in(len(prompt)),
-        first=first,
-        last=max(end.tokens, first),
+        first_token=first,
+        end_token=max(end.tokens, first),
         reason=end.reason,
     )
 
--- a/pimentoledge/runners/fake_weight_stores.py
+++ b/pimentoledge/runners/fake_weight_stores.py
@@ -15,19 +15,19 @@
         self.load_seconds = load_seconds
         self.concurrent = concurrent
         self.loads = 0
-        self.most = 0
-        self.ends: list[float] = []
+        self.max_running = 0
+        self.end_times: list[float] = []
 
-    def begin(self, now: float) -> float:
+    def begin_load(self, now: float) -> float:
         """Begins a load; returns its seconds.
 
         The time is fixed at the start, in proportion to the loads then
         running: later ones do not slow it down any more.
         """
-        self.ends = [end for end in self.ends if end > now]
-        running = len(self.ends) + 1
+        self.end_times = [end for end in self.end_times if end > now]
+        running = len(self.end_times) + 1
         seconds = self.load_seconds * max(1.0, running / self.concurrent)
-        self.ends.append(now + seconds)
+        self.end_times.append(now + seconds)
         self.loads += 1
-        self.most = max(self.most, running)
+        self.max_running = max(self.max_running, running)
         return seconds
--- a/pimentoledge/runners/stream_tasks.py
+++ b/pimentoledge/runners/stream_tasks.py
@@ -15,7 +15,7 @@
 
 READ_BYTES = 65536
 # How often silent streams are looked for, in seconds.
-SWEEP_SECONDS = 1.0
+IDLE_CHECK_SECONDS = 1.0
 
 Deliver = Callable[[list[streams.Event]], None]
 
@@ -34,7 +34,7 @@
     """
 
     reader: streams.StreamReader
-    answer: urllib3.BaseHTTPResponse | None = None
+    response: urllib3.BaseHTTPResponse | None = None
     deliver: Deliver
     last_received: float = 0.0
     descriptor: int = -1
@@ -48,25 +48,27 @@
         goes to the socket itself when it is empty.
         """
         try:
-            data = self.answer.read1(READ_BYTES, decode_content=False)
+            data = self.response.read1(READ_BYTES, decode_content=False)
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
             # ValueError: the answer was closed already.
-            return [self.reader.broken(str(error))]
+            return [self.reader.mark_broken(str(error))]
         if not data:
             return [
-                self.reader.broken("the stream stopped without its end mark")
+                self.reader.mark_broken(
+                    "the stream stopped without its end mark"
+                )
             ]
         return list(self.reader.feed(data))
 
-    def read(self) -> None:
+    def receive_and_deliver(self) -> None:
         """Reads, and gives the receiver what came."""
-        if found := self.receive():
-            self.deliver(found)
+        if received := self.receive():
+            self.deliver(received)
 
     def disconnect(self) -> None:
         """Ends the connection, from any thread; `receive` then sees the end."""
         try:
-            copy = socket.socket(fileno=os.dup(self.answer.fileno()))
+            copy = socket.socket(fileno=os.dup(self.response.fileno()))
         except (AttributeError, OSError, ValueError):
             # No answer yet, or it has been closed already.
             return
@@ -93,20 +95,20 @@
         silence: seconds without a byte after which a stream is broken.
     """
 
-    def __init__(self, *, silence: float):
-        self.silence = silence
+    def __init__(self, *, idle_timeout: float):
+        self.idle_timeout = idle_timeout
         self.selector = None
-        self.inbox: collections.deque[OpenStream] = collections.deque()
-        self.readings: set[OpenStream] = set()
+        self.new_streams: collections.deque[OpenStream] = collections.deque()
+        self.open_streams: set[OpenStream] = set()
         self.closing = False
         self.thread = None
 
     def start(self) -> None:
         """Starts the thread."""
         self.selector = selectors.DefaultSelector()
-        self.waker, self.wakened = socket.socketpair()
-        self.waker.setblocking(False)
-        self.selector.register(self.wakened, selectors.EVENT_READ)
+        self.wake_sender, self.wake_receiver = socket.socketpair()
+        self.wake_sender.setblocking(False)
+        self.selector.register(self.wake_receiver, selectors.EVENT_READ)
         self.thread = threading.Thread(target=self.run, name="engine-streams")
         self.thread.start()
 
@@ -116,88 +118,90 @@
         self.wake()
         self.thread.join()
         self.selector.close()
-        self.waker.close()
-        self.wakened.close()
+        self.wake_sender.close()
+        self.wake_receiver.close()
 
-    def add(self, reading: OpenStream) -> None:
+    def add(self, stream: OpenStream) -> None:
         """Begins to read a stream; from any thread."""
-        self.inbox.append(reading)
+        self.new_streams.append(stream)
         self.wake()
 
-    def abandon(self, reading: OpenStream) -> None:
+    def abandon(self, stream: OpenStream) -> None:
         """Ends a stream that nobody wants any more, without an event."""
-        reading.abandoned = True
+        stream.abandoned = True
         self.wake()
 
     def wake(self) -> None:
         """Makes the thread look at its inbox."""
         try:
-            self.waker.send(b"w")
+            self.wake_sender.send(b"w")
         except BlockingIOError:
             # So many wakes are waiting that it will look anyway.
             pass
 
     def run(self) -> None:
         """Reads until the end."""
-        swept = time.monotonic()
+        last_idle_check = time.monotonic()
         while not self.closing:
-            ready = self.selector.select(SWEEP_SECONDS)
+            ready = self.selector.select(IDLE_CHECK_SECONDS)
             now = time.monotonic()
-            self._round([key for key, _ in ready], now)
-            if now - swept >= SWEEP_SECONDS:
-                swept = now
-                self._sweep(now)
-        self._register(time.monotonic())
-        for reading in list(self.readings):
-            self._drop(reading)
-            reading.deliver([reading.reader.broken("the client was closed")])
-
-    def _round(self, ready: list[selectors.SelectorKey], now: float) -> None:
+            self._read_ready([key for key, _ in ready], now)
+            if now - last_idle_check >= IDLE_CHECK_SECONDS:
+                last_idle_check = now
+                self._break_idle(now)
+        self._register_new(time.monotonic())
+        for stream in list(self.open_streams):
+            self._drop(stream)
+            stream.deliver([stream.reader.mark_broken("the client was closed")])
+
+    def _read_ready(
+        self, ready: list[selectors.SelectorKey], now: float
+    ) -> None:
         batches: dict[Deliver, list[streams.Event]] = {}
         for key in ready:
-            reading = key.data
-            if reading is None:
-                self._look(now)
+            stream = key.data
+            if stream is None:
+                self._handle_wakeup(now)
                 continue
-            if reading not in self.readings:
+            if stream not in self.open_streams:
                 # It was abandoned, and dropped earlier in this round. Its
                 # descriptor may already be another stream's.
                 continue
-            found = reading.receive()
-            reading.last_received = now
-            if found:
-                batches.setdefault(reading.deliver, []).extend(found)
-            if reading.reader.over:
-                self._drop(reading)
-        for deliver, found in batches.items():
-            deliver(found)
-
-    def _look(self, now: float) -> None:
-        self.wakened.recv(READ_BYTES)
-        self._register(now)
-        for reading in [each for each in self.readings if each.abandoned]:
-            self._drop(reading)
-
-    def _register(self, now: float) -> None:
-        while self.inbox:
-            reading = self.inbox.popleft()
-            reading.last_received = now
-            self.readings.add(reading)
-            reading.descriptor = reading.answer.fileno()
+            received = stream.receive()
+            stream.last_received = now
+            if received:
+                batches.setdefault(stream.deliver, []).extend(received)
+            if stream.reader.finished:
+                self._drop(stream)
+        for deliver, received in batches.items():
+            deliver(received)
+
+    def _handle_wakeup(self, now: float) -> None:
+        self.wake_receiver.recv(READ_BYTES)
+        self._register_new(now)
+        for stream in [each for each in self.open_streams if each.abandoned]:
+            self._drop(stream)
+
+    def _register_new(self, now: float) -> None:
+        while self.new_streams:
+            stream = self.new_streams.popleft()
+            stream.last_received = now
+            self.open_streams.add(stream)
+            stream.descriptor = stream.response.fileno()
             self.selector.register(
-                reading.descriptor, selectors.EVENT_READ, reading
+                stream.descriptor, selectors.EVENT_READ, stream
             )
 
-    def _drop(self, reading: OpenStream) -> None:
-        self.readings.remove(reading)
-        self.selector.unregister(reading.descriptor)
-        reading.answer.close()
+    def _drop(self, stream: OpenStream) -> None:
+        self.open_streams.remove(stream)
+        self.selector.unregister(stream.descriptor)
+        stream.response.close()
 
-    def _sweep(self, now: float) -> None:
+    def _break_idle(self, now: float) -> None:
         # An engine whose VM froze sends nothing and closes nothing: the
         # stream just stands still. Its reader must not wait for ever.
-        for reading in list(self.readings):
-            if now - reading.last_received > self.silence:
-                self._drop(reading)
-                event = reading.reader.broken("the engine fell silent")
-                reading.deliver([event])
+        for stream in list(self.open_streams):
+            if now - stream.last_received > self.idle_timeout:
+                self._drop(stream)
+                event = stream.reader.mark_broken("the engine fell silent")
+                stream.deliver([event])
--- a/pimentoledge/runners/streams.py
+++ b/pimentoledge/runners/streams.py
@@ -37,46 +37,46 @@
         self.request = request
         self.attempt = attempt
         self.index = index
-        self.over = False
-        self.whole = False
-        self.rest = b""
+        self.finished = False
+        self.complete = False
+        self.unparsed = b""
 
     def feed(self, data: bytes) -> Iterator[Event]:
         """Takes what arrived; text that came together is one event."""
-        *blocks, self.rest = (self.rest + data).split(wires.BLOCK_END)
+        *blocks, self.unparsed = (self.unparsed + data).split(wires.BLOCK_END)
         first = self.index
         texts: list[str] = []
         for block in blocks:
-            if self.over:
+            if self.finished:
                 return
-            if block.startswith(wires.COMMENT):
+            if block.startswith(wires.COMMENT_PREFIX):
                 continue
-            if block.startswith(wires.DATA):
-                fault = self._take(block, texts)
+            if block.startswith(wires.DATA_PREFIX):
+                fault = self._append_text(block, texts)
                 if not fault:
                     continue
-                event = self.broken(fault)
+                event = self.mark_broken(fault)
             else:
-                event = self._read(block)
+                event = self._decode_event(block)
             if texts:
-                yield self._text(first, texts)
+                yield self._text_event(first, texts)
                 texts = []
             yield event
         if texts:
-            yield self._text(first, texts)
+            yield self._text_event(first, texts)
 
-    def broken(
+    def mark_broken(
         self, text: str, ran: results.Ran = results.Ran.RAN
     ) -> events.EngineBroken:
         """Ends the stream as broken."""
-        self.over = True
+        self.finished = True
         return events.EngineBroken(
             request=self.request, attempt=self.attempt, ran=str(ran), text=text
         )
 
-    def _take(self, block: bytes, texts: list[str]) -> str:
+    def _append_text(self, block: bytes, texts: list[str]) -> str:
         try:
-            chunk = wires.chunk_decoder.decode(block[len(wires.DATA) :])
+            chunk = wires.chunk_decoder.decode(block[len(wires.DATA_PREFIX) :])
         except msgspec.MsgspecError as error:
             return f"bad text block: {error}"
         if chunk.index != self.index:
@@ -85,7 +85,7 @@
         self.index += chunk.tokens
         return ""
 
-    def _text(self, first: int, texts: list[str]) -> events.EngineText:
+    def _text_event(self, first: int, texts: list[str]) -> events.EngineText:
         return events.EngineText(
             request=self.request,
             attempt=self.attempt,
@@ -94,33 +94,33 @@
             tokens=self.index - first,
         )
 
-    def _read(self, block: bytes) -> Event:
+    def _decode_event(self, block: bytes) -> Event:
         try:
-            event = _decode(block)
+            event = _decode_block(block)
         except msgspec.MsgspecError as error:
-            return self.broken(f"bad block: {error}")
+            return self.mark_broken(f"bad block: {error}")
         if (event.request, event.attempt) != (self.request, self.attempt):
-            return self.broken("a block of another stream")
+            return self.mark_broken("a block of another stream")
         match event:
             case events.EngineEnded():
                 if event.completion_tokens != self.index:
-                    return self.broken(
+                    return self.mark_broken(
                         f"{event.completion_tokens} tokens announced, but"
                         f" {self.index} came"
                     )
-                self.over = True
-                self.whole = True
+                self.finished = True
+                self.complete = True
             case events.EngineBroken():
-                self.over = True
+                self.finished = True
         return event
 
 
-def _decode(block: bytes) -> Event:
-    for head, decoder in (
-        (wires.STARTED, wires.started_decoder),
-        (wires.ENDED, wires.ended_decoder),
-        (wires.BROKEN_EVENT, wires.broken_decoder),
+def _decode_block(block: bytes) -> Event:
+    for prefix, decoder in (
+        (wires.STARTED_PREFIX, wires.started_decoder),
+        (wires.ENDED_PREFIX, wires.ended_decoder),
+        (wires.BROKEN_PREFIX, wires.broken_decoder),
     ):
-        if block.startswith(head):
-            return decoder.decode(block[len(head) :])
+        if block.startswith(prefix):
+            return decoder.decode(block[len(prefix) :])
     raise msgspec.DecodeError("unknown event")
--- a/pimentoledge/runners/wires.py
+++ b/pimentoledge/runners/wires.py
@@ -14,23 +14,23 @@
 from pimentoledge.runners import messages
 
 COMPLETIONS_PATH = "/v1/completions"
-CANCEL = "/cancel"
-RESUME = "/resume"
+CANCEL_PATH = "/cancel"
+RESUME_PATH = "/resume"
 STATUS_PATH = "/status"
-ORDERS = "/orders"
+ORDERS_PATH = "/orders"
 EVENTS_PATH = "/events"
-KV_EXPORT = "/kv/export"
-KV_IMPORT = "/kv/import"
+KV_EXPORT_PATH = "/kv/export"
+KV_IMPORT_PATH = "/kv/import"
 # Status with which an engine refuses a completion; the body is a Refusal.
 REFUSED_STATUS = 409
 DOWN_STATUS = 503
-DATA = b"data: "
-STARTED = b"event: started\ndata: "
-ENDED = b"event: ended\ndata: "
-BROKEN_EVENT = b"event: broken\ndata: "
+DATA_PREFIX = b"data: "
+STARTED_PREFIX = b"event: started\ndata: "
+ENDED_PREFIX = b"event: ended\ndata: "
+BROKEN_PREFIX = b"event: broken\ndata: "
 BLOCK_END = b"\n\n"
-COMMENT = b":"
-ACCEPTED = b": accepted\n\n"
+COMMENT_PREFIX = b":"
+ACCEPTED_COMMENT = b": accepted\n\n"
 
 
 @attrs.define(kw_only=True)
@@ -82,15 +82,15 @@
 started_decoder = msgspec.json.Decoder(events.EngineStarted)
 ended_decoder = msgspec.json.Decoder(events.EngineEnded)
 broken_decoder = msgspec.json.Decoder(events.EngineBroken)
-submission_decoder = msgspec.json.Decoder(CompletionBody)
+completion_body_decoder = msgspec.json.Decoder(CompletionBody)
 refusal_decoder = msgspec.json.Decoder(Refusal)
 status_decoder = msgspec.json.Decoder(events.EngineStatus)
 order_decoder = msgspec.json.Decoder(messages.Order)
 order_answer_decoder = msgspec.json.Decoder(messages.OrderAnswer)
 cache_events_decoder = msgspec.json.Decoder(messages.CacheEvents)
-chain_decoder = msgspec.json.Decoder(ExportRequest)
-kv_decoder = msgspec.json.Decoder(messages.KvBlocks)
-seconds_decoder = msgspec.json.Decoder(ImportAnswer)
+export_request_decoder = msgspec.json.Decoder(ExportRequest)
+kv_blocks_decoder = msgspec.json.Decoder(messages.KvBlocks)
+import_answer_decoder = msgspec.json.Decoder(ImportAnswer)
 
 
 def encode_event(
@@ -107,10 +107,10 @@
             chunk = Chunk(
                 index=event.index, text=event.text, tokens=event.tokens
             )
-            return DATA + encode(chunk) + BLOCK_END
+            return DATA_PREFIX + encode(chunk) + BLOCK_END
         case events.EngineStarted():
-            return STARTED + encode(event) + BLOCK_END
+            return STARTED_PREFIX + encode(event) + BLOCK_END
         case events.EngineEnded():
-            return ENDED + encode(event) + BLOCK_END
+            return ENDED_PREFIX + encode(event) + BLOCK_END
         case events.EngineBroken():
-            return BROKEN_EVENT + encode(event) + BLOCK_END
+            return BROKEN_PREFIX + encode(event) + BLOCK_END
--- a/pimentoledge/stores/fake_objects.py
+++ b/pimentoledge/stores/fake_objects.py
@@ -14,16 +14,16 @@
     def __init__(self, *, per_second: float):
         self.per_second = per_second
         self.tokens = per_second
-        self.last = None
+        self.last_refill = None
 
     def try_acquire(self, now: float) -> bool:
         """Returns whether a call is within the rate; 0 means no limit."""
         if self.per_second <= 0:
             return True
-        if self.last is not None:
-            gained = (now - self.last) * self.per_second
+        if self.last_refill is not None:
+            gained = (now - self.last_refill) * self.per_second
             self.tokens = min(self.per_second, self.tokens + gained)
-        self.last = now
+        self.last_refill = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -68,15 +68,17 @@
         self.lose_requests = 0
         self.drop_watch_entries = 0
         self.max_value_bytes = MAX_VALUE_BYTES
-        self.writes = TokenBucket(per_second=0)
-        self.reads = TokenBucket(per_second=0)
+        self.write_limiter = TokenBucket(per_second=0)
+        self.read_limiter = TokenBucket(per_second=0)
         self.counts = {"writes": 0, "reads": 0, "scans": 0, "watches": 0}
 
-    def limit(self, *, writes_per_second: float, reads_per_second: float):
+    def set_rate_limits(
+        self, *, writes_per_second: float, reads_per_second: float
+    ):
         """Sets the rate limits; 0 means none."""
         with self.changed:
-            self.writes = TokenBucket(per_second=writes_per_second)
-            self.reads = TokenBucket(per_second=reads_per_second)
+            self.write_limiter = TokenBucket(per_second=writes_per_second)
+            self.read_limiter = TokenBucket(per_second=reads_per_second)
 
     def call(self, call: stores.Call) -> stores.StoreAnswer:
         """Makes a call and answers at once."""
@@ -90,15 +92,15 @@
                 case stores.Write():
                     return self._write(call)
                 case stores.Scan():
-                    found = self._under(call.prefix, 0)
+                    found = self._written_after(call.prefix, 0)
                     live = [each for each in found if each.value is not None]
-                    return self._complete(call, live)
+                    return self._list_answer(call, live)
                 case stores.Watch():
                     return self._watch(call)
 
-    def changes(self, prefix: str, after: int) -> bool:
+    def has_changes(self, prefix: str, after: int) -> bool:
         """Returns whether a watch has something to say; isn't counted."""
-        return bool(self._under(prefix, after))
+        return bool(self._written_after(prefix, after))
 
     def _count(self, call: stores.Call) -> None:
         match call:
@@ -112,8 +114,12 @@
                 self.counts["watches"] += 1
 
     def _within_rate(self, call: stores.Call) -> bool:
-        rate = self.writes if isinstance(call, stores.Write) else self.reads
-        return rate.try_acquire(self.clock())
+        limiter = (
+            self.write_limiter
+            if isinstance(call, stores.Write)
+            else self.read_limiter
+        )
+        return limiter.try_acquire(self.clock())
 
     def _answer(
         self, call, outcome, objects=(), version=0
@@ -125,17 +131,17 @@
             version=version,
         )
 
-    def _complete(self, call, objects) -> stores.StoreAnswer:
+    def _list_answer(self, call, objects) -> stores.StoreAnswer:
         return self._answer(call, stores.Outcome.FOUND, objects, self.revision)
 
-    def _live(self, path: str) -> stores.Object | None:
+    def _existing(self, path: str) -> stores.Object | None:
         found = self.objects.get(path)
         if found is None or found.value is None:
             return None
         return found
 
     def _read(self, call: stores.Read) -> stores.StoreAnswer:
-        found = self._live(call.path)
+        found = self._existing(call.path)
         if found is None:
             return self._answer(call, stores.Outcome.ABSENT)
         return self._answer(call, stores.Outcome.FOUND, [found], found.version)
@@ -146,9 +152,9 @@
         if self.lose_requests > 0:
             self.lose_requests -= 1
             return self._answer(call, stores.Outcome.LOST)
-        present = self._live(call.path)
-        if call.expected != (present.version if present else 0):
-            objects = [present] if present else []
+        current = self._existing(call.path)
+        if call.expected != (current.version if current else 0):
+            objects = [current] if current else []
             return self._answer(call, stores.Outcome.CONFLICT, objects)
         self.revision += 1
         self.objects.pop(call.path, None)
@@ -165,12 +171,12 @@
         return self._answer(call, stores.Outcome.WRITTEN, version=self.revision)
 
     def _watch(self, call: stores.Watch) -> stores.StoreAnswer:
-        found = self._under(call.prefix, call.after)
+        found = self._written_after(call.prefix, call.after)
         dropped = min(self.drop_watch_entries, len(found))
         self.drop_watch_entries -= dropped
-        return self._complete(call, found[dropped:])
+        return self._list_answer(call, found[dropped:])
 
-    def _under(self, prefix: str, after: int) -> list[stores.Object]:
+    def _written_after(self, prefix: str, after: int) -> list[stores.Object]:
         """Returns objects written after a version, in order of versions."""
         found = []
         for each in reversed(self.objects.values()):
--- a/pimentoledge/stores/fake_servers.py
+++ b/pimentoledge/stores/fake_servers.py
@@ -14,7 +14,7 @@
 
 THREADS = 32
 # Longest sleep of a waiting watch, so that it sees the server's end.
-WAIT_SECONDS = 0.25
+MAX_WAIT_SECONDS = 0.25
 
 
 class FakeObjectServer:
@@ -71,23 +71,25 @@
         if self.objects.latency > 0:
             time.sleep(self.objects.latency)
         if isinstance(call, stores.Watch):
-            self.wait(call)
+            self.wait_for_change(call)
         answer = self.objects.call(call)
         if answer.outcome == stores.Outcome.LOST or self.closing:
             fake_http.cut_connection(request)
             return
         fake_http.send_response(request, wires.encode(answer))
 
-    def wait(self, watch: stores.Watch) -> None:
+    def wait_for_change(self, watch: stores.Watch) -> None:
         """Waits until a watch has something to say or its time is over."""
         end = time.monotonic() + watch.seconds
         objects = self.objects
         with objects.changed:
             while not self.closing and not objects.down:
-                left = end - time.monotonic()
-                if left <= 0 or objects.changes(watch.prefix, watch.after):
+                remaining = end - time.monotonic()
+                if remaining <= 0 or objects.has_changes(
+                    watch.prefix, watch.after
+                ):
                     return
-                objects.changed.wait(min(left, WAIT_SECONDS))
+                objects.changed.wait(min(remaining, MAX_WAIT_SECONDS))
 
     def list_vms(self, request: cheroot.server.HTTPRequest) -> None:
         """Answers with the list of VMs as it is shown now."""
--- a/pimentoledge/stores/fake_vms.py
+++ b/pimentoledge/stores/fake_vms.py
@@ -28,34 +28,34 @@
     def put(self, vm: vms.Vm) -> None:
         """Adds a VM or changes it."""
         with self.lock:
-            self._change({**self._newest(), vm.name: vm})
+            self._append({**self._latest(), vm.name: vm})
 
-    def leave(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Marks a VM as leaving."""
         with self.lock:
-            newest = self._newest()
-            leaving = attrs.evolve(newest[name], state=vms.VmState.LEAVING)
-            self._change({**newest, name: leaving})
+            latest = self._latest()
+            leaving = attrs.evolve(latest[name], state=vms.VmState.LEAVING)
+            self._append({**latest, name: leaving})
 
     def remove(self, name: str) -> None:
         """Takes a VM out."""
         with self.lock:
-            newest = self._newest()
-            kept = {key: vm for key, vm in newest.items() if key != name}
-            self._change(kept)
+            latest = self._latest()
+            remaining = {key: vm for key, vm in latest.items() if key != name}
+            self._append(remaining)
 
     def lagged_list(self) -> list[vms.Vm]:
         """Returns the list as it was `lag` seconds ago."""
         with self.lock:
-            shown: dict[str, vms.Vm] = {}
-            horizon = self.clock() - self.lag
+            listed: dict[str, vms.Vm] = {}
+            latest_time = self.clock() - self.lag
             for when, state in self.history:
-                if when <= horizon:
-                    shown = state
-            return list(shown.values())
+                if when <= latest_time:
+                    listed = state
+            return list(listed.values())
 
-    def _newest(self) -> dict[str, vms.Vm]:
+    def _latest(self) -> dict[str, vms.Vm]:
         return self.history[-1][1] if self.history else {}
 
-    def _change(self, state: dict[str, vms.Vm]) -> None:
+    def _append(self, state: dict[str, vms.Vm]) -> None:
         self.history.append((self.clock(), state))
--- a/pimentoledge/stores/objects.py
+++ b/pimentoledge/stores/objects.py
@@ -39,32 +39,38 @@
         Never raises for a fault of the network or the store: DOWN means
         that the call certainly had no effect, LOST that a write may have.
         """
-        seconds = self.timeout
+        read_timeout = self.timeout
         if isinstance(call, stores.Watch):
-            seconds += call.seconds
+            read_timeout += call.seconds
         try:
             response = self.pool.request(
                 "POST",
                 self.url + wires.PATHS[type(call)],
                 body=wires.encode(call),
-                timeout=urllib3.Timeout(connect=self.timeout, read=seconds),
+                timeout=urllib3.Timeout(
+                    connect=self.timeout, read=read_timeout
+                ),
             )
         except urllib3.exceptions.HTTPError as error:
-            return _broken(call, never_sent=http_faults.never_sent(error))
+            return _failed_answer(
+                call, never_sent=http_faults.never_sent(error)
+            )
         if response.status != 200:
-            return _broken(call, never_sent=False)
+            return _failed_answer(call, never_sent=False)
         try:
             answer = wires.decode_answer(response.data)
         except msgspec.MsgspecError:
-            return _broken(call, never_sent=False)
+            return _failed_answer(call, never_sent=False)
         if answer.call != call.call:
             # Crossed answer, as from a proxy that mixes up connections: it
             # says nothing about this call.
-            return _broken(call, never_sent=False)
+            return _failed_answer(call, never_sent=False)
         return answer
 
 
-def _broken(call: stores.Call, *, never_sent: bool) -> stores.StoreAnswer:
+def _failed_answer(
+    call: stores.Call, *, never_sent: bool
+) -> stores.StoreAnswer:
     # A write whose request may have left this process may have taken effect,
     # whatever the fault was; only what was never sent is certainly without
     # effect. Reads have no effect at all.
--- a/pimentoledge/stores/vm_tasks.py
+++ b/pimentoledge/stores/vm_tasks.py
@@ -25,11 +25,11 @@
         self,
         *,
         client: vms.VmListClient,
-        seconds: float,
+        interval_seconds: float,
         deliver: Callable[[object], None],
     ):
         self.client = client
-        self.seconds = seconds
+        self.interval_seconds = interval_seconds
         self.deliver = deliver
         self.closing = threading.Event()
         self.thread = threading.Thread(target=self.run, name="vms")
@@ -50,15 +50,15 @@
         while not self.closing.is_set():
             match self.client.read():
                 case result.Success(listed):
-                    self.deliver(_event(listed))
+                    self.deliver(_vms_listed(listed))
                 case result.Failure(error) if not self.closing.is_set():
                     # The last list stays in use: a list that can't be read
                     # says nothing about any VM.
                     logger.info("{}", error.text)
-            self.closing.wait(self.seconds)
+            self.closing.wait(self.interval_seconds)
 
 
-def _event(listed: list[vms.Vm]) -> events.VmsListed:
+def _vms_listed(listed: list[vms.Vm]) -> events.VmsListed:
     return events.VmsListed(
         vms=[
             events.ListedVm(
--- a/pimentoledge/stores/vms.py
+++ b/pimentoledge/stores/vms.py
@@ -66,14 +66,14 @@
                 "GET", self.url + PATH, timeout=self.timeout
             )
             if response.status != 200:
-                return _down(f"status {response.status}")
+                return _failure(f"status {response.status}")
             vms = msgspec.json.decode(response.data, type=list[Vm])
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
-            return _down(str(error))
+            return _failure(str(error))
         return result.Success(vms)
 
 
-def _down(text: str) -> result.Failure:
+def _failure(text: str) -> result.Failure:
     return result.Failure(
         results.Error(
             code=results.Code.PLATFORM_DOWN, text=f"list of VMs: {text}"
--- a/pimentoledge/tests/fuzz/worlds.py
+++ b/pimentoledge/tests/fuzz/worlds.py
@@ -363,7 +363,9 @@
         if not isinstance(call, stores.Watch) or self.objects.down:
             return False
         late = self.now >= since + call.seconds
-        return not late and not self.objects.changes(call.prefix, call.after)
+        return not late and not self.objects.has_changes(
+            call.prefix, call.after
+        )
 
     def answer(self, number: int) -> None:
         """Delivers an answer of the store."""
--- a/pimentoledge/tests/test_engine_clients.py
+++ b/pimentoledge/tests/test_engine_clients.py
@@ -19,12 +19,12 @@
 from pimentoledge.tests import raw_servers
 
 run_of = engine_runs.run_of
-LONG = "manual " * 100
+LONG_PROMPT = "manual " * 100
 ENDLESS = 1_000_000
 
 
 @pytest.fixture
-def pair():
+def server_and_client():
     engine = fake_engines.FakeEngine(
         slots=8, cache_blocks=100, token_seconds=1e-6, step_seconds=0.002
     )
@@ -37,7 +37,7 @@
     server.close()
 
 
-def run_at(url, **fields):
+def run_against(url, **fields):
     client = engines.EngineClient(url=url, **fields)
     client.start()
     found = list(client.run(run_of("r"), "s"))
@@ -46,21 +46,21 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_stream_is_whole(pair, chunked):
-    server, client = pair
+def test_stream_gives_the_complete_answer(server_and_client, chunked):
+    server, client = server_and_client
     server.chunked = chunked
     for number in range(3):
-        found = list(client.run(run_of(f"r{number}", LONG, 9), "s"))
+        found = list(client.run(run_of(f"r{number}", LONG_PROMPT, 9), "s"))
         text = engine_runs.text_of(found, f"r{number}")
-        assert text == fake_engines.expected_text(LONG, 0, 9)
+        assert text == fake_engines.expected_text(LONG_PROMPT, 0, 9)
         assert isinstance(found[0], events.EngineStarted)
         end = engine_runs.last_of(found, f"r{number}")
         assert end.cached_tokens == (128 if number else 0)
     assert server.engine.counters.runs == {"r0": 1, "r1": 1, "r2": 1}
 
 
-def test_one_receiver_gets_all_streams(pair):
-    _, client = pair
+def test_one_receiver_gets_the_events_of_all_streams(server_and_client):
+    _, client = server_and_client
     inbox = queue.SimpleQueue()
     for number in range(20):
         client.start_run(run_of(f"r{number}", max_tokens=30), "s", inbox.put)
@@ -72,14 +72,14 @@
         assert text == fake_engines.expected_text("p", 0, 30)
 
 
-def test_crash_mid_stream_is_broken_and_then_refused(pair):
+def test_crash_breaks_the_stream_and_refuses_new_completions(server_and_client):
     """An engine process dies in the middle of an answer.
 
     Its connections close without an end mark, which must not pass for the
     end of the answer; afterwards connections are refused, so that a new
     completion certainly did not run; then it comes back with a new life.
     """
-    server, client = pair
+    server, client = server_and_client
     before = client.status().incarnation
     stream = client.run(run_of("r", max_tokens=ENDLESS), "s")
     assert isinstance(next(stream), events.EngineStarted)
@@ -89,20 +89,20 @@
     assert (type(refused), refused.ran) == (events.EngineBroken, "not_run")
     assert client.status() == events.EngineStatus()
     assert client.cache_events(0) is None
-    given = messages.Order(kind="role", value="both", fencing=1)
-    assert client.order(given).reason == "down"
+    order = messages.Order(kind="role", value="both", fencing=1)
+    assert client.order(order).reason == "down"
     server.restart()
     assert client.status().incarnation not in ("", before)
     assert len(list(client.run(run_of("t"), "s"))) > 1
 
 
-def test_lost_frames_are_a_gap_and_no_answer(pair):
+def test_lost_events_break_the_stream(server_and_client):
     """Frames of a stream get lost on the way.
 
     What follows has a number that is too high; joining it would give the
     caller an answer with a hole, so the stream is broken.
     """
-    server, client = pair
+    server, client = server_and_client
     stream = client.run(run_of("r", max_tokens=ENDLESS), "s")
     while not isinstance(next(stream), events.EngineText):
         pass
@@ -112,80 +112,82 @@
     assert (found[-1].ran, "was due" in found[-1].text) == ("ran", True)
 
 
-def test_cut_connection_can_be_resumed(pair):
+def test_cut_connection_can_be_resumed(server_and_client):
     """A switch dies between agent and engine, and the engine goes on.
 
     The stream is taken up again from the first token that is missing, and
     the two parts make the whole answer, computed once.
     """
-    server, client = pair
+    server, client = server_and_client
     stream = client.run(run_of("r", max_tokens=300), "s")
     found = [next(stream) for _ in range(3)]
     server.cut_streams()
     found += list(stream)
     assert isinstance(found.pop(), events.EngineBroken)
-    head = engine_runs.text_of(found, "r")
-    rest = list(client.resume("r", 1, head.count(" ")))
-    whole = head + engine_runs.text_of(rest, "r")
-    assert whole == fake_engines.expected_text("p", 0, 300)
+    first_part = engine_runs.text_of(found, "r")
+    rest = list(client.resume("r", 1, first_part.count(" ")))
+    text = first_part + engine_runs.text_of(rest, "r")
+    assert text == fake_engines.expected_text("p", 0, 300)
     assert engine_runs.last_of(rest, "r").completion_tokens == 300
     assert server.engine.counters.runs["r"] == 1
     (unknown,) = client.resume("other", 1, 0)
     assert unknown.ran == "ran"
 
 
-def test_cancel_and_abandon(pair):
-    server, client = pair
+def test_cancel_and_abandon(server_and_client):
+    server, client = server_and_client
     stream = client.run(run_of("r", max_tokens=ENDLESS), "s")
     next(stream)
     assert client.cancel("r", 1)
     assert list(stream)[-1].text == "cancelled"
     assert not client.cancel("r", 1)
     inbox = queue.SimpleQueue()
-    reading = client.start_run(run_of("q", max_tokens=ENDLESS), "s", inbox.put)
+    open_stream = client.start_run(
+        run_of("q", max_tokens=ENDLESS), "s", inbox.put
+    )
     inbox.get(timeout=10)
-    client.abandon(reading)
+    client.abandon(open_stream)
     assert client.cancel("q", 1)
     assert server.engine.counters.cancelled == 2
 
 
-def test_refusals_are_not_run(pair):
-    server, client = pair
+def test_refusals_are_not_run(server_and_client):
+    server, client = server_and_client
     (refused,) = client.run(run_of("r", adapter="a1"), "s")
     assert (refused.ran, refused.text) == ("not_run", "adapter")
     stream = client.run(run_of("d", max_tokens=ENDLESS), "s")
     next(stream)
-    (twice,) = client.run(run_of("d"), "s")
-    assert (twice.ran, twice.text) == ("ran", "duplicate")
+    (duplicate,) = client.run(run_of("d"), "s")
+    assert (duplicate.ran, duplicate.text) == ("ran", "duplicate")
     stream.close()
 
 
-def test_orders_events_and_kv(pair):
-    server, client = pair
-    list(client.run(run_of("r", LONG), "s"))
-    heard = client.cache_events(0)
-    chain = blocks.chain(salt="s", prompt=LONG.encode())
-    assert [each.block for each in heard.events] == chain
-    assert heard.incarnation == client.status().incarnation
+def test_orders_events_and_kv(server_and_client):
+    server, client = server_and_client
+    list(client.run(run_of("r", LONG_PROMPT), "s"))
+    cache_events = client.cache_events(0)
+    chain = blocks.chain(salt="s", prompt=LONG_PROMPT.encode())
+    assert [each.block for each in cache_events.events] == chain
+    assert cache_events.incarnation == client.status().incarnation
     assert client.cache_events(2, seconds=0.01).events == []
     kv = client.export_kv(chain)
     assert kv.blocks == chain
-    given = messages.Order(kind="load", value="w2", fencing=3)
-    assert client.order(given).accepted
+    load_order = messages.Order(kind="load", value="w2", fencing=3)
+    assert client.order(load_order).accepted
     assert client.import_kv(kv) is None
-    stale = messages.Order(kind="role", value="decode", fencing=2)
-    assert client.order(stale).reason == "fenced"
-    left = client.cache_events(2, seconds=5)
-    assert [each.stored for each in left.events] == [False, False]
+    stale_order = messages.Order(kind="role", value="decode", fencing=2)
+    assert client.order(stale_order).reason == "fenced"
+    evictions = client.cache_events(2, seconds=5)
+    assert [each.stored for each in evictions.events] == [False, False]
     assert client.import_kv(kv) == 0.0
     assert client.status().weights == "w2"
 
 
-def block(event):
+def encode(event):
     return wires.encode_event(event)
 
 
-def started():
+def started_event():
     return events.EngineStarted(
         request="r",
         attempt=1,
@@ -195,13 +197,13 @@
     )
 
 
-def piece(index, text="w "):
+def text_event(index, text="w "):
     return events.EngineText(
         request="r", attempt=1, index=index, text=text, tokens=1
     )
 
 
-def ended(request="r", tokens=2):
+def ended_event(request="r", tokens=2):
     return events.EngineEnded(
         request=request,
         attempt=1,
@@ -213,9 +215,13 @@
 
 
 HEAD = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-PIECES = [block(started()), block(piece(0)), block(piece(1))]
-BODY = b"".join(PIECES)
-WHOLE = BODY + block(ended())
+ENCODED_EVENTS = [
+    encode(started_event()),
+    encode(text_event(0)),
+    encode(text_event(1)),
+]
+UNFINISHED_BODY = b"".join(ENCODED_EVENTS)
+COMPLETE_BODY = UNFINISHED_BODY + encode(ended_event())
 
 
 @pytest.mark.parametrize(
@@ -224,14 +230,29 @@
         (b"", "ran"),
         (b"HTTP/1.1 200", "ran"),
         (HEAD, "ran"),
-        (HEAD + BODY, "ran"),
-        (HEAD + WHOLE[:-1], "ran"),
-        (HEAD + BODY + block(piece(3)) + block(ended()), "ran"),
-        (HEAD + BODY + block(piece(0)) + block(ended()), "ran"),
-        (HEAD + BODY + block(ended(tokens=3)), "ran"),
-        (HEAD + BODY + block(ended(request="other")), "ran"),
-        (HEAD + BODY + b"data: {oops\n\n" + block(ended()), "ran"),
-        (HEAD + BODY + b"event: odd\ndata: {}\n\n", "ran"),
+        (HEAD + UNFINISHED_BODY, "ran"),
+        (HEAD + COMPLETE_BODY[:-1], "ran"),
+        (
+            HEAD
+            + UNFINISHED_BODY
+            + encode(text_event(3))
+            + encode(ended_event()),
+            "ran",
+        ),
+        (
+            HEAD
+            + UNFINISHED_BODY
+            + encode(text_event(0))
+            + encode(ended_event()),
+            "ran",
+        ),
+        (HEAD + UNFINISHED_BODY + encode(ended_event(tokens=3)), "ran"),
+        (HEAD + UNFINISHED_BODY + encode(ended_event(request="other")), "ran"),
+        (
+            HEAD + UNFINISHED_BODY + b"data: {oops\n\n" + encode(ended_event()),
+            "ran",
+        ),
+        (HEAD + UNFINISHED_BODY + b"event: odd\ndata: {}\n\n", "ran"),
         (raw_servers.http_reply(b"{}", status=500), "ran"),
         (raw_servers.http_reply(b"full", status=409), "ran"),
         (raw_servers.http_reply(b'{"ran":"not_run"', 409, 99), "ran"),
@@ -243,38 +264,38 @@
         ),
     ],
 )
-def test_anything_but_a_whole_answer_is_broken(reply, ran):
+def test_incomplete_or_invalid_answers_break_the_stream(reply, ran):
     """An engine's answer is cut, garbled, crossed or has a hole.
 
     It never counts as an answer, and only a refusal in so many words counts
     as not run.
     """
     with raw_servers.raw_server(reply) as url:
-        found = run_at(url)
+        found = run_against(url)
     end = engine_runs.last_of(found, "r")
     assert (type(end), end.ran) == (events.EngineBroken, ran)
 
 
 def test_silent_engine_breaks_the_stream(monkeypatch):
     """An engine's VM freezes: it sends nothing and closes nothing."""
-    monkeypatch.setattr(engines.stream_tasks, "SWEEP_SECONDS", 0.05)
-    with raw_servers.raw_server(HEAD + BODY, hang=True) as url:
-        end = run_at(url, silence=0.2)[-1]
+    monkeypatch.setattr(engines.stream_tasks, "IDLE_CHECK_SECONDS", 0.05)
+    with raw_servers.raw_server(HEAD + UNFINISHED_BODY, hang=True) as url:
+        end = run_against(url, idle_timeout=0.2)[-1]
     assert (type(end), end.ran) == (events.EngineBroken, "ran")
 
 
-@pytest.mark.parametrize("reply", [b"", HEAD, HEAD + BODY])
-def test_close_ends_what_waits(reply):
+@pytest.mark.parametrize("reply", [b"", HEAD, HEAD + UNFINISHED_BODY])
+def test_close_ends_streams_that_wait_for_the_engine(reply):
     """The process shall end while its engine hangs.
 
     Whatever the stream waits for, its receiver hears that it is broken, and
     `close` does not wait for the engine.
     """
     with raw_servers.raw_server(reply, hang=True) as url:
-        client = engines.EngineClient(url=url, timeout=600, silence=600)
+        client = engines.EngineClient(url=url, timeout=600, idle_timeout=600)
         client.start()
         stream = client.run(run_of("r"), "s")
-        for _ in range(2 if reply == HEAD + BODY else 0):
+        for _ in range(2 if reply == HEAD + UNFINISHED_BODY else 0):
             next(stream)
         client.close()
         assert isinstance(list(stream)[-1], events.EngineBroken)
@@ -282,13 +303,13 @@
         assert late.ran == "not_run"
 
 
-def test_defect_while_sending_ends_the_stream(pair):
+def test_exception_while_sending_breaks_the_stream(server_and_client):
     """A header can't be written, and the HTTP library raises.
 
     It happens on a thread that nobody looks at; without a word the caller
     would wait until its deadline.
     """
-    _, client = pair
+    _, client = server_and_client
     run = run_of("r")
     run.trace = "a\nb"
     (broken,) = client.run(run, "s")
@@ -297,35 +318,39 @@
 
 @hypothesis.settings(max_examples=60, derandomize=True, deadline=None)
 @hypothesis.given(
-    cuts=strategies.lists(strategies.integers(0, len(WHOLE)), max_size=9),
-    end=strategies.integers(0, len(WHOLE)),
+    cuts=strategies.lists(
+        strategies.integers(0, len(COMPLETE_BODY)), max_size=9
+    ),
+    end=strategies.integers(0, len(COMPLETE_BODY)),
 )
-def test_reader_knows_whole_from_part(cuts, end):
+def test_reader_tells_complete_streams_from_truncated_ones(cuts, end):
     reader = streams.StreamReader(request="r", attempt=1)
-    places = [0, *sorted(min(cut, end) for cut in cuts), end]
+    offsets = [0, *sorted(min(cut, end) for cut in cuts), end]
     found = []
-    for first, last in zip(places, places[1:], strict=False):
-        found.extend(reader.feed(WHOLE[first:last]))
-    assert reader.over == reader.whole == (end == len(WHOLE))
+    for first, last in zip(offsets, offsets[1:], strict=False):
+        found.extend(reader.feed(COMPLETE_BODY[first:last]))
+    assert reader.finished == reader.complete == (end == len(COMPLETE_BODY))
     assert "w w ".startswith(engine_runs.text_of(found, "r"))
-    if reader.whole:
+    if reader.complete:
         assert engine_runs.text_of(found, "r") == "w w "
 
 
-def test_a_stream_abandoned_as_its_text_arrives_harms_no_other(pair):
+def test_abandoning_a_stream_as_its_text_arrives_leaves_others_running(
+    server_and_client,
+):
     """Every stream of an engine hangs from one moment on.
 
     One was abandoned, and in the same round text of it had come. It was
     dropped twice, and the thread that reads all streams ended with that.
     """
-    server, client = pair
+    server, client = server_and_client
     inbox = queue.SimpleQueue()
     other = client.start_run(run_of("b", max_tokens=ENDLESS), "s", inbox.put)
     inbox.get(timeout=10)
-    kept = queue.SimpleQueue()
+    received = queue.SimpleQueue()
 
     def abandon_and_let_text_come(found):
-        kept.put(found)
+        received.put(found)
         if not other.abandoned:
             client.abandon(other)
             time.sleep(0.05)
@@ -334,6 +359,6 @@
         run_of("a", max_tokens=ENDLESS), "s", abandon_and_let_text_come
     )
     for _ in range(20):
-        assert kept.get(timeout=10)
+        assert received.get(timeout=10)
     assert client.cancel("a", 1)
     assert client.cancel("b", 1)
--- a/pimentoledge/tests/test_fake_engines.py
+++ b/pimentoledge/tests/test_fake_engines.py
@@ -12,10 +12,10 @@
 
 run_of = engine_runs.run_of
 drive = engine_runs.drive
-LONG = "manual " * 100
+LONG_PROMPT = "manual " * 100
 
 
-def engine_of(*, slots=2, cache_blocks=100, **fields):
+def create_engine(*, slots=2, cache_blocks=100, **fields):
     return fake_engines.FakeEngine(
         slots=slots,
         cache_blocks=cache_blocks,
@@ -25,7 +25,7 @@
     )
 
 
-def started(found):
+def started_requests(found):
     return [
         each.request for each in found if isinstance(each, events.EngineStarted)
     ]
@@ -35,14 +35,14 @@
     return [engine.submit(run, salt, now) for run in runs]
 
 
-def order(engine, kind, value, fencing=1, now=0.0):
+def give_order(engine, kind, value, fencing=1, now=0.0):
     return engine.order(
         messages.Order(kind=kind, value=value, fencing=fencing), now
     )
 
 
-def test_batches_in_slots_and_by_priority():
-    engine = engine_of(slots=2)
+def test_slots_limit_the_batch_and_interactive_goes_first():
+    engine = create_engine(slots=2)
     submit(
         engine,
         run_of("a", max_tokens=50),
@@ -51,11 +51,11 @@
         run_of("d"),
     )
     found = drive(engine, until=0.5)
-    assert started(found) == ["a", "b"]
+    assert started_requests(found) == ["a", "b"]
     status = engine.status(0.5)
     assert (status.running, status.waiting, status.slots) == (2, 2, 2)
     found += drive(engine)
-    assert started(found) == ["a", "b", "d", "c"]
+    assert started_requests(found) == ["a", "b", "d", "c"]
     for name, count in (("a", 50), ("b", 50), ("c", 5), ("d", 5)):
         text = engine_runs.text_of(found, name)
         assert text == fake_engines.expected_text("p", 0, count)
@@ -64,9 +64,9 @@
 
 
 def test_first_token_waits_for_uncached_prefill():
-    engine = engine_of()
+    engine = create_engine()
     for number, prefill in enumerate((0.175, 0.047)):
-        submit(engine, run_of(f"r{number}", LONG), now=10.0 * number)
+        submit(engine, run_of(f"r{number}", LONG_PROMPT), now=10.0 * number)
         (begun,) = engine.step(10.0 * number)
         assert begun.cached_tokens == 128 * number
         due = pytest.approx(10.0 * number + prefill)
@@ -77,22 +77,22 @@
     assert engine.counters.cached_tokens == 128
 
 
-def test_continuation_gives_exactly_the_rest():
+def test_continuation_generates_only_the_missing_tokens():
     """An engine dies after 7 of 20 tokens and another one goes on.
 
     Together the two give the same text as one engine alone.
     """
-    head = fake_engines.expected_text("p", 0, 7)
-    engine = engine_of()
+    first_part = fake_engines.expected_text("p", 0, 7)
+    engine = create_engine()
     submit(
         engine,
-        run_of("a", max_tokens=20, continued=head, continued_tokens=7),
+        run_of("a", max_tokens=20, continued=first_part, continued_tokens=7),
         run_of("b", max_tokens=20, continued="not it", continued_tokens=7),
         run_of("c", max_tokens=20, parameters=b'{"fake_length": 4}'),
     )
     found = drive(engine)
     rest = engine_runs.text_of(found, "a")
-    assert head + rest == fake_engines.expected_text("p", 0, 20)
+    assert first_part + rest == fake_engines.expected_text("p", 0, 20)
     assert engine_runs.last_of(found, "a").completion_tokens == 13
     assert engine.counters.wrong_continuations == 1
     end = engine_runs.last_of(found, "c")
@@ -104,7 +104,7 @@
 
 
 def test_text_every_gives_the_same_text():
-    engine = engine_of()
+    engine = create_engine()
     engine.text_every = 16
     submit(engine, run_of("a", max_tokens=100))
     found = drive(engine)
@@ -113,8 +113,8 @@
     assert text == fake_engines.expected_text("p", 0, 100)
 
 
-def test_cache_evicts_the_least_recently_used_but_nothing_in_use():
-    engine = engine_of(cache_blocks=4)
+def test_cache_evicts_least_recently_used_blocks_but_no_pinned_ones():
+    engine = create_engine(cache_blocks=4)
     prompts = {name: name * 512 for name in "abc"}
     for name in "aba":
         submit(engine, run_of(f"{name}{engine.now}", prompts[name]))
@@ -136,18 +136,20 @@
     assert engine.cache.match(chains["b"]) == 0
 
 
-def test_salt_separates_and_digests_are_those_of_the_decisions():
-    engine = engine_of()
+def test_salts_separate_caches_and_digests_match_decisions():
+    engine = create_engine()
     salts = [
         prefixes.salt(organisation=name, model="m", adapter="", weights="w1")
         for name in ("acme", "zenith")
     ]
     for number, salt in enumerate(salts):
-        submit(engine, run_of(f"r{number}", LONG), salt=salt.hex())
+        submit(engine, run_of(f"r{number}", LONG_PROMPT), salt=salt.hex())
         drive(engine)
     assert engine.counters.cached_tokens == 0
     for salt in salts:
-        chain = prefixes.chain(salt=salt, text=LONG.encode(), block_bytes=256)
+        chain = prefixes.chain(
+            salt=salt, text=LONG_PROMPT.encode(), block_bytes=256
+        )
         assert engine.cache.match(chain) == len(chain) == 2
 
 
@@ -157,7 +159,7 @@
     Nothing says so but the gap in the numbers; what is believed to be in the
     cache is then wrong.
     """
-    engine = engine_of(cache_blocks=40, seed=3)
+    engine = create_engine(cache_blocks=40, seed=3)
     engine.event_delay = 2.0
     engine.event_loss = 0.3
     submit(engine, run_of("a", "x" * 256 * 100))
@@ -166,13 +168,13 @@
     late = engine.now + 2.0
     numbers = [each.number for each in engine.cache_events(0, late).events]
     assert numbers == sorted(set(numbers))
-    assert 0 < len(numbers) < engine.cache.log.number == 40
+    assert 0 < len(numbers) < engine.cache.log.last_number == 40
     tail = engine.cache_events(numbers[4], late).events
     assert [each.number for each in tail] == numbers[5:]
 
 
-def test_status_lags():
-    engine = engine_of()
+def test_status_is_delayed_by_report_lag():
+    engine = create_engine()
     engine.report_lag = 1.0
     submit(engine, run_of("a", max_tokens=1000))
     drive(engine, until=2.0)
@@ -182,8 +184,8 @@
     assert engine.status(3.0).running == 0
 
 
-def test_cancel_says_whether_it_ran():
-    engine = engine_of(slots=1)
+def test_cancel_reports_whether_the_completion_ran():
+    engine = create_engine(slots=1)
     submit(engine, run_of("a", max_tokens=1000), run_of("b"))
     found = drive(engine, until=1.0)
     assert engine.cancel("a", 1, 1.0)
@@ -200,28 +202,28 @@
 
 
 def test_resume_from_a_token_on():
-    engine = engine_of()
+    engine = create_engine()
     submit(engine, run_of("a", max_tokens=20))
     drive(engine, until=0.2)
     assert engine.resume("a", 1, 100) is None
     assert engine.resume("b", 1, 0) is None
     (middle,) = engine.resume("a", 1, 2)
     rest = drive(engine)
-    whole = middle.text + engine_runs.text_of(rest, "a")
-    assert whole == fake_engines.expected_text("p", 2, 18)
+    text_after_resume = middle.text + engine_runs.text_of(rest, "a")
+    assert text_after_resume == fake_engines.expected_text("p", 2, 18)
     text, end = engine.resume("a", 1, 15)
     assert text.text == fake_engines.expected_text("p", 15, 5)
     assert end == engine_runs.last_of(rest, "a")
     assert engine.counters.runs["a"] == 1
 
 
-def test_kv_moves_at_a_price():
-    source = engine_of()
-    target = engine_of(slots=0)
-    submit(source, run_of("a", LONG))
+def test_kv_transfer_takes_time_per_block():
+    source = create_engine()
+    target = create_engine(slots=0)
+    submit(source, run_of("a", LONG_PROMPT))
     drive(source)
     source.kv_block_seconds = target.kv_block_seconds = 0.1
-    chain = blocks.chain(salt="s", prompt=LONG.encode())
+    chain = blocks.chain(salt="s", prompt=LONG_PROMPT.encode())
     kv = source.export_kv([*chain, b"unknown"])
     assert (kv.blocks, kv.seconds) == (chain, 0.2)
     assert target.import_kv(kv, 5.0) == 0.2
@@ -239,72 +241,72 @@
     An engine that checks refuses it and says the highest number that it has
     seen; one that does not carries the stale order out.
     """
-    checking = engine_of()
-    assert order(checking, "role", "prefill", fencing=5).accepted
-    stale = order(checking, "role", "decode", fencing=4)
+    checking = create_engine()
+    assert give_order(checking, "role", "prefill", fencing=5).accepted
+    stale = give_order(checking, "role", "decode", fencing=4)
     assert (stale.accepted, stale.reason, stale.highest) == (
         False,
         "fenced",
         5,
     )
     assert checking.status(0).role == "prefill"
-    ignoring = engine_of(checks_orders=False)
-    order(ignoring, "role", "prefill", fencing=5)
-    assert order(ignoring, "role", "decode", fencing=4).accepted
+    ignoring = create_engine(checks_orders=False)
+    give_order(ignoring, "role", "prefill", fencing=5)
+    assert give_order(ignoring, "role", "decode", fencing=4).accepted
     assert ignoring.status(0).role == "decode"
     assert ignoring.status(0).fencing == 0
 
 
-def test_loading_weights_takes_longer_in_a_crowd_and_empties_the_cache():
+def test_concurrent_weight_loads_take_longer_and_empty_the_cache():
     store = fake_weight_stores.WeightStore(load_seconds=0.5, concurrent=3)
-    group = [engine_of(weight_store=store) for _ in range(6)]
-    submit(group[0], run_of("a", LONG))
-    assert order(group[0], "load", "w2").reason == "busy"
-    drive(group[0])
-    for engine in group:
-        assert order(engine, "load", "w2", now=10.0).accepted
-    (refused,) = submit(group[0], run_of("b"), now=10.1)
+    engines = [create_engine(weight_store=store) for _ in range(6)]
+    submit(engines[0], run_of("a", LONG_PROMPT))
+    assert give_order(engines[0], "load", "w2").reason == "busy"
+    drive(engines[0])
+    for engine in engines:
+        assert give_order(engine, "load", "w2", now=10.0).accepted
+    (refused,) = submit(engines[0], run_of("b"), now=10.1)
     assert (refused.ran, refused.text) == ("not_run", "loading")
-    assert order(group[0], "load", "w3", now=10.1).reason == "busy"
-    ends = [engine.next_wake() for engine in group]
+    assert give_order(engines[0], "load", "w3", now=10.1).reason == "busy"
+    ends = [engine.next_wake() for engine in engines]
     assert ends[:3] == [10.5] * 3
     assert ends[5] == 11.0
-    assert store.most == 6
-    before = group[0].cache.log.number
-    drive(group[0])
-    assert group[0].status(11).weights == "w2"
-    assert len(group[0].cache) == 0
-    left = group[0].cache_events(before, 11).events
-    assert [each.stored for each in left] == [False, False]
+    assert store.max_running == 6
+    before = engines[0].cache.log.last_number
+    drive(engines[0])
+    assert engines[0].status(11).weights == "w2"
+    assert len(engines[0].cache) == 0
+    evictions = engines[0].cache_events(before, 11).events
+    assert [each.stored for each in evictions] == [False, False]
 
 
 def test_adapters_and_unknown_orders():
-    engine = engine_of(adapters=("a1",))
-    assert order(engine, "add_adapter", "a2").accepted
+    engine = create_engine(adapters=("a1",))
+    assert give_order(engine, "add_adapter", "a2").accepted
     (none,) = submit(engine, run_of("a", adapter="a2"))
     assert none is None
-    assert order(engine, "drop_adapter", "a2").reason == "busy"
+    assert give_order(engine, "drop_adapter", "a2").reason == "busy"
     drive(engine)
-    assert order(engine, "drop_adapter", "a2").accepted
+    assert give_order(engine, "drop_adapter", "a2").accepted
     (refused,) = submit(engine, run_of("b", adapter="a2"))
     assert (refused.ran, refused.text) == ("not_run", "adapter")
     assert engine.status(0).adapters == ["a1"]
-    assert order(engine, "dance", "").reason == "unknown"
+    assert give_order(engine, "dance", "").reason == "unknown"
 
 
-def test_crash_breaks_all_and_comes_back_empty_as_it_was_made():
+def test_restart_after_a_crash_restores_the_initial_state():
     """An engine that was upgraded dies and comes back.
 
     All its streams break, its cache is gone, it has a new incarnation, and
     it runs the weights and adapters it was made with, not the later ones.
     """
-    engine = engine_of(slots=1)
+    engine = create_engine(slots=1)
     engine.restart_seconds = 3.0
-    order(engine, "load", "w2", fencing=7)
-    order(engine, "add_adapter", "a1", fencing=7)
+    give_order(engine, "load", "w2", fencing=7)
+    give_order(engine, "add_adapter", "a1", fencing=7)
     drive(engine)
     before = engine.status(1.0)
-    submit(engine, run_of("a", LONG, 1000), run_of("b"), now=1.0)
+    submit(engine, run_of("a", LONG_PROMPT, 1000), run_of("b"), now=1.0)
     found = drive(engine, until=2.0)
     engine.crash(2.0)
     found += drive(engine, until=2.0)
@@ -312,7 +314,7 @@
         assert engine_runs.last_of(found, name).ran == "ran"
     assert engine.status(2.0) == events.EngineStatus()
     assert engine.cache_events(0, 2.0) is None
-    assert order(engine, "role", "both", 7).reason == "down"
+    assert give_order(engine, "role", "both", 7).reason == "down"
     (refused,) = submit(engine, run_of("c"), now=2.0)
     assert (refused.ran, refused.text) == ("not_run", "down")
     drive(engine)
@@ -321,7 +323,7 @@
     assert (before.weights, after.weights) == ("w2", "w1")
     assert (after.adapters, len(engine.cache)) == ([], 0)
     assert after.fencing == 7
-    engine.forgets_fencing = True
+    engine.resets_fencing = True
     engine.restart_seconds = None
     engine.crash(6.0)
     drive(engine)
@@ -331,13 +333,13 @@
     assert engine.counters.crashes == 2
 
 
-def test_poison_takes_the_whole_batch_with_it():
+def test_poisonous_prompt_breaks_the_whole_batch():
     """One request crashes each engine that runs it.
 
     Everything that ran beside it breaks as well, and nothing in the crash
     says which of them it was.
     """
-    engine = engine_of(slots=4)
+    engine = create_engine(slots=4)
     engine.poison = "POISON"
     engine.poison_after = 2
     submit(engine, run_of("a", max_tokens=99), run_of("b", "x POISON"))
@@ -353,7 +355,7 @@
 
 
 def test_full_queue_and_duplicate_are_refused():
-    engine = engine_of(slots=1)
+    engine = create_engine(slots=1)
     engine.max_waiting = 1
     runs = [run_of("a"), run_of("b"), run_of("c"), run_of("a")]
     refused = submit(engine, *runs)
--- a/pimentoledge/tests/test_fake_platform.py
+++ b/pimentoledge/tests/test_fake_platform.py
@@ -16,7 +16,7 @@
 Outcome = stores.Outcome
 
 
-class Clock:
+class ManualClock:
     """A clock that stands still until it is set."""
 
     def __init__(self):
@@ -40,7 +40,7 @@
     return stores.Watch(call="c", prefix=prefix, after=after, seconds=seconds)
 
 
-def test_versions_conditions_and_tombstones():
+def test_versions_conditional_writes_and_tombstones():
     fake = fake_objects.FakeObjects()
     first = fake.call(write("a/x", b"1", 0)).version
     second = fake.call(write("b/x", b"1", 0)).version
@@ -63,15 +63,15 @@
     assert fake.call(watch(first, "b/")).objects[0].path == "b/x"
 
 
-def test_outage_and_size_and_rates_have_no_effect():
-    clock = Clock()
+def test_calls_refused_for_outage_size_or_rate_have_no_effect():
+    clock = ManualClock()
     fake = fake_objects.FakeObjects(clock=clock)
     fake.down = True
     assert fake.call(write("a", b"1", 0)).outcome == Outcome.DOWN
     fake.down = False
     fake.max_value_bytes = 4
     assert fake.call(write("a", b"12345", 0)).outcome == Outcome.DOWN
-    fake.limit(writes_per_second=2, reads_per_second=1)
+    fake.set_rate_limits(writes_per_second=2, reads_per_second=1)
     outcomes = [fake.call(write(f"{n}", b"", 0)).outcome for n in range(3)]
     assert outcomes == [Outcome.WRITTEN, Outcome.WRITTEN, Outcome.DOWN]
     assert fake.call(read("0")).outcome == Outcome.FOUND
@@ -112,7 +112,7 @@
     server.close()
 
 
-def test_lost_answer_has_taken_effect(store):
+def test_write_whose_answer_is_lost_takes_effect(store):
     """The store's answer gets lost after the write.
 
     The connection closes without an answer, the write stands, and its write
@@ -155,7 +155,7 @@
     assert client.call(watch(0, "", 30)).outcome == Outcome.DOWN
 
 
-def test_slow_store_loses_writes_and_fails_reads(store):
+def test_slow_store_makes_writes_lost_and_reads_down(store):
     """The store is slower than the client's patience.
 
     The write takes effect after its caller gave up, so the answer must not
@@ -178,7 +178,7 @@
     client.close()
 
 
-CROSSED = wires.encode(
+MISMATCHED_ANSWER = wires.encode(
     stores.StoreAnswer(call="other", outcome=Outcome.WRITTEN)
 )
 
@@ -191,10 +191,10 @@
         raw_servers.http_reply(b'{"call"', length=100),
         raw_servers.http_reply(b"{}", status=500),
         raw_servers.http_reply(b"garbage"),
-        raw_servers.http_reply(CROSSED),
+        raw_servers.http_reply(MISMATCHED_ANSWER),
     ],
 )
-def test_unclear_answer_leaves_a_write_open(reply):
+def test_invalid_answer_leaves_the_outcome_of_a_write_unknown(reply):
     """The request was sent, and what came back says nothing about it.
 
     Cut, garbled, a server error, or the answer to another call: the write
@@ -213,11 +213,11 @@
 
 
 def test_list_of_vms_lags():
-    clock = Clock()
+    clock = ManualClock()
     fake = fake_vms.FakeVmList(lag=5, clock=clock)
     fake.put(vm("vm1"))
     clock.now = 4.0
-    fake.leave("vm1")
+    fake.mark_leaving("vm1")
     assert fake.lagged_list() == []
     clock.now = 5.0
     assert fake.lagged_list()[0].state == vms.VmState.LIVE
--- a/pimentoledge/tests/test_upgrades.py
+++ b/pimentoledge/tests/test_upgrades.py
@@ -119,7 +119,7 @@
         done = len(callers.answers)
         processes.wait_until(lambda: len(callers.answers) > done + 20)
     check(callers.answers)
-    assert store.most <= LIMIT
+    assert store.max_running <= LIMIT
     assert store.loads <= 10
 
 
