--- a/pimentoledge/runners/__init__.py
+++ b/pimentoledge/runners/__init__.py
@@ -1,1 +1,1 @@
-"""The interface of model engines, and its fake."""
+"""Client and wire format of model engines, and a fake engine."""
--- a/pimentoledge/runners/blocks.py
+++ b/pimentoledge/runners/blocks.py
@@ -1,4 +1,4 @@
-"""How engines name the blocks of a prompt that they keep in their cache."""
+"""Digests and token counts of the prompt blocks in an engine's cache."""
 
 import hashlib
 
@@ -13,15 +13,15 @@
 ) -> list[bytes]:
     """Returns the chained digests of the full blocks of a prompt.
 
-    They are those of decisions.prefixes, so that an agent can compare what it
-    hears of an engine's cache with its own.
+    They equal those of decisions.prefixes, so that an agent can compare an
+    engine's cache events with its own digests.
 
     Args:
-        salt: what the blocks depend on beside the text. In hexadecimal it
-            stands for its bytes, as prefixes.salt gives them; any other
-            string stands for its digest.
+        salt: the cache salt, which separates blocks with equal text. A
+            hexadecimal string is decoded to the bytes that prefixes.salt
+            returns; any other string is hashed.
         prompt: the prompt in UTF-8.
-        block_bytes: bytes of a block; an incomplete last block has no digest.
+        block_bytes: size of a block; an incomplete last block has no digest.
     """
     key = _hash_key(salt)
     return prefixes.chain(salt=key, text=prompt, block_bytes=block_bytes)
@@ -38,5 +38,5 @@
 
 
 def tokens_in(prompt_bytes: int) -> int:
-    """Returns the tokens of a prompt with so many bytes."""
+    """Returns the number of tokens in a prompt of `prompt_bytes` bytes."""
     return -(-prompt_bytes // TOKEN_BYTES)
--- a/pimentoledge/runners/engines.py
+++ b/pimentoledge/runners/engines.py
@@ -1,4 +1,4 @@
-"""Client of a model engine."""
+"""HTTP client of a model engine."""
 
 import collections
 from collections.abc import Iterator
@@ -22,18 +22,20 @@
 
 POOL_SIZE = 128
 CLIENT_CLOSED = "the client was closed"
-# The reason given with an order that was not answered.
+# Reason returned for an order that got no valid response.
 NO_ANSWER_REASON = "down"
 
 
 class EngineClient:
-    """Calls one engine over HTTP; may be used from any thread; no retries.
+    """Calls one engine over HTTP, without retries; thread-safe.
 
     Attributes:
         url: base URL of the engine.
-        timeout: seconds to connect, and for each answer that isn't a stream.
-        silence: seconds without a byte after which a stream counts as broken;
-            long enough for a completion to wait in the engine's queue.
+        timeout: connect timeout, and read timeout of each response that isn't
+            a stream, in seconds.
+        idle_timeout: seconds without a byte after which a stream counts as
+            broken; must exceed the time that a completion may wait in the
+            engine's queue.
     """
 
     def __init__(
@@ -49,25 +51,25 @@
         self.task = stream_tasks.StreamTask(idle_timeout=idle_timeout)
 
     def start(self) -> None:
-        """Opens the connection pool and starts the reading thread."""
+        """Opens the connection pool and starts the stream task."""
         self.closing = False
         self.pool = http_pools.HttpPool(size=POOL_SIZE, timeout=self.timeout)
-        # A thread is needed from the sending of a completion to the first
-        # bytes of its answer.
+        # Each request occupies a thread from sending it until the first bytes
+        # of its response.
         self.executor = futures.ThreadPoolExecutor(
             max_workers=POOL_SIZE, thread_name_prefix="engine-start"
         )
         self.task.start()
 
     def close(self) -> None:
-        """Breaks the streams that still run and closes all connections."""
+        """Ends all open streams as broken and closes all connections."""
         if self.pool is None or self.closing:
             return
         self.closing = True
         self.pool.cut()
-        # A starter that waits for first bytes would hold up the end of the
-        # process until the engine speaks; the pool no longer knows its
-        # connection.
+        # A thread that waits for first bytes would block the shutdown until
+        # the engine responds. Its connection is no longer in the pool, so it
+        # is shut down here.
         for stream in list(self.opening_streams):
             stream.disconnect()
         self.executor.shutdown()
@@ -76,16 +78,16 @@
     def run(
         self, run: actions.RunCompletion, salt: str
     ) -> Iterator[streams.Event]:
-        """Runs a completion and gives out what comes, as it comes.
+        """Runs a completion and iterates over its events as they arrive.
 
-        The last event is always one EngineEnded or EngineBroken. Its ran is
-        "not_run" only when no connection came about or when the engine
-        refused in so many words.
+        The last event is always one EngineEnded or EngineBroken. Its `ran` is
+        "not_run" only when no connection was established or the engine
+        returned an explicit refusal.
 
         Args:
             run: the completion.
-            salt: what its cached blocks depend on: organisation, model,
-                adapter and weights version.
+            salt: the cache salt, derived from organisation, model, adapter
+                and weights version.
         """
         return _EventIterator(
             start=lambda deliver: self.start_run(run, salt, deliver),
@@ -98,16 +100,17 @@
         salt: str,
         deliver: stream_tasks.Deliver,
     ) -> stream_tasks.OpenStream:
-        """Runs a completion and gives its events to a receiver.
+        """Runs a completion and passes its events to a callback.
 
-        Returns at once. The receiver is called from the client's threads, one
-        call at a time for a stream, with one or more events. A receiver that
-        is given for many streams gets what came for all of them together.
+        Returns at once. The callback is called from the client's threads,
+        never concurrently for one stream, with one or more events. A callback
+        shared by several streams gets the events that arrived for all of them
+        in one call.
 
         Args:
             run: the completion.
             salt: as for `run`.
-            deliver: the receiver; it must not block.
+            deliver: the callback; it must not block.
         """
         reader = streams.StreamReader(request=run.request, attempt=run.attempt)
         body = wires.encode(wires.CompletionBody(run=run, salt=salt))
@@ -123,12 +126,12 @@
     def resume(
         self, request: str, attempt: int, index: int
     ) -> Iterator[streams.Event]:
-        """Goes on with a stream after its connection broke.
+        """Resumes a stream whose connection broke; iterates over its events.
 
         Args:
             request: request id.
             attempt: attempt number.
-            index: number of the first token that is still needed.
+            index: number of the first missing token.
         """
         return _EventIterator(
             start=lambda deliver: self.start_resume(
@@ -144,13 +147,13 @@
         index: int,
         deliver: stream_tasks.Deliver,
     ) -> stream_tasks.OpenStream:
-        """Goes on with a stream, and gives its events to a receiver.
+        """Resumes a stream and passes its events to a callback.
 
         Args:
             request: request id.
             attempt: attempt number.
-            index: number of the first token that is still needed.
-            deliver: the receiver, as for `start_run`.
+            index: number of the first missing token.
+            deliver: the callback, as for `start_run`.
         """
         reader = streams.StreamReader(
             request=request, attempt=attempt, index=index
@@ -162,26 +165,26 @@
         return self._submit(reader, stream_request, deliver)
 
     def abandon(self, stream: stream_tasks.OpenStream) -> None:
-        """Closes a stream's connection; the engine itself goes on."""
+        """Closes a stream's connection; the engine continues generating."""
         self.task.abandon(stream)
 
     def cancel(self, request: str, attempt: int) -> bool:
-        """Cancels a stream; False when the engine did not confirm it."""
+        """Cancels a stream; returns whether the engine confirmed it."""
         fields = {"request": request, "attempt": attempt}
         response = self._call("POST", wires.CANCEL_PATH, fields=fields)
         return response is not None and response.status == 200
 
     def status(self) -> events.EngineStatus:
-        """Returns what the engine says; empty when it can't be reached."""
+        """Returns the engine's status; empty when it can't be reached."""
         response = self._call("GET", wires.STATUS_PATH)
         status = _decode_response(response, wires.status_decoder)
         return status or events.EngineStatus()
 
     def order(self, order: messages.Order) -> messages.OrderAnswer:
-        """Gives an order; "down" when no answer came.
+        """Sends an order; the reason is "down" if no valid response came.
 
-        An order whose answer did not come may have been accepted; the status
-        tells.
+        Such an order may still have been accepted; the engine's status shows
+        whether it took effect.
         """
         response = self._call(
             "POST", wires.ORDERS_PATH, body=wires.encode(order)
@@ -194,11 +197,11 @@
     def cache_events(
         self, after: int, seconds: float = 0.0
     ) -> messages.CacheEvents | None:
-        """Returns cache events with greater numbers, or None if it is down.
+        """Returns cache events with higher numbers, or None on a fault.
 
         Args:
-            after: number of the last event known.
-            seconds: how long the engine may wait for the first one.
+            after: number of the last known event.
+            seconds: how long the engine may wait for the first event.
         """
         fields = {"after": after, "seconds": seconds}
         response = self._call(
@@ -207,16 +210,17 @@
         return _decode_response(response, wires.cache_events_decoder)
 
     def export_kv(self, blocks: list[bytes]) -> messages.KvBlocks | None:
-        """Returns cached blocks from the start of a chain; None on a fault."""
+        """Exports the cached leading blocks of a chain; None on a fault."""
         body = wires.encode(wires.ExportRequest(blocks=blocks))
         response = self._call("POST", wires.KV_EXPORT_PATH, body=body)
         return _decode_response(response, wires.kv_blocks_decoder)
 
     def import_kv(self, kv: messages.KvBlocks) -> float | None:
-        """Gives blocks; returns the seconds until they can be used.
+        """Imports blocks into the engine's cache.
 
         Returns:
-            None when the engine did not take them.
+            Seconds until the blocks can be used; None when the engine did not
+            accept them.
         """
         response = self._call(
             "POST", wires.KV_IMPORT_PATH, body=wires.encode(kv)
@@ -257,7 +261,7 @@
         try:
             self.executor.submit(self._open_stream, stream, request)
         except RuntimeError:
-            # The executor takes nothing more: `close` was faster.
+            # `close` has already shut the executor down.
             stream.deliver(
                 [reader.mark_broken(CLIENT_CLOSED, results.Ran.NOT_RUN)]
             )
@@ -270,8 +274,8 @@
         try:
             unfinished = self._send_request(stream, request)
         except Exception as error:
-            # Nobody looks at what a starter raises; its receiver would wait
-            # for ever for the end of the stream.
+            # An exception on an executor thread would go unnoticed, and the
+            # stream's receiver would wait for its end forever.
             unfinished = False
             stream.deliver([stream.reader.mark_broken(f"defect: {error!r}")])
         finally:
@@ -284,7 +288,11 @@
     def _send_request(
         self, stream: stream_tasks.OpenStream, request: "StreamRequest"
     ) -> bool:
-        """Sends a request; returns whether the stream task reads on."""
+        """Sends a request and reads the first bytes of its response.
+
+        Returns:
+            Whether the stream task has to read the rest.
+        """
         reader = stream.reader
         if self.closing:
             stream.deliver(
@@ -320,7 +328,7 @@
 
 @attrs.define(kw_only=True)
 class StreamRequest:
-    """A request that is answered by a stream."""
+    """An HTTP request whose response is a stream."""
 
     method: str
     url: str
@@ -329,7 +337,7 @@
 
 
 class _EventIterator:
-    """Iterator over the events of one stream; waits for the next."""
+    """Iterates over the events of one stream; blocks until the next one."""
 
     def __init__(self, *, start, abandon):
         self.queue = queue.SimpleQueue()
@@ -353,7 +361,7 @@
         return event
 
     def close(self) -> None:
-        """Gives the rest of the stream up."""
+        """Abandons the rest of the stream."""
         self.finished = True
         self.abandon(self.stream)
 
@@ -365,7 +373,8 @@
         data = response.read(decode_content=False)
         refusal = wires.refusal_decoder.decode(data)
     except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
-        # Some other server's words, or half an answer: it may have run.
+        # The response is from another server or truncated, so the completion
+        # may have run.
         return reader.mark_broken(f"status {response.status}")
     if (
         response.status != wires.REFUSED_STATUS
--- a/pimentoledge/runners/fake_answers.py
+++ b/pimentoledge/runners/fake_answers.py
@@ -1,4 +1,4 @@
-"""What fake engines generate: the same text for the same prompt."""
+"""Deterministic answers of the fake engine, derived from the prompt."""
 
 import functools
 import zlib
@@ -32,12 +32,12 @@
 
 
 def text_seed(prompt: bytes) -> int:
-    """Returns what the text of a prompt's answer depends on."""
+    """Returns the seed from which the answer to a prompt is generated."""
     return zlib.crc32(prompt)
 
 
 def generate_text(seed: int, first: int, count: int) -> str:
-    """Returns so many tokens of an answer, a numbered word for each."""
+    """Returns `count` tokens of an answer; each is a numbered word."""
     word_count = len(WORDS)
     if count == 1:
         return f"{WORDS[(seed + first) % word_count]}{first} "
@@ -51,11 +51,11 @@
 
 @attrs.define(kw_only=True)
 class Parameters:
-    """The sampling parameters that the fake knows.
+    """The sampling parameters that the fake engine supports.
 
     Attributes:
-        fake_length: tokens after which the answer ends by itself; 0 for
-            never, so that it ends at max_tokens.
+        fake_length: tokens after which the answer stops; with 0 it ends only
+            at max_tokens.
     """
 
     fake_length: int = 0
@@ -71,10 +71,10 @@
 
 @attrs.frozen(kw_only=True)
 class AnswerEnd:
-    """Where an answer ends, and how.
+    """Length and finish reason of an answer.
 
     Attributes:
-        tokens: tokens of the whole answer.
+        tokens: number of tokens in the whole answer.
         reason: the finish reason.
     """
 
@@ -83,7 +83,7 @@
 
 
 def end_of(completion: messages.Completion) -> AnswerEnd:
-    """Returns where the answer to a completion ends."""
+    """Returns length and finish reason of a completion's answer."""
     length = _decode_parameters(completion.parameters).fake_length
     if 0 < length <= completion.max_tokens:
         return AnswerEnd(tokens=length, reason=STOP)
--- a/pimentoledge/runners/fake_caches.py
+++ b/pimentoledge/runners/fake_caches.py
@@ -1,4 +1,4 @@
-"""The fake engine's block cache, and its log of cache events."""
+"""Block cache and cache event log of the fake engine."""
 
 import bisect
 import collections
@@ -14,11 +14,11 @@
 
 @attrs.define(kw_only=True)
 class LogFaults:
-    """How an engine's cache events come out.
+    """Simulated faults of an engine's cache event log.
 
     Attributes:
-        delay: seconds after which an event can be read.
-        loss: share of the events that get lost, from 0 to 1.
+        delay: seconds until an event can be read.
+        loss: fraction of the events that are lost, from 0 to 1.
     """
 
     delay: float = 0.0
@@ -26,12 +26,14 @@
 
 
 class CacheLog:
-    """Cache events of one incarnation, delivered late and with gaps.
+    """Cache events of one incarnation, with simulated delay and loss.
 
     Attributes:
-        faults: how late, and with how many gaps.
-        random: where the losses come from.
-        number: number of the last event, the lost ones included.
+        faults: delay and loss rate.
+        rng: random number generator that selects the lost events.
+        last_number: number of the last event, including lost ones.
+        numbers: numbers of the readable events, ascending.
+        entries: (time from which it can be read, stored, block) of each.
     """
 
     def __init__(self, *, faults: LogFaults, seed: int):
@@ -42,7 +44,7 @@
         self.entries: list[tuple[float, bool, bytes]] = []
 
     def record(self, block: bytes, now: float, *, stored: bool) -> None:
-        """Adds an event, or loses it."""
+        """Appends an event, or drops it as lost."""
         self.last_number += 1
         loss = self.faults.loss
         if loss > 0 and self.rng.random() < loss:
@@ -54,7 +56,7 @@
             del self.entries[:MAX_LOG_EVENTS]
 
     def read(self, after: int, now: float) -> list[messages.CacheEvent]:
-        """Returns events with greater numbers that can be read by now."""
+        """Returns the next readable events with numbers above `after`."""
         first = bisect.bisect_right(self.numbers, after)
         batch = []
         for position in range(first, len(self.numbers)):
@@ -70,17 +72,18 @@
 
 
 class BlockCache:
-    """Blocks by digest, within a limit, the least recently used leave first.
+    """LRU cache of blocks, identified by their digests.
 
-    Blocks of running streams are pinned and can't leave. A stream that ends
-    frees its deepest block first, so that shared text stays longest.
+    Blocks of running streams are pinned and can't be evicted. A stream that
+    ends releases its deepest block first, so that shared prefixes are evicted
+    last.
 
     Attributes:
-        capacity: blocks that fit in.
-        free: digests that no stream uses, the least recently used first.
-        pinned: streams using each digest that is in use.
-        log: where entering and leaving is recorded.
-        evictions: blocks that had to leave.
+        capacity: maximum number of blocks.
+        free: digests that no stream uses, least recently used first.
+        pin_counts: number of streams that use each pinned digest.
+        log: records stored and evicted blocks.
+        evictions: number of evicted blocks.
     """
 
     def __init__(self, *, capacity: int, log: CacheLog):
@@ -100,7 +103,7 @@
         return block in self.pin_counts or block in self.free
 
     def match(self, chain: list[bytes]) -> int:
-        """Returns how many blocks of a chain, from its start, are here."""
+        """Returns how many leading blocks of a chain are cached."""
         count = 0
         for block in chain:
             if block not in self.pin_counts and block not in self.free:
@@ -109,16 +112,17 @@
         return count
 
     def pin(self, chain: list[bytes]) -> None:
-        """Marks blocks that are here as used by one more stream."""
+        """Pins cached blocks for one more stream."""
         for block in chain:
             self.free.pop(block, None)
             self.pin_counts[block] = self.pin_counts.get(block, 0) + 1
 
     def store(self, chain: list[bytes], now: float) -> int:
-        """Takes computed blocks in, pinned by the stream that computed them.
+        """Stores blocks and pins them for one stream.
 
         Returns:
-            How many are pinned; the rest didn't fit beside pinned blocks.
+            Number of blocks pinned; the others didn't fit beside the blocks
+            that are pinned already.
         """
         for position, block in enumerate(chain):
             if not self.contains(block):
@@ -129,7 +133,7 @@
         return len(chain)
 
     def release(self, chain: list[bytes]) -> None:
-        """Ends one stream's use of its blocks."""
+        """Unpins the blocks of one stream."""
         for block in reversed(chain):
             users = self.pin_counts[block] - 1
             if users:
--- a/pimentoledge/runners/fake_engines.py
+++ b/pimentoledge/runners/fake_engines.py
@@ -1,10 +1,10 @@
-"""A model engine as a pure state machine, with its faults.
+"""A fake model engine as a pure state machine, with simulated faults.
 
-It batches continuously: prefill of one completion at a time, beside steps in
-which each stream of the batch gets one token. Whoever drives it gives the
-time: `step(now)` does everything that is due and returns what came out, and
-`next_wake()` says when the next thing is due. The same calls serve a test in
-virtual time and the HTTP server.
+It uses continuous batching: one completion at a time is prefilled, while
+decode steps generate one token for each stream of the batch. The caller
+supplies the time: `step(now)` processes everything that is due and returns the
+events produced, and `next_wake()` returns when the next step is due. Tests in
+virtual time and the HTTP server make the same calls.
 
     engine = FakeEngine(slots=4, cache_blocks=1000)
     refused = engine.submit(run, salt, now)
@@ -35,12 +35,12 @@
 
 
 def expected_text(prompt: str, first: int, count: int) -> str:
-    """Returns what every engine generates for a prompt.
+    """Returns the text that every fake engine generates for a prompt.
 
     Args:
         prompt: the prompt.
-        first: number of the first token, from 0 over the whole answer.
-        count: tokens.
+        first: index of the first token in the whole answer, from 0.
+        count: number of tokens.
     """
     seed = fake_answers.text_seed(prompt.encode("utf-8"))
     return fake_answers.generate_text(seed, first, count)
@@ -48,16 +48,17 @@
 
 @attrs.define(kw_only=True)
 class Counters:
-    """What an engine did, over all its lives.
+    """Counters of an engine over all its incarnations.
 
     Attributes:
-        runs: how often each request id entered the batch.
+        runs: how often the prefill of each request id began.
         computed_tokens: prompt tokens computed.
-        cached_tokens: prompt tokens taken from the cache.
+        cached_tokens: prompt tokens found in the cache.
         generated_tokens: tokens generated.
-        crashes: crashes.
+        crashes: number of crashes.
         cancelled: streams cancelled.
-        wrong_continuations: continuations of a text that is not its own.
+        wrong_continuations: completions whose `continued` text differs from
+            what the engine generates.
     """
 
     runs: collections.Counter = attrs.field(factory=collections.Counter)
@@ -70,33 +71,34 @@
 
 
 class FakeEngine:
-    """A model engine without clock, thread or socket.
+    """A fake model engine without clock, threads or sockets.
 
     Attributes:
-        name: first part of its incarnations.
-        slots: streams in the batch at most; with none it only keeps KV
-            cache, for export and import.
+        name: prefix of its incarnation ids.
+        slots: maximum number of streams in the batch; with 0 it only stores
+            KV blocks for export and import.
         token_seconds: prefill time of one uncached prompt token.
         step_seconds: time between two tokens of a stream.
-        checks_orders: whether it refuses an old fencing number.
-        text_every: tokens of a stream per EngineText after its first.
-        max_waiting: completions in its own queue; more are refused.
-        report_lag: seconds by which the status is late.
+        checks_orders: whether it refuses orders with a stale fencing token.
+        text_every: tokens of a stream per EngineText after the first one.
+        max_waiting: length of its own queue; more completions are refused.
+        report_lag: delay of the reported status in seconds.
         kv_block_seconds: time to export or import one block.
-        restart_seconds: time after a crash until it comes back by itself;
-            None to stay down until `restart`.
-        poison: a prompt with this marker crashes it; empty for none.
-        poison_after: tokens that such a prompt generates before the crash.
-        resets_fencing: whether a crash makes it forget the highest fencing
-            number.
-        incarnation: id of this life; empty while it is down.
-        weights: weights version loaded; after a crash the one it was made
-            with.
-        adapters: adapters loaded; likewise.
+        restart_seconds: time from a crash to the automatic restart; None to
+            stay down until `restart` is called.
+        poison: a prompt that contains this marker crashes the engine; empty
+            for none.
+        poison_after: tokens generated for such a prompt before the crash.
+        resets_fencing: whether a restart resets the highest fencing token to
+            0.
+        starts: number of starts, including the first.
+        incarnation: id of the current incarnation; empty while it is down.
+        weights: weights version loaded; a restart loads the initial one.
+        adapters: adapters loaded; a restart loads the initial ones.
         role: its role; reported, without further effect.
-        fencing: highest fencing number seen.
-        cache: its blocks.
-        counters: what it did.
+        fencing: highest fencing token seen.
+        cache: its block cache.
+        counters: its counters.
     """
 
     def __init__(
@@ -143,7 +145,7 @@
 
     @property
     def event_delay(self) -> float:
-        """Seconds by which cache events are late."""
+        """Delay of the cache events in seconds."""
         return self.log_faults.delay
 
     @event_delay.setter
@@ -152,7 +154,7 @@
 
     @property
     def event_loss(self) -> float:
-        """Share of the cache events that get lost, from 0 to 1."""
+        """Fraction of the cache events that are lost, from 0 to 1."""
         return self.log_faults.loss
 
     @event_loss.setter
@@ -166,19 +168,19 @@
         now: float,
         chain: list[bytes] | None = None,
     ) -> events.EngineBroken | None:
-        """Takes a completion in, or refuses it.
+        """Queues a completion, or refuses it.
 
-        `max_tokens` counts the whole answer: a continuation generates what
-        is left behind its `continued_tokens`.
+        `max_tokens` counts the whole answer: a continuation generates only
+        the tokens after its `continued_tokens`.
 
         Args:
             run: the completion.
-            salt: what its cached blocks depend on, beside its text.
+            salt: the cache salt, which separates blocks with equal text.
             now: the time.
-            chain: digests of its blocks, where the caller has them already.
+            chain: digests of its blocks; computed here if None.
 
         Returns:
-            None when it was taken in, else why not.
+            None when it was accepted, else the refusal.
         """
         self.now = now
         key = (run.request, run.attempt)
@@ -194,7 +196,7 @@
         return None
 
     def step(self, now: float) -> list[streams.Event]:
-        """Does all that is due by now, in order; returns what came out."""
+        """Processes all that is due by now, in order; returns the events."""
         while True:
             due = self._next_due_time()
             if due > now:
@@ -207,14 +209,14 @@
         return output
 
     def next_wake(self) -> float | None:
-        """Returns when the next thing is due; None for never."""
+        """Returns when the next step is due; None for never."""
         if self.output:
             return self.now
         due = self._next_due_time()
         return None if due == math.inf else due
 
     def cancel(self, request: str, attempt: int, now: float) -> bool:
-        """Ends a stream; False when it isn't here."""
+        """Cancels a stream; returns False for an unknown one."""
         self.now = now
         stream = self.streams.get((request, attempt))
         if stream is None:
@@ -241,32 +243,32 @@
     def resume(
         self, request: str, attempt: int, index: int
     ) -> list[streams.Event] | None:
-        """Returns a stream from a token on, as far as it got.
+        """Returns the events of a stream from a token on.
 
-        What comes after is part of the next steps' output, as always.
+        Tokens generated later are part of the output of the next steps.
 
         Args:
             request: request id.
             attempt: attempt number.
-            index: first token wanted, from 0 within the attempt.
+            index: first token to return, from 0 within the attempt.
 
         Returns:
-            The text, and the end if it has ended; None for a stream that the
-            engine does not have or no longer knows.
+            The text sent so far, and the end event if the stream has ended.
+            None if the stream is unknown or not yet at this token.
         """
         key = (request, attempt)
         stream = self.streams.get(key) or self.ended.get(key)
         if stream is None or index > stream.sent:
             return None
-        found: list[streams.Event] = []
+        resumed_events: list[streams.Event] = []
         if index < stream.sent:
-            found.append(stream.text_event(index, stream.sent - index))
+            resumed_events.append(stream.text_event(index, stream.sent - index))
         if key in self.ended:
-            found.append(stream.ended_event())
-        return found
+            resumed_events.append(stream.ended_event())
+        return resumed_events
 
     def status(self, now: float) -> events.EngineStatus:
-        """Returns what the engine says of itself; late by `report_lag`."""
+        """Returns the engine's status as of `report_lag` seconds ago."""
         if not self.incarnation:
             return events.EngineStatus()
         if self.report_lag <= 0 or not self.statuses:
@@ -277,7 +279,7 @@
     def cache_events(
         self, after: int, now: float
     ) -> messages.CacheEvents | None:
-        """Returns cache events of this life; None while it is down."""
+        """Returns this incarnation's cache events; None while it is down."""
         if not self.incarnation:
             return None
         return messages.CacheEvents(
@@ -286,10 +288,11 @@
         )
 
     def order(self, order: messages.Order, now: float) -> messages.OrderAnswer:
-        """Carries out an order, or refuses it.
+        """Executes an order, or refuses it.
 
-        A load empties the cache and takes the weight store's time, in which
-        the engine takes no completion; it is refused while there is work.
+        A load takes as long as the weight store determines and empties the
+        cache. Completions are refused until it ends, and the load itself is
+        refused while the engine has any streams.
         """
         self.now = now
         if not self.incarnation:
@@ -319,16 +322,17 @@
         return self._accept_order()
 
     def export_kv(self, chain: list[bytes]) -> messages.KvBlocks:
-        """Returns the blocks of a chain that are here, from its start."""
-        found = chain[: self.cache.match(chain)] if self.incarnation else []
-        seconds = self.kv_block_seconds * len(found)
-        return messages.KvBlocks(blocks=found, seconds=seconds)
+        """Returns the cached leading blocks of a chain."""
+        cached = chain[: self.cache.match(chain)] if self.incarnation else []
+        seconds = self.kv_block_seconds * len(cached)
+        return messages.KvBlocks(blocks=cached, seconds=seconds)
 
     def import_kv(self, kv: messages.KvBlocks, now: float) -> float | None:
-        """Takes blocks in; returns the seconds until they can be used.
+        """Imports blocks into the cache.
 
         Returns:
-            None while the engine is down or loads weights.
+            Seconds until the blocks can be used; None while the engine is
+            down or loads weights.
         """
         self.now = now
         if not self.incarnation or self.loading:
@@ -339,13 +343,13 @@
         return seconds
 
     def crash(self, now: float) -> None:
-        """Dies: all streams break, and the cache is lost."""
+        """Simulates a crash: all streams break, and the cache is lost."""
         self.now = now
         if not self.incarnation:
             return
         self.counters.crashes += 1
         for key in self.streams:
-            # From outside nobody can tell whether a stream had begun.
+            # A client can't know whether the stream had started running.
             self.output.append(
                 fake_streams.broken_event(key, results.Ran.RAN, CRASHED)
             )
@@ -355,7 +359,7 @@
             self.restart_due = now + self.restart_seconds
 
     def restart(self, now: float) -> None:
-        """Comes back empty, as it was made, with a new incarnation."""
+        """Starts a new incarnation with the initial weights and no cache."""
         self.now = now
         if not self.incarnation:
             self._start_incarnation()
@@ -479,11 +483,11 @@
         stream.cached_tokens = blocks.tokens_in(
             cached_blocks * self.block_bytes
         )
-        uncached = (
+        uncached_tokens = (
             stream.prompt_tokens + stream.first_token - stream.cached_tokens
         )
         self.prefill = stream
-        self.prefill_due = now + max(uncached, 1) * self.token_seconds
+        self.prefill_due = now + max(uncached_tokens, 1) * self.token_seconds
         self.counters.runs[stream.request] += 1
         self.output.append(
             events.EngineStarted(
@@ -505,8 +509,8 @@
         computed = stream.prompt_tokens - stream.cached_tokens
         self.counters.computed_tokens += computed
         self.counters.cached_tokens += stream.cached_tokens
-        uncached = stream.chain[stream.pinned_blocks :]
-        stream.pinned_blocks += self.cache.store(uncached, now)
+        uncached_blocks = stream.chain[stream.pinned_blocks :]
+        stream.pinned_blocks += self.cache.store(uncached_blocks, now)
         if not self.decoding:
             self.decode_due = now + self.step_seconds
         self.decoding.append(stream)
@@ -522,7 +526,7 @@
     def _advance(
         self, streams: list[fake_streams.FakeStream], now: float
     ) -> bool:
-        """Gives each stream a token; False when that crashed the engine."""
+        """Generates a token per stream; returns False if the engine crashed."""
         text_every = self.text_every
         ended = []
         for stream in streams:
@@ -602,7 +606,8 @@
         self.load_due = math.inf
         old_cache = self.cache
         self._reset_cache()
-        # Numbers go on: one incarnation has one sequence of events.
+        # The log is kept: events of one incarnation are numbered without a
+        # restart.
         self.cache.log = old_cache.log
         for block in old_cache.free:
             old_cache.log.record(block, self.now, stored=False)
--- a/pimentoledge/runners/fake_servers.py
+++ b/pimentoledge/runners/fake_servers.py
@@ -1,4 +1,4 @@
-"""HTTP server before a fake engine, in real time."""
+"""HTTP server that runs a fake engine in real time."""
 
 import collections
 import threading
@@ -12,7 +12,8 @@
 from pimentoledge.runners import streams
 from pimentoledge.runners import wires
 
-# Threads beside those of the streams: status, orders, events, KV.
+# Threads for status, orders, cache events and KV transfers, in addition to one
+# per stream.
 CONTROL_THREADS = 16
 EVENT_POLL_SECONDS = 0.05
 DRAIN_SECONDS = 10.0
@@ -21,19 +22,21 @@
 
 
 class StreamSink:
-    """The connection that one stream goes to.
+    """Writes one stream to its client's connection.
 
-    The thread that steps the engine writes here without ever blocking, so
-    that a slow reader holds up only its own stream; what does not fit into
-    the socket waits in `rest`, which the length of one answer bounds.
+    The thread that steps the engine writes without blocking, so that a slow
+    client delays only its own stream. Bytes that do not fit into the socket's
+    buffer are kept in `unsent`, whose size is bounded by the length of one
+    answer.
 
     Attributes:
-        request: the HTTP request; its thread waits on `done`.
-        chunked: whether the answer is in chunks; else it ends with the
-            connection.
-        rest: bytes that the socket didn't take yet.
-        gone: whether the reader went away.
-        broken: whether the connection ends without an end mark.
+        request: the HTTP request; its thread waits for `done`.
+        chunked: whether the response uses chunked encoding; otherwise it ends
+            when the connection closes.
+        unsent: bytes that the socket has not accepted yet.
+        disconnected: whether the client closed the connection.
+        aborted: whether to close the connection without completing the
+            response.
         done: set when nothing more will be written.
     """
 
@@ -48,7 +51,7 @@
         self.done = threading.Event()
 
     def write(self, data: bytes) -> None:
-        """Writes blocks, as far as the socket takes them."""
+        """Writes as much as the socket accepts and buffers the rest."""
         payload = data
         if self.chunked:
             payload = b"%x\r\n%s\r\n" % (len(data), data)
@@ -59,22 +62,23 @@
         except BlockingIOError:
             sent = 0
         except OSError:
-            # The reader closed. The engine goes on, for it may resume.
+            # The client closed the connection. The engine continues, since the
+            # client may resume the stream.
             self.disconnected = True
             sent = len(payload)
         self.unsent = payload[sent:]
 
     def finish(self) -> None:
-        """Lets the request's thread end the answer."""
+        """Lets the request's thread complete the response."""
         self.done.set()
 
     def cut(self) -> None:
-        """Ends the connection without an end mark."""
+        """Lets the request's thread close the connection mid-response."""
         self.aborted = True
         self.done.set()
 
     def wait(self) -> None:
-        """Waits until the stream is over, then ends the answer."""
+        """Waits until the stream has ended, then ends the response."""
         self.done.wait()
         self.socket.settimeout(DRAIN_SECONDS)
         if not self.aborted and not self.disconnected:
@@ -87,19 +91,21 @@
 
 
 class FakeEngineServer:
-    """Serves a fake engine: its streams, orders, status, events and KV.
+    """Serves a fake engine: streams, orders, status, cache events and KV.
 
     A crash cuts all connections and closes the port, as the end of a process
-    does; the port opens again when the engine comes back.
+    does; the port opens again when the engine restarts.
 
     Attributes:
-        engine: the engine; touch it only while holding `lock`.
+        engine: the engine; access it only while holding `lock`.
         lock: guards the engine.
-        closings: crashes after which the port was closed.
-        lose_writes: number of next text writes to streams that get lost, so
-            that their readers see a gap.
-        latency: seconds before each answer that isn't a stream.
-        chunked: whether streams come in HTTP chunks.
+        serving: whether the port is open.
+        port_closings: how often the port was closed after a crash.
+        lose_writes: number of following writes to streams that lose their
+            text, so that the clients see a gap.
+        latency: seconds before each response that isn't a stream.
+        chunked: whether streams use chunked encoding.
+        sinks: the open connection of each stream.
     """
 
     def __init__(
@@ -142,7 +148,7 @@
         return self.server.url
 
     def start(self) -> None:
-        """Listens, and steps the engine."""
+        """Opens the port and starts the thread that steps the engine."""
         self.closing.clear()
         self.server.start()
         self.serving = True
@@ -150,7 +156,7 @@
         self.thread.start()
 
     def close(self) -> None:
-        """Cuts all streams and stops."""
+        """Cuts all streams and stops the server."""
         self.closing.set()
         with self.lock:
             self.lock.notify_all()
@@ -159,33 +165,33 @@
         self.server.close()
 
     def crash(self) -> None:
-        """Makes the engine die; returns when its port is closed."""
+        """Crashes the engine; returns when its port is closed."""
         with self.lock:
             closings_before = self.port_closings
             self.engine.crash(time.monotonic())
             self.lock.notify_all()
-            # It may be up again by the time that this thread looks.
+            # The engine may have restarted before this thread wakes up.
             self.lock.wait_for(
                 lambda: self.port_closings > closings_before
                 or self.engine.incarnation
             )
 
     def restart(self) -> None:
-        """Makes the engine come back; returns when its port is open."""
+        """Restarts the engine; returns when its port is open."""
         with self.lock:
             self.engine.restart(time.monotonic())
             self.lock.notify_all()
             self.lock.wait_for(lambda: self.serving)
 
     def cut_streams(self) -> None:
-        """Breaks the connections of all streams; the engine goes on."""
+        """Cuts the connections of all streams; the engine continues."""
         with self.lock:
             for sink in self.sinks.values():
                 sink.cut()
             self.sinks.clear()
 
     def run(self) -> None:
-        """Steps the engine in real time until the end."""
+        """Steps the engine in real time until the server is closed."""
         while not self.closing.is_set():
             with self.lock:
                 self._step()
@@ -194,7 +200,7 @@
                 self._set_serving(up)
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers one request."""
+        """Dispatches one request to its handler."""
         route = self.routes.get(fake_http.path_of(request))
         if route is None:
             fake_http.send_response(request, b"{}", status=404)
@@ -204,13 +210,15 @@
     def complete(self, request: cheroot.server.HTTPRequest) -> None:
         """Runs a completion."""
         body = fake_http.read_body(request)
-        submission = wires.completion_body_decoder.decode(body)
-        run = submission.run
+        completion_body = wires.completion_body_decoder.decode(body)
+        run = completion_body.run
         with self.lock:
             if self.closing.is_set():
                 fake_http.cut_connection(request)
                 return
-            refused = self.engine.submit(run, submission.salt, time.monotonic())
+            refused = self.engine.submit(
+                run, completion_body.salt, time.monotonic()
+            )
             if refused is None:
                 sink = self._open_sink(request, (run.request, run.attempt))
                 self.lock.notify_all()
@@ -223,20 +231,20 @@
         )
 
     def resume(self, request: cheroot.server.HTTPRequest) -> None:
-        """Goes on with a stream on a new connection."""
+        """Resumes a stream on a new connection."""
         fields = fake_http.query_of(request)
         key = (fields["request"], int(fields["attempt"]))
         with self.lock:
             if self.closing.is_set():
                 fake_http.cut_connection(request)
                 return
-            found = self.engine.resume(*key, int(fields["index"]))
-            if found is not None:
+            resumed_events = self.engine.resume(*key, int(fields["index"]))
+            if resumed_events is not None:
                 if old := self.sinks.pop(key, None):
                     old.cut()
                 sink = self._open_sink(request, key)
-                self._deliver(found)
-        if found is None:
+                self._deliver(resumed_events)
+        if resumed_events is None:
             refusal = wires.Refusal(ran="ran", reason="unknown stream")
             fake_http.send_response(
                 request, wires.encode(refusal), status=wires.REFUSED_STATUS
@@ -248,20 +256,20 @@
         """Cancels a stream."""
         fields = fake_http.query_of(request)
         with self.lock:
-            found = self.engine.cancel(
+            cancelled = self.engine.cancel(
                 fields["request"], int(fields["attempt"]), time.monotonic()
             )
             self.lock.notify_all()
-        self._respond(request, b"{}", status=200 if found else 404)
+        self._respond(request, b"{}", status=200 if cancelled else 404)
 
     def status(self, request: cheroot.server.HTTPRequest) -> None:
-        """Says how the engine is."""
+        """Returns the engine's status."""
         with self.lock:
             status = self.engine.status(time.monotonic())
         self._respond(request, wires.encode(status))
 
     def order(self, request: cheroot.server.HTTPRequest) -> None:
-        """Takes an order."""
+        """Executes an order."""
         order = wires.order_decoder.decode(fake_http.read_body(request))
         with self.lock:
             answer = self.engine.order(order, time.monotonic())
@@ -269,25 +277,25 @@
         self._respond(request, wires.encode(answer))
 
     def events(self, request: cheroot.server.HTTPRequest) -> None:
-        """Gives cache events, or waits for the first."""
+        """Returns cache events; waits for the first if there are none."""
         fields = fake_http.query_of(request)
         after = int(fields["after"])
         end = time.monotonic() + float(fields.get("seconds", 0))
         while True:
             now = time.monotonic()
             with self.lock:
-                found = self.engine.cache_events(after, now)
-            if found is None or found.events or now >= end:
+                batch = self.engine.cache_events(after, now)
+            if batch is None or batch.events or now >= end:
                 break
             if self.closing.wait(EVENT_POLL_SECONDS):
                 break
-        if found is None:
+        if batch is None:
             fake_http.cut_connection(request)
             return
-        self._respond(request, wires.encode(found))
+        self._respond(request, wires.encode(batch))
 
     def export_kv(self, request: cheroot.server.HTTPRequest) -> None:
-        """Gives cached blocks."""
+        """Exports cached blocks."""
         body = wires.export_request_decoder.decode(fake_http.read_body(request))
         with self.lock:
             kv = self.engine.export_kv(body.blocks)
@@ -295,7 +303,7 @@
         self._respond(request, wires.encode(kv))
 
     def import_kv(self, request: cheroot.server.HTTPRequest) -> None:
-        """Takes blocks in."""
+        """Imports blocks into the cache."""
         kv = wires.kv_blocks_decoder.decode(fake_http.read_body(request))
         with self.lock:
             seconds = self.engine.import_kv(kv, time.monotonic())
@@ -328,7 +336,8 @@
         wake = self.engine.next_wake()
         now = time.monotonic()
         if self.closing.is_set():
-            # Set before the lock was taken: nobody would end the wait.
+            # `close` notified before the lock was acquired, so nothing would
+            # end the wait.
             return
         if wake is None:
             self.lock.wait()
@@ -338,7 +347,7 @@
             self._deliver(self.engine.step(now))
 
     def _deliver(self, engine_events: list[streams.Event]) -> None:
-        """Writes what came out, each stream's events in one write."""
+        """Writes events to their streams, one write per stream."""
         by_stream = collections.defaultdict(list)
         for event in engine_events:
             by_stream[(event.request, event.attempt)].append(event)
@@ -384,8 +393,8 @@
         else:
             with self.lock:
                 self._deliver(self.engine.step(time.monotonic()))
-            # Whatever is left has no stream in the engine any more; its
-            # thread would wait for ever, and `close` for the thread.
+            # The remaining sinks no longer have a stream in the engine. Their
+            # threads would wait forever, and `close` for these threads.
             self.cut_streams()
             self.server.close()
         with self.lock:
--- a/pimentoledge/runners/fake_weight_stores.py
+++ b/pimentoledge/runners/fake_weight_stores.py
@@ -1,14 +1,15 @@
-"""The weight store: loads take longer when many happen at one time."""
+"""A fake weight store whose loads slow down with concurrency."""
 
 
 class WeightStore:
-    """Says how long each load of weights takes.
+    """Determines how long each load of weights takes.
 
     Attributes:
-        load_seconds: time of a load while no more than `concurrent` run.
-        concurrent: loads at one time that the store serves at full speed.
-        loads: loads so far.
-        most: most loads that ran at one time.
+        load_seconds: duration of a load while no more than `concurrent` run.
+        concurrent: number of concurrent loads served at full speed.
+        loads: number of loads so far.
+        max_running: highest number of concurrent loads so far.
+        end_times: end times of the running loads.
     """
 
     def __init__(self, *, load_seconds: float = 0.5, concurrent: int = 3):
@@ -19,10 +20,10 @@
         self.end_times: list[float] = []
 
     def begin_load(self, now: float) -> float:
-        """Begins a load; returns its seconds.
+        """Begins a load and returns its duration in seconds.
 
-        The time is fixed at the start, in proportion to the loads then
-        running: later ones do not slow it down any more.
+        The duration is fixed at the start, in proportion to the number of
+        loads then running; later loads do not extend it.
         """
         self.end_times = [end for end in self.end_times if end > now]
         running = len(self.end_times) + 1
--- a/pimentoledge/runners/messages.py
+++ b/pimentoledge/runners/messages.py
@@ -1,4 +1,4 @@
-"""What the engine's interface carries, beside the agent's events."""
+"""Messages of the engine's interface that aren't events of the agent."""
 
 import attrs
 
@@ -10,8 +10,8 @@
     Attributes:
         kind: "load" (weights), "add_adapter", "drop_adapter" or "role".
         value: weights version, adapter or role.
-        fencing: the giver's fencing number; an engine that checks orders
-            refuses a number below the highest that it has seen.
+        fencing: the sender's fencing token; an engine that checks orders
+            refuses a token below the highest that it has seen.
     """
 
     kind: str
@@ -24,9 +24,9 @@
     """An engine's answer to an order.
 
     Attributes:
-        accepted: whether it was or will be carried out.
-        reason: why not: "fenced", "busy", "down".
-        highest: highest fencing number that the engine has seen.
+        accepted: whether it was or will be executed.
+        reason: why it was refused: "fenced", "busy", "down" or "unknown".
+        highest: highest fencing token that the engine has seen.
     """
 
     accepted: bool
@@ -36,12 +36,12 @@
 
 @attrs.define(kw_only=True)
 class CacheEvent:
-    """A block entered or left the engine's cache.
+    """A block was stored in or evicted from the engine's cache.
 
     Attributes:
-        number: grows by one with each event of an incarnation; a gap means
-            that events were lost.
-        stored: whether it entered or left.
+        number: consecutive number within an incarnation; a gap means that
+            events were lost.
+        stored: whether the block was stored (True) or evicted.
         block: chained digest of the block.
     """
 
@@ -60,12 +60,12 @@
 
 @attrs.define(kw_only=True)
 class KvBlocks:
-    """KV cache blocks on their way from one engine to another.
+    """KV cache blocks transferred between two engines.
 
     Attributes:
         blocks: chained digests, from the start of a prefix.
         data: the cached values; opaque.
-        seconds: time that the transfer takes at the engine that answers.
+        seconds: duration of the transfer at the exporting engine.
     """
 
     blocks: list[bytes]
--- a/pimentoledge/runners/stream_tasks.py
+++ b/pimentoledge/runners/stream_tasks.py
@@ -1,4 +1,4 @@
-"""Reads the streams of one engine on one thread."""
+"""Reads all streams of one engine on a single thread."""
 
 import collections
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from pimentoledge.runners import streams
 
 READ_BYTES = 65536
-# How often silent streams are looked for, in seconds.
+# Interval of the checks for idle streams.
 IDLE_CHECK_SECONDS = 1.0
 
 Deliver = Callable[[list[streams.Event]], None]
@@ -22,15 +22,15 @@
 
 @attrs.define(kw_only=True, eq=False)
 class OpenStream:
-    """A stream that is being read.
+    """A stream whose response is being read.
 
     Attributes:
-        reader: makes events of its bytes.
-        answer: the HTTP answer that it comes in.
-        deliver: gets the events.
-        last_received: when the last bytes came.
+        reader: parses its bytes into events.
+        response: the HTTP response; None until its headers have arrived.
+        deliver: callback that receives the events.
+        last_received: when the last bytes arrived.
         descriptor: file descriptor of its socket while a task reads it.
-        abandoned: whether nobody wants the rest.
+        abandoned: whether the receiver no longer needs the rest.
     """
 
     reader: streams.StreamReader
@@ -41,16 +41,16 @@
     abandoned: bool = False
 
     def receive(self) -> list[streams.Event]:
-        """Reads what has arrived; waits for it if nothing has.
+        """Reads what has arrived; blocks if nothing has.
 
-        Nothing stays behind in the HTTP library's buffer, unless the answer
-        comes in chunks: a read that is larger than the buffer empties it, and
-        goes to the socket itself when it is empty.
+        No bytes remain in the HTTP library's buffer, unless the response uses
+        chunked encoding: a read larger than the buffer drains it, and reads
+        from the socket directly when the buffer is empty.
         """
         try:
             data = self.response.read1(READ_BYTES, decode_content=False)
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
-            # ValueError: the answer was closed already.
+            # ValueError: the response is already closed.
             return [self.reader.mark_broken(str(error))]
         if not data:
             return [
@@ -61,38 +61,40 @@
         return list(self.reader.feed(data))
 
     def receive_and_deliver(self) -> None:
-        """Reads, and gives the receiver what came."""
+        """Reads what has arrived and passes its events to the receiver."""
         if received := self.receive():
             self.deliver(received)
 
     def disconnect(self) -> None:
-        """Ends the connection, from any thread; `receive` then sees the end."""
+        """Shuts the connection down so that `receive` ends; thread-safe."""
         try:
             copy = socket.socket(fileno=os.dup(self.response.fileno()))
         except (AttributeError, OSError, ValueError):
-            # No answer yet, or it has been closed already.
+            # There is no response yet, or it is already closed.
             return
         with copy:
             try:
                 copy.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # The engine was faster.
+                # The engine has already closed the connection.
                 return
 
 
 class StreamTask:
     """Owns the connections of all streams of one engine.
 
-    A thread for each stream costs a thread switch for each token, and they
-    all wake together at each step of the engine. So one thread waits for all
-    sockets, and gives what came in one round to each receiver in one call.
+    One thread per stream would cost a thread switch per token, and all threads
+    would wake up at each step of the engine. Instead, one thread waits for all
+    sockets and passes the events of one round to each receiver in one call.
 
-    Only answers that aren't in chunks can be read so: of a chunked one, parts
-    may already lie in the HTTP library's buffer, where a selector does not
+    This works only for responses without chunked encoding: parts of a chunked
+    one may already be in the HTTP library's buffer, where a selector does not
     see them.
 
     Attributes:
-        silence: seconds without a byte after which a stream is broken.
+        idle_timeout: seconds without a byte after which a stream is broken.
+        new_streams: streams that the thread has not registered yet.
+        open_streams: streams registered with the selector.
     """
 
     def __init__(self, *, idle_timeout: float):
@@ -113,7 +115,7 @@
         self.thread.start()
 
     def close(self) -> None:
-        """Breaks the streams that still run, and ends the thread."""
+        """Ends all open streams as broken, and stops the thread."""
         self.closing = True
         self.wake()
         self.thread.join()
@@ -122,25 +124,25 @@
         self.wake_receiver.close()
 
     def add(self, stream: OpenStream) -> None:
-        """Begins to read a stream; from any thread."""
+        """Starts reading a stream; thread-safe."""
         self.new_streams.append(stream)
         self.wake()
 
     def abandon(self, stream: OpenStream) -> None:
-        """Ends a stream that nobody wants any more, without an event."""
+        """Closes a stream that is no longer needed, without an event."""
         stream.abandoned = True
         self.wake()
 
     def wake(self) -> None:
-        """Makes the thread look at its inbox."""
+        """Makes the thread process new and abandoned streams."""
         try:
             self.wake_sender.send(b"w")
         except BlockingIOError:
-            # So many wakes are waiting that it will look anyway.
+            # The socket is full of unread wake-ups, so the thread wakes anyway.
             pass
 
     def run(self) -> None:
-        """Reads until the end."""
+        """Reads streams until the task is closed."""
         last_idle_check = time.monotonic()
         while not self.closing:
             ready = self.selector.select(IDLE_CHECK_SECONDS)
@@ -164,8 +166,8 @@
                 self._handle_wakeup(now)
                 continue
             if stream not in self.open_streams:
-                # It was abandoned, and dropped earlier in this round. Its
-                # descriptor may already be another stream's.
+                # The stream was abandoned and dropped earlier in this round.
+                # Its descriptor may already belong to another stream.
                 continue
             received = stream.receive()
             stream.last_received = now
@@ -198,8 +200,8 @@
         stream.response.close()
 
     def _break_idle(self, now: float) -> None:
-        # An engine whose VM froze sends nothing and closes nothing: the
-        # stream just stands still. Its reader must not wait for ever.
+        # An engine on a frozen VM neither sends data nor closes its
+        # connections; without a timeout its streams would never end.
         for stream in list(self.open_streams):
             if now - stream.last_received > self.idle_timeout:
                 self._drop(stream)
--- a/pimentoledge/runners/streams.py
+++ b/pimentoledge/runners/streams.py
@@ -1,4 +1,4 @@
-"""Reads an engine's stream and tells a whole answer from a broken one."""
+"""Parses an engine's stream and detects incomplete ones."""
 
 from collections.abc import Iterator
 
@@ -19,18 +19,19 @@
 class StreamReader:
     """Turns the bytes of one stream into events.
 
-    An engine that dies closes its connections, which looks like the end of
-    an answer; lost frames leave a gap in the token numbers. So an answer is
-    whole only with its end block, and when each text begins where the one
-    before it stopped; everything else is EngineBroken, exactly once, and
-    nothing comes after it.
+    A crashing engine closes its connections, which looks like the end of a
+    response, and lost events leave a gap in the token numbers. So an answer is
+    complete only if it has its `ended` event and each text begins where the
+    previous one stopped. Anything else yields exactly one EngineBroken as the
+    last event.
 
     Attributes:
         request: request id.
         attempt: attempt number.
         index: number of the next token.
-        over: whether EngineEnded or EngineBroken was given out.
-        whole: whether it was EngineEnded.
+        finished: whether EngineEnded or EngineBroken was returned.
+        complete: whether it was EngineEnded.
+        unparsed: bytes of the last, still incomplete event.
     """
 
     def __init__(self, *, request: str, attempt: int, index: int = 0):
@@ -42,7 +43,7 @@
         self.unparsed = b""
 
     def feed(self, data: bytes) -> Iterator[Event]:
-        """Takes what arrived; text that came together is one event."""
+        """Parses received bytes; adjacent texts are joined into one event."""
         *blocks, self.unparsed = (self.unparsed + data).split(wires.BLOCK_END)
         first = self.index
         texts: list[str] = []
@@ -68,7 +69,7 @@
     def mark_broken(
         self, text: str, ran: results.Ran = results.Ran.RAN
     ) -> events.EngineBroken:
-        """Ends the stream as broken."""
+        """Marks the stream as finished and returns its EngineBroken event."""
         self.finished = True
         return events.EngineBroken(
             request=self.request, attempt=self.attempt, ran=str(ran), text=text
--- a/pimentoledge/runners/wires.py
+++ b/pimentoledge/runners/wires.py
@@ -1,9 +1,9 @@
-"""The engines' form on the wire: JSON over HTTP, streams as SSE.
+"""Wire format of the engines: JSON over HTTP, streams as SSE.
 
-Each block of a stream is `event: NAME` and `data: JSON`; a text block has no
-event name. A stream is complete only with its `ended` block. A block that
-begins with a colon is a comment; the first one says that the completion was
-taken in, long before it may start.
+Each event of a stream has the lines `event: NAME` and `data: JSON`; a text
+event has no name. A stream is complete only if it has its `ended` event. A
+block that begins with a colon is a comment; the first one confirms that the
+completion was accepted, which may be long before it starts.
 """
 
 import attrs
@@ -21,7 +21,7 @@
 EVENTS_PATH = "/events"
 KV_EXPORT_PATH = "/kv/export"
 KV_IMPORT_PATH = "/kv/import"
-# Status with which an engine refuses a completion; the body is a Refusal.
+# Status of a refused completion; the body is a Refusal.
 REFUSED_STATUS = 409
 DOWN_STATUS = 503
 DATA_PREFIX = b"data: "
@@ -46,8 +46,8 @@
     """Body of a refusal.
 
     Attributes:
-        ran: results.Ran.
-        reason: why.
+        ran: a results.Ran; whether the completion may have run.
+        reason: why it was refused.
     """
 
     ran: str
@@ -56,7 +56,7 @@
 
 @attrs.define(kw_only=True)
 class Chunk:
-    """Data of a text block; `index` counts tokens from 0."""
+    """Data of a text event; `index` counts tokens from 0."""
 
     index: int
     text: str
@@ -72,7 +72,7 @@
 
 @attrs.define(kw_only=True)
 class ImportAnswer:
-    """Body of the answer to an import."""
+    """Body of the response to an import."""
 
     seconds: float
 
@@ -101,7 +101,7 @@
         | events.EngineBroken
     ),
 ) -> bytes:
-    """Returns the block of a stream that stands for an event."""
+    """Returns the encoding of an event in a stream."""
     match event:
         case events.EngineText():
             chunk = Chunk(
--- a/pimentoledge/tests/test_engine_clients.py
+++ b/pimentoledge/tests/test_engine_clients.py
@@ -1,4 +1,4 @@
-"""The engine's server and client, and what the client makes of faults."""
+"""Tests of the engine client against the fake server and faulty ones."""
 
 import queue
 import time
@@ -40,9 +40,9 @@
 def run_against(url, **fields):
     client = engines.EngineClient(url=url, **fields)
     client.start()
-    found = list(client.run(run_of("r"), "s"))
+    received = list(client.run(run_of("r"), "s"))
     client.close()
-    return found
+    return received
 
 
 @pytest.mark.parametrize("chunked", [False, True])
@@ -50,11 +50,11 @@
     server, client = server_and_client
     server.chunked = chunked
     for number in range(3):
-        found = list(client.run(run_of(f"r{number}", LONG_PROMPT, 9), "s"))
-        text = engine_runs.text_of(found, f"r{number}")
+        received = list(client.run(run_of(f"r{number}", LONG_PROMPT, 9), "s"))
+        text = engine_runs.text_of(received, f"r{number}")
         assert text == fake_engines.expected_text(LONG_PROMPT, 0, 9)
-        assert isinstance(found[0], events.EngineStarted)
-        end = engine_runs.last_of(found, f"r{number}")
+        assert isinstance(received[0], events.EngineStarted)
+        end = engine_runs.last_of(received, f"r{number}")
         assert end.cached_tokens == (128 if number else 0)
     assert server.engine.counters.runs == {"r0": 1, "r1": 1, "r2": 1}
 
@@ -64,20 +64,20 @@
     inbox = queue.SimpleQueue()
     for number in range(20):
         client.start_run(run_of(f"r{number}", max_tokens=30), "s", inbox.put)
-    found = []
-    while sum(isinstance(e, events.EngineEnded) for e in found) < 20:
-        found.extend(inbox.get(timeout=10))
+    received = []
+    while sum(isinstance(e, events.EngineEnded) for e in received) < 20:
+        received.extend(inbox.get(timeout=10))
     for number in range(20):
-        text = engine_runs.text_of(found, f"r{number}")
+        text = engine_runs.text_of(received, f"r{number}")
         assert text == fake_engines.expected_text("p", 0, 30)
 
 
 def test_crash_breaks_the_stream_and_refuses_new_completions(server_and_client):
-    """An engine process dies in the middle of an answer.
+    """An engine crashes in the middle of an answer.
 
-    Its connections close without an end mark, which must not pass for the
-    end of the answer; afterwards connections are refused, so that a new
-    completion certainly did not run; then it comes back with a new life.
+    Its connections close without an `ended` event, which must not count as the
+    end of the answer. While its port is closed, a new completion is reported
+    as not run. After the restart it has a new incarnation.
     """
     server, client = server_and_client
     before = client.status().incarnation
@@ -97,38 +97,38 @@
 
 
 def test_lost_events_break_the_stream(server_and_client):
-    """Frames of a stream get lost on the way.
+    """Events of a stream are lost in transit.
 
-    What follows has a number that is too high; joining it would give the
-    caller an answer with a hole, so the stream is broken.
+    The next text has an index that is too high; appending it would return an
+    answer with missing tokens, so the stream is broken.
     """
     server, client = server_and_client
     stream = client.run(run_of("r", max_tokens=ENDLESS), "s")
     while not isinstance(next(stream), events.EngineText):
         pass
     server.lose_writes = 1
-    found = list(stream)
-    assert isinstance(found[-1], events.EngineBroken)
-    assert (found[-1].ran, "was due" in found[-1].text) == ("ran", True)
+    received = list(stream)
+    assert isinstance(received[-1], events.EngineBroken)
+    assert (received[-1].ran, "was due" in received[-1].text) == ("ran", True)
 
 
 def test_cut_connection_can_be_resumed(server_and_client):
-    """A switch dies between agent and engine, and the engine goes on.
+    """The connection fails while the engine continues generating.
 
-    The stream is taken up again from the first token that is missing, and
-    the two parts make the whole answer, computed once.
+    The stream is resumed from the first missing token, and both parts together
+    are the complete answer, which is computed only once.
     """
     server, client = server_and_client
     stream = client.run(run_of("r", max_tokens=300), "s")
-    found = [next(stream) for _ in range(3)]
+    received = [next(stream) for _ in range(3)]
     server.cut_streams()
-    found += list(stream)
-    assert isinstance(found.pop(), events.EngineBroken)
-    first_part = engine_runs.text_of(found, "r")
-    rest = list(client.resume("r", 1, first_part.count(" ")))
-    text = first_part + engine_runs.text_of(rest, "r")
+    received += list(stream)
+    assert isinstance(received.pop(), events.EngineBroken)
+    first_part = engine_runs.text_of(received, "r")
+    resumed = list(client.resume("r", 1, first_part.count(" ")))
+    text = first_part + engine_runs.text_of(resumed, "r")
     assert text == fake_engines.expected_text("p", 0, 300)
-    assert engine_runs.last_of(rest, "r").completion_tokens == 300
+    assert engine_runs.last_of(resumed, "r").completion_tokens == 300
     assert server.engine.counters.runs["r"] == 1
     (unknown,) = client.resume("other", 1, 0)
     assert unknown.ran == "ran"
@@ -265,19 +265,19 @@
     ],
 )
 def test_incomplete_or_invalid_answers_break_the_stream(reply, ran):
-    """An engine's answer is cut, garbled, crossed or has a hole.
+    """A response is truncated, malformed, of another request or has a gap.
 
-    It never counts as an answer, and only a refusal in so many words counts
-    as not run.
+    It must never count as an answer, and only an explicit refusal counts as
+    not run.
     """
     with raw_servers.raw_server(reply) as url:
-        found = run_against(url)
-    end = engine_runs.last_of(found, "r")
+        received = run_against(url)
+    end = engine_runs.last_of(received, "r")
     assert (type(end), end.ran) == (events.EngineBroken, ran)
 
 
 def test_silent_engine_breaks_the_stream(monkeypatch):
-    """An engine's VM freezes: it sends nothing and closes nothing."""
+    """A frozen VM neither sends data nor closes its connections."""
     monkeypatch.setattr(engines.stream_tasks, "IDLE_CHECK_SECONDS", 0.05)
     with raw_servers.raw_server(HEAD + UNFINISHED_BODY, hang=True) as url:
         end = run_against(url, idle_timeout=0.2)[-1]
@@ -286,10 +286,10 @@
 
 @pytest.mark.parametrize("reply", [b"", HEAD, HEAD + UNFINISHED_BODY])
 def test_close_ends_streams_that_wait_for_the_engine(reply):
-    """The process shall end while its engine hangs.
+    """The client is closed while its engine hangs.
 
-    Whatever the stream waits for, its receiver hears that it is broken, and
-    `close` does not wait for the engine.
+    Whichever part of the response is outstanding, the receiver gets the end of
+    the stream as broken, and `close` does not wait for the engine.
     """
     with raw_servers.raw_server(reply, hang=True) as url:
         client = engines.EngineClient(url=url, timeout=600, idle_timeout=600)
@@ -304,10 +304,10 @@
 
 
 def test_exception_while_sending_breaks_the_stream(server_and_client):
-    """A header can't be written, and the HTTP library raises.
+    """The HTTP library raises because a header is invalid.
 
-    It happens on a thread that nobody looks at; without a word the caller
-    would wait until its deadline.
+    The exception occurs on an executor thread. If it were lost there, the
+    caller would wait until its deadline.
     """
     _, client = server_and_client
     run = run_of("r")
@@ -326,22 +326,22 @@
 def test_reader_tells_complete_streams_from_truncated_ones(cuts, end):
     reader = streams.StreamReader(request="r", attempt=1)
     offsets = [0, *sorted(min(cut, end) for cut in cuts), end]
-    found = []
+    received = []
     for first, last in zip(offsets, offsets[1:], strict=False):
-        found.extend(reader.feed(COMPLETE_BODY[first:last]))
+        received.extend(reader.feed(COMPLETE_BODY[first:last]))
     assert reader.finished == reader.complete == (end == len(COMPLETE_BODY))
-    assert "w w ".startswith(engine_runs.text_of(found, "r"))
+    assert "w w ".startswith(engine_runs.text_of(received, "r"))
     if reader.complete:
-        assert engine_runs.text_of(found, "r") == "w w "
+        assert engine_runs.text_of(received, "r") == "w w "
 
 
 def test_abandoning_a_stream_as_its_text_arrives_leaves_others_running(
     server_and_client,
 ):
-    """Every stream of an engine hangs from one moment on.
+    """Guards against all streams of an engine hanging at once.
 
-    One was abandoned, and in the same round text of it had come. It was
-    dropped twice, and the thread that reads all streams ended with that.
+    A stream that was abandoned in the round in which its text arrived was
+    dropped twice, and the exception ended the thread that reads all streams.
     """
     server, client = server_and_client
     inbox = queue.SimpleQueue()
@@ -349,14 +349,14 @@
     inbox.get(timeout=10)
     received = queue.SimpleQueue()
 
-    def abandon_and_let_text_come(found):
-        received.put(found)
+    def abandon_while_text_arrives(stream_events):
+        received.put(stream_events)
         if not other.abandoned:
             client.abandon(other)
             time.sleep(0.05)
 
     client.start_run(
-        run_of("a", max_tokens=ENDLESS), "s", abandon_and_let_text_come
+        run_of("a", max_tokens=ENDLESS), "s", abandon_while_text_arrives
     )
     for _ in range(20):
         assert received.get(timeout=10)
--- a/pimentoledge/tests/test_fake_engines.py
+++ b/pimentoledge/tests/test_fake_engines.py
@@ -1,4 +1,4 @@
-"""The fake engine in virtual time: what it does, and each of its faults."""
+"""Tests of the fake engine and its simulated faults in virtual time."""
 
 import pytest
 
@@ -25,9 +25,11 @@
     )
 
 
-def started_requests(found):
+def started_requests(output):
     return [
-        each.request for each in found if isinstance(each, events.EngineStarted)
+        each.request
+        for each in output
+        if isinstance(each, events.EngineStarted)
     ]
 
 
@@ -50,16 +52,16 @@
         run_of("c", batch=True),
         run_of("d"),
     )
-    found = drive(engine, until=0.5)
-    assert started_requests(found) == ["a", "b"]
+    output = drive(engine, until=0.5)
+    assert started_requests(output) == ["a", "b"]
     status = engine.status(0.5)
     assert (status.running, status.waiting, status.slots) == (2, 2, 2)
-    found += drive(engine)
-    assert started_requests(found) == ["a", "b", "d", "c"]
+    output += drive(engine)
+    assert started_requests(output) == ["a", "b", "d", "c"]
     for name, count in (("a", 50), ("b", 50), ("c", 5), ("d", 5)):
-        text = engine_runs.text_of(found, name)
+        text = engine_runs.text_of(output, name)
         assert text == fake_engines.expected_text("p", 0, count)
-        end = engine_runs.last_of(found, name)
+        end = engine_runs.last_of(output, name)
         assert (end.reason, end.completion_tokens) == ("length", count)
 
 
@@ -67,8 +69,8 @@
     engine = create_engine()
     for number, prefill in enumerate((0.175, 0.047)):
         submit(engine, run_of(f"r{number}", LONG_PROMPT), now=10.0 * number)
-        (begun,) = engine.step(10.0 * number)
-        assert begun.cached_tokens == 128 * number
+        (started,) = engine.step(10.0 * number)
+        assert started.cached_tokens == 128 * number
         due = pytest.approx(10.0 * number + prefill)
         assert engine.next_wake() == due
         assert len(engine.step(engine.next_wake())) == 1
@@ -78,9 +80,9 @@
 
 
 def test_continuation_generates_only_the_missing_tokens():
-    """An engine dies after 7 of 20 tokens and another one goes on.
+    """An engine crashes after 7 of 20 tokens and another one continues.
 
-    Together the two give the same text as one engine alone.
+    Both parts together are the text that a single engine generates.
     """
     first_part = fake_engines.expected_text("p", 0, 7)
     engine = create_engine()
@@ -90,12 +92,12 @@
         run_of("b", max_tokens=20, continued="not it", continued_tokens=7),
         run_of("c", max_tokens=20, parameters=b'{"fake_length": 4}'),
     )
-    found = drive(engine)
-    rest = engine_runs.text_of(found, "a")
-    assert first_part + rest == fake_engines.expected_text("p", 0, 20)
-    assert engine_runs.last_of(found, "a").completion_tokens == 13
+    output = drive(engine)
+    second_part = engine_runs.text_of(output, "a")
+    assert first_part + second_part == fake_engines.expected_text("p", 0, 20)
+    assert engine_runs.last_of(output, "a").completion_tokens == 13
     assert engine.counters.wrong_continuations == 1
-    end = engine_runs.last_of(found, "c")
+    end = engine_runs.last_of(output, "c")
     assert (end.reason, end.completion_tokens) == ("stop", 4)
     assert engine.counters.generated_tokens == 13 + 13 + 4
     submit(engine, run_of("d", max_tokens=7, continued_tokens=7))
@@ -107,9 +109,9 @@
     engine = create_engine()
     engine.text_every = 16
     submit(engine, run_of("a", max_tokens=100))
-    found = drive(engine)
-    assert len(found) == 2 + 1 + 7
-    text = engine_runs.text_of(found, "a")
+    output = drive(engine)
+    assert len(output) == 2 + 1 + 7
+    text = engine_runs.text_of(output, "a")
     assert text == fake_engines.expected_text("p", 0, 100)
 
 
@@ -153,11 +155,11 @@
         assert engine.cache.match(chain) == len(chain) == 2
 
 
-def test_cache_events_come_late_and_with_gaps():
-    """The engine's event stream loses entries.
+def test_cache_events_are_delayed_and_partly_lost():
+    """The engine's cache events are delayed and partly lost.
 
-    Nothing says so but the gap in the numbers; what is believed to be in the
-    cache is then wrong.
+    A lost event shows only as a gap in the numbers; a reader that ignores it
+    has a wrong view of the cache.
     """
     engine = create_engine(cache_blocks=40, seed=3)
     engine.event_delay = 2.0
@@ -187,14 +189,14 @@
 def test_cancel_reports_whether_the_completion_ran():
     engine = create_engine(slots=1)
     submit(engine, run_of("a", max_tokens=1000), run_of("b"))
-    found = drive(engine, until=1.0)
+    output = drive(engine, until=1.0)
     assert engine.cancel("a", 1, 1.0)
     assert not engine.cancel("a", 1, 1.0)
     submit(engine, run_of("c", "y" * 4000), now=1.0)
     assert engine.cancel("c", 1, 1.0)
     assert engine.cancel("b", 1, 1.0)
-    found += drive(engine)
-    rans = [engine_runs.last_of(found, name).ran for name in "abc"]
+    output += drive(engine)
+    rans = [engine_runs.last_of(output, name).ran for name in "abc"]
     assert rans == ["ran", "ran", "not_run"]
     assert engine.status(2.0).running == 0
     assert engine.next_wake() is None
@@ -208,12 +210,12 @@
     assert engine.resume("a", 1, 100) is None
     assert engine.resume("b", 1, 0) is None
     (middle,) = engine.resume("a", 1, 2)
-    rest = drive(engine)
-    text_after_resume = middle.text + engine_runs.text_of(rest, "a")
+    later_output = drive(engine)
+    text_after_resume = middle.text + engine_runs.text_of(later_output, "a")
     assert text_after_resume == fake_engines.expected_text("p", 2, 18)
     text, end = engine.resume("a", 1, 15)
     assert text.text == fake_engines.expected_text("p", 15, 5)
-    assert end == engine_runs.last_of(rest, "a")
+    assert end == engine_runs.last_of(later_output, "a")
     assert engine.counters.runs["a"] == 1
 
 
@@ -235,11 +237,11 @@
     assert (refused.ran, refused.text) == ("not_run", "slots")
 
 
-def test_old_fencing_number_is_refused_or_ignored():
-    """The holder of an expired lease gives an order.
+def test_stale_fencing_token_is_refused_or_ignored():
+    """The holder of an expired lease sends an order.
 
-    An engine that checks refuses it and says the highest number that it has
-    seen; one that does not carries the stale order out.
+    An engine that checks fencing tokens refuses it and returns the highest
+    token that it has seen; one that does not executes the stale order.
     """
     checking = create_engine()
     assert give_order(checking, "role", "prefill", fencing=5).accepted
@@ -295,10 +297,10 @@
 
 
 def test_restart_after_a_crash_restores_the_initial_state():
-    """An engine that was upgraded dies and comes back.
+    """An engine crashes and restarts after its weights were upgraded.
 
-    All its streams break, its cache is gone, it has a new incarnation, and
-    it runs the weights and adapters it was made with, not the later ones.
+    All its streams break, its cache is empty, it has a new incarnation, and it
+    runs its initial weights and adapters, not the ones loaded later.
     """
     engine = create_engine(slots=1)
     engine.restart_seconds = 3.0
@@ -307,11 +309,11 @@
     drive(engine)
     before = engine.status(1.0)
     submit(engine, run_of("a", LONG_PROMPT, 1000), run_of("b"), now=1.0)
-    found = drive(engine, until=2.0)
+    output = drive(engine, until=2.0)
     engine.crash(2.0)
-    found += drive(engine, until=2.0)
+    output += drive(engine, until=2.0)
     for name in "ab":
-        assert engine_runs.last_of(found, name).ran == "ran"
+        assert engine_runs.last_of(output, name).ran == "ran"
     assert engine.status(2.0) == events.EngineStatus()
     assert engine.cache_events(0, 2.0) is None
     assert give_order(engine, "role", "both", 7).reason == "down"
@@ -336,20 +338,20 @@
 def test_poisonous_prompt_breaks_the_whole_batch():
     """One request crashes each engine that runs it.
 
-    Everything that ran beside it breaks as well, and nothing in the crash
-    says which of them it was.
+    All other streams of the batch break as well, and their errors do not show
+    which request caused the crash.
     """
     engine = create_engine(slots=4)
     engine.poison = "POISON"
     engine.poison_after = 2
     submit(engine, run_of("a", max_tokens=99), run_of("b", "x POISON"))
-    found = drive(engine)
-    assert engine_runs.text_of(found, "b").count(" ") == 2
-    assert engine_runs.last_of(found, "a").text == "crashed"
-    assert engine_runs.last_of(found, "b").text == "crashed"
+    output = drive(engine)
+    assert engine_runs.text_of(output, "b").count(" ") == 2
+    assert engine_runs.last_of(output, "a").text == "crashed"
+    assert engine_runs.last_of(output, "b").text == "crashed"
     assert engine.counters.crashes == 1
     assert engine.counters.generated_tokens == sum(
-        each.tokens for each in found if isinstance(each, events.EngineText)
+        each.tokens for each in output if isinstance(each, events.EngineText)
     )
     assert engine.incarnation == ""
 
