--- a/pimentoledge/stores/__init__.py
+++ b/pimentoledge/stores/__init__.py
@@ -1,1 +1,1 @@
-"""The platform: object API and list of VMs, and their fakes."""
+"""Clients and fakes of the platform's object API and list of VMs."""
--- a/pimentoledge/stores/fake_objects.py
+++ b/pimentoledge/stores/fake_objects.py
@@ -1,4 +1,4 @@
-"""The platform's object API in memory, with its faults."""
+"""In-memory fake of the platform's object API, with simulated faults."""
 
 import threading
 import time
@@ -9,7 +9,7 @@
 
 
 class TokenBucket:
-    """Token bucket that holds at most one second's worth of calls."""
+    """Token bucket with a burst of one second's worth of calls."""
 
     def __init__(self, *, per_second: float):
         self.per_second = per_second
@@ -31,30 +31,29 @@
 
 
 class FakeObjects:
-    """The object API: versions, conditional writes, scans and watches.
+    """A fake object API: versions, conditional writes, scans and watches.
 
-    One counter numbers the writes of all objects. Calls are answered at once
-    and may come from any thread; whoever serves them over a network does the
-    waiting, with `changed`.
+    One counter numbers the writes of all objects. Calls return immediately and
+    are thread-safe; a server implements the waiting of watches with `changed`.
 
     Attributes:
         clock: returns the time in seconds, for the rate limits.
-        objects: all objects by path, the last written last; a deleted one
-            stays with value None.
+        objects: all objects by path in the order of their last write; a
+            deleted one remains as a tombstone with value None.
         revision: version of the last write.
-        changed: condition that is notified after each write, and that guards
-            everything here.
+        changed: condition that is notified after each write and guards all
+            other attributes.
         down: whether each call is refused, without effect.
-        latency: seconds that the server waits before it makes a call.
-        lose_answers: number of next writes that take effect and whose answer
-            is lost.
-        lose_requests: number of next writes that get lost before they take
-            effect, so that their answer is lost too.
-        drop_watch_entries: number of next changes that watches leave out.
+        latency: seconds that the server waits before it executes a call.
+        lose_answers: number of following writes that take effect but whose
+            answer is lost.
+        lose_requests: number of following writes that are lost before they
+            take effect, so that they get no answer either.
+        drop_watch_entries: number of following changes that watches omit.
         max_value_bytes: a longer value is refused, without effect.
-        writes: rate limit of the writes; above it a call is refused.
-        reads: rate limit of reads, scans and watches.
-        counts: calls by kind, the refused ones included.
+        write_limiter: rate limit of writes; calls above it are refused.
+        read_limiter: rate limit of reads, scans and watches.
+        counts: number of calls by kind, including refused ones.
     """
 
     def __init__(self, *, clock=time.monotonic):
@@ -81,7 +80,7 @@
             self.read_limiter = TokenBucket(per_second=reads_per_second)
 
     def call(self, call: stores.Call) -> stores.StoreAnswer:
-        """Makes a call and answers at once."""
+        """Executes a call and returns its answer immediately."""
         with self.changed:
             self._count(call)
             if self.down or not self._within_rate(call):
@@ -92,14 +91,16 @@
                 case stores.Write():
                     return self._write(call)
                 case stores.Scan():
-                    found = self._written_after(call.prefix, 0)
-                    live = [each for each in found if each.value is not None]
-                    return self._list_answer(call, live)
+                    written = self._written_after(call.prefix, 0)
+                    existing = [
+                        each for each in written if each.value is not None
+                    ]
+                    return self._list_answer(call, existing)
                 case stores.Watch():
                     return self._watch(call)
 
     def has_changes(self, prefix: str, after: int) -> bool:
-        """Returns whether a watch has something to say; isn't counted."""
+        """Returns whether a watch has changes to return; counts no call."""
         return bool(self._written_after(prefix, after))
 
     def _count(self, call: stores.Call) -> None:
@@ -135,16 +136,18 @@
         return self._answer(call, stores.Outcome.FOUND, objects, self.revision)
 
     def _existing(self, path: str) -> stores.Object | None:
-        found = self.objects.get(path)
-        if found is None or found.value is None:
+        stored = self.objects.get(path)
+        if stored is None or stored.value is None:
             return None
-        return found
+        return stored
 
     def _read(self, call: stores.Read) -> stores.StoreAnswer:
-        found = self._existing(call.path)
-        if found is None:
+        existing = self._existing(call.path)
+        if existing is None:
             return self._answer(call, stores.Outcome.ABSENT)
-        return self._answer(call, stores.Outcome.FOUND, [found], found.version)
+        return self._answer(
+            call, stores.Outcome.FOUND, [existing], existing.version
+        )
 
     def _write(self, call: stores.Write) -> stores.StoreAnswer:
         if len(call.value or b"") > self.max_value_bytes:
@@ -171,18 +174,18 @@
         return self._answer(call, stores.Outcome.WRITTEN, version=self.revision)
 
     def _watch(self, call: stores.Watch) -> stores.StoreAnswer:
-        found = self._written_after(call.prefix, call.after)
-        dropped = min(self.drop_watch_entries, len(found))
+        written = self._written_after(call.prefix, call.after)
+        dropped = min(self.drop_watch_entries, len(written))
         self.drop_watch_entries -= dropped
-        return self._list_answer(call, found[dropped:])
+        return self._list_answer(call, written[dropped:])
 
     def _written_after(self, prefix: str, after: int) -> list[stores.Object]:
-        """Returns objects written after a version, in order of versions."""
-        found = []
+        """Returns objects under a prefix written after a version, in order."""
+        written = []
         for each in reversed(self.objects.values()):
             if each.version <= after:
                 break
             if each.path.startswith(prefix):
-                found.append(each)
-        found.reverse()
-        return found
+                written.append(each)
+        written.reverse()
+        return written
--- a/pimentoledge/stores/fake_servers.py
+++ b/pimentoledge/stores/fake_servers.py
@@ -1,4 +1,4 @@
-"""HTTP server before the fakes of the platform."""
+"""HTTP server for the fakes of the platform."""
 
 import time
 
@@ -13,12 +13,12 @@
 from pimentoledge.stores import wires
 
 THREADS = 32
-# Longest sleep of a waiting watch, so that it sees the server's end.
+# Longest sleep of a waiting watch, so that it notices that the server closes.
 MAX_WAIT_SECONDS = 0.25
 
 
 class FakeObjectServer:
-    """Serves the object API, and the list of VMs where there is one.
+    """Serves a fake object API and, optionally, a fake list of VMs.
 
     Attributes:
         objects: the fake object API.
@@ -47,7 +47,7 @@
         return self.server.url
 
     def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self.closing = False
         self.server.start()
 
@@ -59,7 +59,7 @@
         self.server.close()
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers one request."""
+        """Handles one request."""
         path = fake_http.path_of(request)
         if path == vms.PATH:
             self.list_vms(request)
@@ -79,7 +79,7 @@
         fake_http.send_response(request, wires.encode(answer))
 
     def wait_for_change(self, watch: stores.Watch) -> None:
-        """Waits until a watch has something to say or its time is over."""
+        """Waits until a watch has changes to return or its time is over."""
         end = time.monotonic() + watch.seconds
         objects = self.objects
         with objects.changed:
@@ -92,7 +92,7 @@
                 objects.changed.wait(min(remaining, MAX_WAIT_SECONDS))
 
     def list_vms(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers with the list of VMs as it is shown now."""
+        """Responds with the lagged list of VMs."""
         if self.vm_list is None or self.vm_list.down:
             fake_http.send_response(request, b"{}", status=503)
             return
--- a/pimentoledge/stores/fake_vms.py
+++ b/pimentoledge/stores/fake_vms.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs in memory."""
+"""In-memory fake of the platform's lagging list of VMs."""
 
 import threading
 import time
@@ -9,13 +9,13 @@
 
 
 class FakeVmList:
-    """A list that shows each change only `lag` seconds after it happened.
+    """A list of VMs that shows each change after a delay of `lag` seconds.
 
     Attributes:
-        lag: seconds by which the list is late.
+        lag: delay of each change in seconds.
         down: whether the list can't be read.
         clock: returns the time in seconds.
-        history: (time, list from then on), oldest first.
+        history: (time, VMs by name from then on), oldest first.
     """
 
     def __init__(self, *, lag: float = 0.0, clock=time.monotonic):
@@ -26,7 +26,7 @@
         self.history: list[tuple[float, dict[str, vms.Vm]]] = []
 
     def put(self, vm: vms.Vm) -> None:
-        """Adds a VM or changes it."""
+        """Adds a VM or replaces the one of this name."""
         with self.lock:
             self._append({**self._latest(), vm.name: vm})
 
@@ -38,7 +38,7 @@
             self._append({**latest, name: leaving})
 
     def remove(self, name: str) -> None:
-        """Takes a VM out."""
+        """Removes a VM."""
         with self.lock:
             latest = self._latest()
             remaining = {key: vm for key, vm in latest.items() if key != name}
--- a/pimentoledge/stores/objects.py
+++ b/pimentoledge/stores/objects.py
@@ -12,11 +12,11 @@
 
 
 class ObjectClient:
-    """Makes calls over HTTP; may be used from any thread; never retries.
+    """Makes calls over HTTP, without retries; thread-safe.
 
     Attributes:
         url: base URL of the platform's service.
-        timeout: seconds for one call; a watch may take its own time longer.
+        timeout: seconds for one call; the waiting time of a watch is added.
     """
 
     def __init__(self, *, url: str, timeout: float = 2.0):
@@ -29,15 +29,16 @@
         self.pool = http_pools.HttpPool(size=POOL_SIZE)
 
     def close(self) -> None:
-        """Closes the connections, also those that a thread waits on."""
+        """Closes all connections, including those that a thread waits on."""
         if self.pool is not None:
             self.pool.cut()
 
     def call(self, call: stores.Call) -> stores.StoreAnswer:
         """Makes a call and waits for its answer.
 
-        Never raises for a fault of the network or the store: DOWN means
-        that the call certainly had no effect, LOST that a write may have.
+        Faults of the network or the store are returned, never raised: DOWN
+        means that the call certainly had no effect, LOST that a write may have
+        taken effect.
         """
         read_timeout = self.timeout
         if isinstance(call, stores.Watch):
@@ -62,8 +63,8 @@
         except msgspec.MsgspecError:
             return _failed_answer(call, never_sent=False)
         if answer.call != call.call:
-            # Crossed answer, as from a proxy that mixes up connections: it
-            # says nothing about this call.
+            # The answer belongs to another call, for example because a proxy
+            # mixed up connections; the result of this one is unknown.
             return _failed_answer(call, never_sent=False)
         return answer
 
@@ -71,9 +72,8 @@
 def _failed_answer(
     call: stores.Call, *, never_sent: bool
 ) -> stores.StoreAnswer:
-    # A write whose request may have left this process may have taken effect,
-    # whatever the fault was; only what was never sent is certainly without
-    # effect. Reads have no effect at all.
+    # A write may have taken effect unless its request was never sent, whatever
+    # the fault was. Reads have no effect.
     lost = isinstance(call, stores.Write) and not never_sent
     outcome = stores.Outcome.LOST if lost else stores.Outcome.DOWN
     return stores.StoreAnswer(call=call.call, outcome=outcome)
--- a/pimentoledge/stores/store_tasks.py
+++ b/pimentoledge/stores/store_tasks.py
@@ -1,4 +1,4 @@
-"""Runs calls to the object API away from the state machine's thread."""
+"""Runs calls to the object API outside the state machine's thread."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -6,12 +6,12 @@
 from pimentoledge.decisions import stores
 from pimentoledge.stores import objects
 
-# Enough for a few watches, which wait, beside short calls.
+# Enough for a few watches, which block their thread, and short calls.
 THREADS = 8
 
 
 class StoreTask:
-    """Makes calls and delivers their answers as events.
+    """Makes calls on a thread pool and delivers their answers as events.
 
     Attributes:
         client: the object API's client.
@@ -35,7 +35,7 @@
         self.client.start()
 
     def call(self, call: stores.Call) -> None:
-        """Makes a call; its answer is delivered later."""
+        """Queues a call; its answer is delivered later."""
         self.pool.submit(self.run, call)
 
     def run(self, call: stores.Call) -> None:
@@ -43,6 +43,6 @@
         self.deliver(self.client.call(call))
 
     def close(self) -> None:
-        """Closes the client and waits for calls that are being made."""
+        """Closes the client, drops queued calls and waits for running ones."""
         self.client.close()
         self.pool.shutdown(wait=True, cancel_futures=True)
--- a/pimentoledge/stores/vm_tasks.py
+++ b/pimentoledge/stores/vm_tasks.py
@@ -1,4 +1,4 @@
-"""Reads the platform's list of VMs regularly and delivers it."""
+"""Polls the platform's list of VMs and delivers it."""
 
 from collections.abc import Callable
 import threading
@@ -13,11 +13,11 @@
 
 
 class VmTask:
-    """A task that reads the list of VMs.
+    """Polls the list of VMs on a thread.
 
     Attributes:
         client: the list's client.
-        seconds: time between two reads.
+        interval_seconds: time between two reads.
         deliver: called with each events.VmsListed, from the task's thread.
     """
 
@@ -35,25 +35,25 @@
         self.thread = threading.Thread(target=self.run, name="vms")
 
     def start(self) -> None:
-        """Starts to read."""
+        """Opens the client and starts the thread."""
         self.client.start()
         self.thread.start()
 
     def close(self) -> None:
-        """Stops; a read that waits is cut."""
+        """Stops the thread; aborts a read in progress."""
         self.closing.set()
         self.client.close()
         self.thread.join()
 
     def run(self) -> None:
-        """Reads until closed."""
+        """Reads the list at each interval until closed."""
         while not self.closing.is_set():
             match self.client.read():
                 case result.Success(listed):
                     self.deliver(_vms_listed(listed))
                 case result.Failure(error) if not self.closing.is_set():
-                    # The last list stays in use: a list that can't be read
-                    # says nothing about any VM.
+                    # The last list stays in use: a failed read gives no
+                    # information about any VM.
                     logger.info("{}", error.text)
             self.closing.wait(self.interval_seconds)
 
--- a/pimentoledge/stores/vms.py
+++ b/pimentoledge/stores/vms.py
@@ -1,4 +1,4 @@
-"""The platform's list of VMs, which lags, and its client."""
+"""Client of the platform's list of VMs, which shows changes late."""
 
 import enum
 
@@ -14,7 +14,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM as listed by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -26,9 +26,9 @@
 
     Attributes:
         name: its name.
-        address: its IP number.
-        data_centre: where it stands.
-        state: whether it stays.
+        address: its IP address.
+        data_centre: the data centre that it runs in.
+        state: whether it is live or leaving.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 class VmListClient:
-    """Reads the list of VMs over HTTP; may be used from any thread.
+    """Reads the list of VMs over HTTP; thread-safe.
 
     Attributes:
         url: base URL of the platform's service.
@@ -55,12 +55,12 @@
         self.pool = http_pools.HttpPool(size=1)
 
     def close(self) -> None:
-        """Closes the connections, also those that a thread waits on."""
+        """Closes all connections, including those that a thread waits on."""
         if self.pool is not None:
             self.pool.cut()
 
     def read(self) -> result.Result[list[Vm], results.Error]:
-        """Returns the list as the platform gives it, or why it could not."""
+        """Returns the platform's list, or the error if it can't be read."""
         try:
             response = self.pool.request(
                 "GET", self.url + PATH, timeout=self.timeout
--- a/pimentoledge/stores/wires.py
+++ b/pimentoledge/stores/wires.py
@@ -1,10 +1,10 @@
-"""The object API's form on the wire: JSON over HTTP, one path for a kind."""
+"""Wire format of the object API: JSON over HTTP, one path per kind of call."""
 
 import msgspec
 
 from pimentoledge.decisions import stores
 
-# Values are bytes, which msgspec writes as base64.
+# msgspec encodes values, which are bytes, as base64.
 PATHS: dict[type, str] = {
     stores.Read: "/objects/read",
     stores.Write: "/objects/write",
--- a/pimentoledge/tests/test_fake_platform.py
+++ b/pimentoledge/tests/test_fake_platform.py
@@ -1,4 +1,4 @@
-"""The object API's and the VM list's fakes, servers and clients."""
+"""Tests of fakes, servers and clients of the object API and VM list."""
 
 import threading
 
@@ -17,7 +17,7 @@
 
 
 class ManualClock:
-    """A clock that stands still until it is set."""
+    """A clock that advances only when `now` is set."""
 
     def __init__(self):
         self.now = 0.0
@@ -51,8 +51,8 @@
     third = fake.call(write("a/x", b"2", first)).version
     assert fake.call(write("a/x", None, third)).outcome == Outcome.WRITTEN
     assert fake.call(read("a/x")).outcome == Outcome.ABSENT
-    found = fake.call(stores.Scan(call="c", prefix=""))
-    assert [each.path for each in found.objects] == ["b/x"]
+    scan = fake.call(stores.Scan(call="c", prefix=""))
+    assert [each.path for each in scan.objects] == ["b/x"]
     changes = fake.call(watch(first))
     assert [(o.path, o.value) for o in changes.objects] == [
         ("b/x", b"1"),
@@ -83,10 +83,10 @@
 
 
 def test_watch_can_lose_entries():
-    """A watch stream loses an entry.
+    """A watch omits a change.
 
-    The watcher is told that it is complete up to the newest version, and
-    has never seen one of the objects.
+    Its answer has the newest version, although the watcher has never received
+    one of the objects.
     """
     fake = fake_objects.FakeObjects()
     fake.call(write("a", b"1", 0))
@@ -113,22 +113,22 @@
 
 
 def test_write_whose_answer_is_lost_takes_effect(store):
-    """The store's answer gets lost after the write.
+    """The store's answer is lost after the write took effect.
 
-    The connection closes without an answer, the write stands, and its write
-    id shows so when the object is read back. A lost request looks the same,
-    and the write id shows that it did not take effect.
+    The connection closes without an answer, and the write id of the object
+    read back shows that the write took effect. A lost request fails in the
+    same way, and the write id shows that it did not.
     """
     fake, client, _ = store
     fake.lose_answers = 1
     answer = client.call(write("a/b", b"1", 0, "mine"))
     assert answer.outcome == Outcome.LOST
-    found = client.call(read("a/b")).objects[0]
-    assert (found.value, found.write_id) == (b"1", "mine")
+    stored = client.call(read("a/b")).objects[0]
+    assert (stored.value, stored.write_id) == (b"1", "mine")
     again = client.call(write("a/b", b"1", 0, "mine"))
     assert again.outcome == Outcome.CONFLICT
     fake.lose_requests = 1
-    lost = client.call(write("a/b", b"2", found.version, "other"))
+    lost = client.call(write("a/b", b"2", stored.version, "other"))
     assert lost.outcome == Outcome.LOST
     assert client.call(read("a/b")).objects[0].write_id == "mine"
 
@@ -156,10 +156,10 @@
 
 
 def test_slow_store_makes_writes_lost_and_reads_down(store):
-    """The store is slower than the client's patience.
+    """The store is slower than the client's timeout.
 
-    The write takes effect after its caller gave up, so the answer must not
-    say that it had no effect.
+    The write takes effect after its caller timed out, so the outcome must not
+    be that it had no effect.
     """
     fake, _, server = store
     fake.latency = 0.3
@@ -195,10 +195,10 @@
     ],
 )
 def test_invalid_answer_leaves_the_outcome_of_a_write_unknown(reply):
-    """The request was sent, and what came back says nothing about it.
+    """The response does not show whether the call took effect.
 
-    Cut, garbled, a server error, or the answer to another call: the write
-    may have taken effect, and a read has to be made again.
+    It is truncated, malformed, a server error or the answer to another call:
+    the write may have taken effect, and a read has to be repeated.
     """
     with raw_servers.raw_server(reply) as url:
         client = objects.ObjectClient(url=url)
