--- a/pimentoledge/platform/stand_in_stores.py
+++ b/pimentoledge/platform/stand_in_stores.py
@@ -179,7 +179,7 @@
                 and cuts == self._cut_count
             ):
                 remaining = deadline - time.monotonic()
-                if remaining <= 0 or objects.changes(f"{kind}/", after):
+                if remaining <= 0 or objects.has_changes(f"{kind}/", after):
                     break
                 objects.changed.wait(min(remaining, MAX_WAIT_SECONDS))
         if self.closing or objects.down or cuts != self._cut_count:
--- a/pimentoledge/runners/engines.py
+++ b/pimentoledge/runners/engines.py
@@ -1,4 +1,4 @@
-"""Client of a model engine."""
+"""HTTP client of a model engine."""
 
 import collections
 from collections.abc import Iterator
@@ -21,74 +21,76 @@
 from pimentoledge.runners import wires
 
 POOL_SIZE = 128
-CLOSED = "the client was closed"
-# The reason given with an order that was not answered.
-NO_ANSWER = "down"
+CLIENT_CLOSED = "the client was closed"
+# Reason returned for an order that got no valid response.
+NO_ANSWER_REASON = "down"
 
 
 class EngineClient:
-    """Calls one engine over HTTP; may be used from any thread; no retries.
+    """Calls one engine over HTTP, without retries; thread-safe.
 
     Attributes:
         url: base URL of the engine.
-        timeout: seconds to connect, and for each answer that isn't a stream.
-        silence: seconds without a byte after which a stream counts as broken;
-            long enough for a completion to wait in the engine's queue.
+        timeout: connect timeout, and read timeout of each response that isn't
+            a stream, in seconds.
+        idle_timeout: seconds without a byte after which a stream counts as
+            broken; must exceed the time that a completion may wait in the
+            engine's queue.
     """
 
     def __init__(
-        self, *, url: str, timeout: float = 2.0, silence: float = 60.0
+        self, *, url: str, timeout: float = 2.0, idle_timeout: float = 60.0
     ):
         self.url = url
         self.timeout = timeout
-        self.silence = silence
+        self.idle_timeout = idle_timeout
         self.pool = None
-        self.starters = None
+        self.executor = None
         self.closing = False
-        self.opening: set[stream_tasks.OpenStream] = set()
-        self.task = stream_tasks.StreamTask(silence=silence)
+        self.opening_streams: set[stream_tasks.OpenStream] = set()
+        self.task = stream_tasks.StreamTask(idle_timeout=idle_timeout)
 
     def start(self) -> None:
-        """Opens the connection pool and starts the reading thread."""
+        """Opens the connection pool and starts the stream task."""
         self.closing = False
         self.pool = http_pools.HttpPool(size=POOL_SIZE, timeout=self.timeout)
-        # A thread is needed from the sending of a completion to the first
-        # bytes of its answer.
-        self.starters = futures.ThreadPoolExecutor(
+        # Each request occupies a thread from sending it until the first bytes
+        # of its response.
+        self.executor = futures.ThreadPoolExecutor(
             max_workers=POOL_SIZE, thread_name_prefix="engine-start"
         )
         self.task.start()
 
     def close(self) -> None:
-        """Breaks the streams that still run and closes all connections."""
+        """Ends all open streams as broken and closes all connections."""
         if self.pool is None or self.closing:
             return
         self.closing = True
         self.pool.cut()
-        # A starter that waits for first bytes would hold up the end of the
-        # process until the engine speaks; the pool no longer knows its
-        # connection.
-        for reading in list(self.opening):
-            reading.disconnect()
-        self.starters.shutdown()
+        # A thread that waits for first bytes would block the shutdown until
+        # the engine responds. Its connection is no longer in the pool, so it
+        # is shut down here.
+        for stream in list(self.opening_streams):
+            stream.disconnect()
+        self.executor.shutdown()
         self.task.close()
 
     def run(
         self, run: actions.RunCompletion, salt: str
     ) -> Iterator[streams.Event]:
-        """Runs a completion and gives out what comes, as it comes.
+        """Runs a completion and iterates over its events as they arrive.
 
-        The last event is always one EngineEnded or EngineBroken. Its ran is
-        "not_run" only when no connection came about or when the engine
-        refused in so many words.
+        The last event is always one EngineEnded or EngineBroken. Its `ran` is
+        "not_run" only when no connection was established or the engine
+        returned an explicit refusal.
 
         Args:
             run: the completion.
-            salt: what its cached blocks depend on: organisation, model,
-                adapter and weights version.
+            salt: the cache salt, derived from organisation, model, adapter
+                and weights version.
         """
-        return _Events(
-            begin=lambda deliver: self.start_run(run, salt, deliver),
+        return _EventIterator(
+            start=lambda deliver: self.start_run(run, salt, deliver),
             abandon=self.abandon,
         )
 
@@ -98,40 +100,41 @@
         salt: str,
         deliver: stream_tasks.Deliver,
     ) -> stream_tasks.OpenStream:
-        """Runs a completion and gives its events to a receiver.
+        """Runs a completion and passes its events to a callback.
 
-        Returns at once. The receiver is called from the client's threads, one
-        call at a time for a stream, with one or more events. A receiver that
-        is given for many streams gets what came for all of them together.
+        Returns at once. The callback is called from the client's threads,
+        never concurrently for one stream, with one or more events. A callback
+        shared by several streams gets the events that arrived for all of them
+        in one call.
 
         Args:
             run: the completion.
             salt: as for `run`.
-            deliver: the receiver; it must not block.
+            deliver: the callback; it must not block.
         """
         reader = streams.StreamReader(request=run.request, attempt=run.attempt)
         body = wires.encode(wires.CompletionBody(run=run, salt=salt))
         headers = {"traceparent": run.trace} if run.trace else {}
-        call = Call(
+        stream_request = StreamRequest(
             method="POST",
             url=self.url + wires.COMPLETIONS_PATH,
             body=body,
             headers=headers,
         )
-        return self._begin(reader, call, deliver)
+        return self._submit(reader, stream_request, deliver)
 
     def resume(
         self, request: str, attempt: int, index: int
     ) -> Iterator[streams.Event]:
-        """Goes on with a stream after its connection broke.
+        """Resumes a stream whose connection broke; iterates over its events.
 
         Args:
             request: request id.
             attempt: attempt number.
-            index: number of the first token that is still needed.
+            index: number of the first missing token.
         """
-        return _Events(
-            begin=lambda deliver: self.start_resume(
+        return _EventIterator(
+            start=lambda deliver: self.start_resume(
                 request, attempt, index, deliver
             ),
             abandon=self.abandon,
@@ -144,76 +147,85 @@
         index: int,
         deliver: stream_tasks.Deliver,
     ) -> stream_tasks.OpenStream:
-        """Goes on with a stream, and gives its events to a receiver.
+        """Resumes a stream and passes its events to a callback.
 
         Args:
             request: request id.
             attempt: attempt number.
-            index: number of the first token that is still needed.
-            deliver: the receiver, as for `start_run`.
+            index: number of the first missing token.
+            deliver: the callback, as for `start_run`.
         """
         reader = streams.StreamReader(
             request=request, attempt=attempt, index=index
         )
         fields = {"request": request, "attempt": attempt, "index": index}
-        call = Call(method="GET", url=self._url(wires.RESUME, fields))
-        return self._begin(reader, call, deliver)
+        stream_request = StreamRequest(
+            method="GET", url=self._url(wires.RESUME_PATH, fields)
+        )
+        return self._submit(reader, stream_request, deliver)
 
-    def abandon(self, reading: stream_tasks.OpenStream) -> None:
-        """Closes a stream's connection; the engine itself goes on."""
-        self.task.abandon(reading)
+    def abandon(self, stream: stream_tasks.OpenStream) -> None:
+        """Closes a stream's connection; the engine continues generating."""
+        self.task.abandon(stream)
 
     def cancel(self, request: str, attempt: int) -> bool:
-        """Cancels a stream; False when the engine did not confirm it."""
+        """Cancels a stream; returns whether the engine confirmed it."""
         fields = {"request": request, "attempt": attempt}
-        answer = self._call("POST", wires.CANCEL, fields=fields)
-        return answer is not None and answer.status == 200
+        response = self._call("POST", wires.CANCEL_PATH, fields=fields)
+        return response is not None and response.status == 200
 
     def status(self) -> events.EngineStatus:
-        """Returns what the engine says; empty when it can't be reached."""
-        answer = self._call("GET", wires.STATUS_PATH)
-        status = _decoded(answer, wires.status_decoder)
+        """Returns the engine's status; empty when it can't be reached."""
+        response = self._call("GET", wires.STATUS_PATH)
+        status = _decode_response(response, wires.status_decoder)
         return status or events.EngineStatus()
 
     def order(self, order: messages.Order) -> messages.OrderAnswer:
-        """Gives an order; "down" when no answer came.
+        """Sends an order; the reason is "down" if no valid response came.
 
-        An order whose answer did not come may have been accepted; the status
-        tells.
+        Such an order may still have been accepted; the engine's status shows
+        whether it took effect.
         """
-        answer = self._call("POST", wires.ORDERS, body=wires.encode(order))
-        decoded = _decoded(answer, wires.order_answer_decoder)
-        return decoded or messages.OrderAnswer(accepted=False, reason=NO_ANSWER)
+        response = self._call(
+            "POST", wires.ORDERS_PATH, body=wires.encode(order)
+        )
+        decoded = _decode_response(response, wires.order_answer_decoder)
+        return decoded or messages.OrderAnswer(
+            accepted=False, reason=NO_ANSWER_REASON
+        )
 
     def cache_events(
         self, after: int, seconds: float = 0.0
     ) -> messages.CacheEvents | None:
-        """Returns cache events with greater numbers, or None if it is down.
+        """Returns cache events with higher numbers, or None on a fault.
 
         Args:
-            after: number of the last event known.
-            seconds: how long the engine may wait for the first one.
+            after: number of the last known event.
+            seconds: how long the engine may wait for the first event.
         """
         fields = {"after": after, "seconds": seconds}
-        answer = self._call(
+        response = self._call(
             "GET", wires.EVENTS_PATH, fields=fields, seconds=seconds
         )
-        return _decoded(answer, wires.cache_events_decoder)
+        return _decode_response(response, wires.cache_events_decoder)
 
     def export_kv(self, blocks: list[bytes]) -> messages.KvBlocks | None:
-        """Returns cached blocks from the start of a chain; None on a fault."""
+        """Exports the cached leading blocks of a chain; None on a fault."""
         body = wires.encode(wires.ExportRequest(blocks=blocks))
-        answer = self._call("POST", wires.KV_EXPORT, body=body)
-        return _decoded(answer, wires.kv_decoder)
+        response = self._call("POST", wires.KV_EXPORT_PATH, body=body)
+        return _decode_response(response, wires.kv_blocks_decoder)
 
     def import_kv(self, kv: messages.KvBlocks) -> float | None:
-        """Gives blocks; returns the seconds until they can be used.
+        """Imports blocks into the engine's cache.
 
         Returns:
-            None when the engine did not take them.
+            Seconds until the blocks can be used; None when the engine did not
+            accept them.
         """
-        answer = self._call("POST", wires.KV_IMPORT, body=wires.encode(kv))
-        decoded = _decoded(answer, wires.seconds_decoder)
+        response = self._call(
+            "POST", wires.KV_IMPORT_PATH, body=wires.encode(kv)
+        )
+        decoded = _decode_response(response, wires.import_answer_decoder)
         return None if decoded is None else decoded.seconds
 
     def _url(self, path: str, fields: dict[str, object] | None) -> str:
@@ -239,72 +251,84 @@
         except urllib3.exceptions.HTTPError:
             return None
 
-    def _begin(
+    def _submit(
         self,
         reader: streams.StreamReader,
-        call: "Call",
+        request: "StreamRequest",
         deliver: stream_tasks.Deliver,
     ) -> stream_tasks.OpenStream:
-        reading = stream_tasks.OpenStream(reader=reader, deliver=deliver)
+        stream = stream_tasks.OpenStream(reader=reader, deliver=deliver)
         try:
-            self.starters.submit(self._open, reading, call)
+            self.executor.submit(self._open_stream, stream, request)
         except RuntimeError:
-            # The executor takes nothing more: `close` was faster.
-            reading.deliver([reader.broken(CLOSED, results.Ran.NOT_RUN)])
-        return reading
+            # `close` has already shut the executor down.
+            stream.deliver(
+                [reader.mark_broken(CLIENT_CLOSED, results.Ran.NOT_RUN)]
+            )
+        return stream
 
-    def _open(self, reading: stream_tasks.OpenStream, call: "Call") -> None:
-        self.opening.add(reading)
+    def _open_stream(
+        self, stream: stream_tasks.OpenStream, request: "StreamRequest"
+    ) -> None:
+        self.opening_streams.add(stream)
         try:
-            going_on = self._first(reading, call)
+            unfinished = self._send_request(stream, request)
         except Exception as error:
-            # Nobody looks at what a starter raises; its receiver would wait
-            # for ever for the end of the stream.
-            going_on = False
-            reading.deliver([reading.reader.broken(f"defect: {error!r}")])
+            # An exception on an executor thread would go unnoticed, and the
+            # stream's receiver would wait for its end forever.
+            unfinished = False
+            stream.deliver([stream.reader.mark_broken(f"defect: {error!r}")])
         finally:
-            self.opening.discard(reading)
-        if going_on:
-            self.task.add(reading)
-        elif reading.answer is not None:
-            reading.answer.close()
-
-    def _first(self, reading: stream_tasks.OpenStream, call: "Call") -> bool:
-        """Sends a request; returns whether the stream task reads on."""
-        reader = reading.reader
+            self.opening_streams.discard(stream)
+        if unfinished:
+            self.task.add(stream)
+        elif stream.response is not None:
+            stream.response.close()
+
+    def _send_request(
+        self, stream: stream_tasks.OpenStream, request: "StreamRequest"
+    ) -> bool:
+        """Sends a request and reads the first bytes of its response.
+
+        Returns:
+            Whether the stream task has to read the rest.
+        """
+        reader = stream.reader
         if self.closing:
-            reading.deliver([reader.broken(CLOSED, results.Ran.NOT_RUN)])
+            stream.deliver(
+                [reader.mark_broken(CLIENT_CLOSED, results.Ran.NOT_RUN)]
+            )
             return False
-        timeout = urllib3.Timeout(connect=self.timeout, read=self.silence)
+        timeout = urllib3.Timeout(connect=self.timeout, read=self.idle_timeout)
         try:
-            reading.answer = self.pool.request(
-                call.method,
-                call.url,
-                body=call.body,
-                headers=call.headers,
+            stream.response = self.pool.request(
+                request.method,
+                request.url,
+                body=request.body,
+                headers=request.headers,
                 timeout=timeout,
                 preload_content=False,
             )
         except urllib3.exceptions.HTTPError as error:
             not_run = http_faults.never_sent(error)
             ran = results.Ran.NOT_RUN if not_run else results.Ran.RAN
-            reading.deliver([reader.broken(str(error), ran)])
+            stream.deliver([reader.mark_broken(str(error), ran)])
             return False
-        if reading.answer.status != 200:
-            reading.deliver([_refused(reader, reading.answer)])
+        if stream.response.status != 200:
+            stream.deliver([_refusal_event(reader, stream.response)])
             return False
         if self.closing:
-            reading.disconnect()
-        chunked = "transfer-encoding" in reading.answer.headers
-        reading.read()
-        while chunked and not reader.over and not reading.abandoned:
-            reading.read()
-        return not chunked and not reader.over
+            stream.disconnect()
+        chunked = "transfer-encoding" in stream.response.headers
+        stream.receive_and_deliver()
+        while chunked and not reader.finished and not stream.abandoned:
+            stream.receive_and_deliver()
+        return not chunked and not reader.finished
 
 
 @attrs.define(kw_only=True)
-class Call:
-    """A request that is answered by a stream."""
+class StreamRequest:
+    """An HTTP request whose response is a stream."""
 
     method: str
     url: str
@@ -312,55 +336,58 @@
     headers: dict[str, str] = attrs.field(factory=dict)
 
 
-class _Events:
-    """Iterator over the events of one stream; waits for the next."""
+class _EventIterator:
+    """Iterates over the events of one stream; blocks until the next one."""
 
-    def __init__(self, *, begin, abandon):
+    def __init__(self, *, start, abandon):
         self.queue = queue.SimpleQueue()
         self.abandon = abandon
-        self.waiting = collections.deque()
-        self.over = False
-        self.reading = begin(self.queue.put)
+        self.pending = collections.deque()
+        self.finished = False
+        self.stream = start(self.queue.put)
 
     def __iter__(self):
         return self
 
     def __next__(self) -> streams.Event:
-        if self.over:
+        if self.finished:
             raise StopIteration
-        while not self.waiting:
-            self.waiting.extend(self.queue.get())
-        event = self.waiting.popleft()
-        self.over = isinstance(event, events.EngineEnded | events.EngineBroken)
+        while not self.pending:
+            self.pending.extend(self.queue.get())
+        event = self.pending.popleft()
+        self.finished = isinstance(
+            event, events.EngineEnded | events.EngineBroken
+        )
         return event
 
     def close(self) -> None:
-        """Gives the rest of the stream up."""
-        self.over = True
-        self.abandon(self.reading)
+        """Abandons the rest of the stream."""
+        self.finished = True
+        self.abandon(self.stream)
 
 
-def _refused(
-    reader: streams.StreamReader, answer: urllib3.BaseHTTPResponse
+def _refusal_event(
+    reader: streams.StreamReader, response: urllib3.BaseHTTPResponse
 ) -> events.EngineBroken:
     try:
-        data = answer.read(decode_content=False)
+        data = response.read(decode_content=False)
         refusal = wires.refusal_decoder.decode(data)
     except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
-        # Some other server's words, or half an answer: it may have run.
-        return reader.broken(f"status {answer.status}")
+        # The response is from another server or truncated, so the completion
+        # may have run.
+        return reader.mark_broken(f"status {response.status}")
     if (
-        answer.status != wires.REFUSED_STATUS
+        response.status != wires.REFUSED_STATUS
         or refusal.ran != results.Ran.NOT_RUN
     ):
-        return reader.broken(refusal.reason)
-    return reader.broken(refusal.reason, results.Ran.NOT_RUN)
+        return reader.mark_broken(refusal.reason)
+    return reader.mark_broken(refusal.reason, results.Ran.NOT_RUN)
 
 
-def _decoded(answer, decoder):
-    if answer is None or answer.status != 200:
+def _decode_response(response, decoder):
+    if response is None or response.status != 200:
         return None
     try:
-        return decoder.decode(answer.data)
+        return decoder.decode(response.data)
     except msgspec.MsgspecError:
         return None
--- a/pimentoledge/runners/fake_answers.py
+++ b/pimentoledge/runners/fake_answers.py
@@ -1,4 +1,4 @@
-"""What fake engines generate: the same text for the same prompt."""
+"""Deterministic answers of the fake engine, derived from the prompt."""
 
 import functools
 import zlib
@@ -31,35 +31,38 @@
 LENGTH = "length"
 
 
-def seed_of(prompt: bytes) -> int:
-    """Returns what the text of a prompt's answer depends on."""
+def text_seed(prompt: bytes) -> int:
+    """Returns the seed from which the answer to a prompt is generated."""
     return zlib.crc32(prompt)
 
 
 def generate_text(seed: int, first: int, count: int) -> str:
-    """Returns so many tokens of an answer, a numbered word for each."""
-    size = len(WORDS)
+    """Returns `count` tokens of an answer; each is a numbered word."""
+    word_count = len(WORDS)
     if count == 1:
-        return f"{WORDS[(seed + first) % size]}{first} "
+        return f"{WORDS[(seed + first) % word_count]}{first} "
     return "".join(
-        [f"{WORDS[(seed + n) % size]}{n} " for n in range(first, first + count)]
+        [
+            f"{WORDS[(seed + n) % word_count]}{n} "
+            for n in range(first, first + count)
+        ]
     )
 
 
 @attrs.define(kw_only=True)
 class Parameters:
-    """The sampling parameters that the fake knows.
+    """The sampling parameters that the fake engine supports.
 
     Attributes:
-        fake_length: tokens after which the answer ends by itself; 0 for
-            never, so that it ends at max_tokens.
+        fake_length: tokens after which the answer stops; with 0 it ends only
+            at max_tokens.
     """
 
     fake_length: int = 0
 
 
 @functools.lru_cache(maxsize=256)
-def _parameters(raw: bytes) -> Parameters:
+def _decode_parameters(raw: bytes) -> Parameters:
     try:
         return msgspec.json.decode(raw, type=Parameters)
     except msgspec.MsgspecError:
@@ -67,11 +70,11 @@
 
 
 @attrs.frozen(kw_only=True)
-class End:
-    """Where an answer ends, and how.
+class AnswerEnd:
+    """Length and finish reason of an answer.
 
     Attributes:
-        tokens: tokens of the whole answer.
+        tokens: number of tokens in the whole answer.
         reason: the finish reason.
     """
 
@@ -79,9 +82,9 @@
     reason: str
 
 
-def end_of(completion: messages.Completion) -> End:
-    """Returns where the answer to a completion ends."""
-    length = _parameters(completion.parameters).fake_length
+def end_of(completion: messages.Completion) -> AnswerEnd:
+    """Returns length and finish reason of a completion's answer."""
+    length = _decode_parameters(completion.parameters).fake_length
     if 0 < length <= completion.max_tokens:
-        return End(tokens=length, reason=STOP)
-    return End(tokens=completion.max_tokens, reason=LENGTH)
+        return AnswerEnd(tokens=length, reason=STOP)
+    return AnswerEnd(tokens=completion.max_tokens, reason=LENGTH)
--- a/pimentoledge/runners/fake_engines.py
+++ b/pimentoledge/runners/fake_engines.py
@@ -1,10 +1,10 @@
-"""A model engine as a pure state machine, with its faults.
+"""A fake model engine as a pure state machine, with simulated faults.
 
-It batches continuously: prefill of one completion at a time, beside steps in
-which each stream of the batch gets one token. Whoever drives it gives the
-time: `step(now)` does everything that is due and returns what came out, and
-`next_wake()` says when the next thing is due. The same calls serve a test in
-virtual time and the HTTP server.
+It uses continuous batching: one completion at a time is prefilled, while
+decode steps generate one token for each stream of the batch. The caller
+supplies the time: `step(now)` processes everything that is due and returns the
+events produced, and `next_wake()` returns when the next step is due. Tests in
+virtual time and the HTTP server make the same calls.
 
     engine = FakeEngine(slots=4, cache_blocks=1000)
     refused = engine.submit(run, salt, now)
@@ -28,36 +28,37 @@
 from pimentoledge.runners import messages
 from pimentoledge.runners import streams
 
-KEPT_STREAMS = 4096
+MAX_ENDED_STREAMS = 4096
 MAX_WAITING = 1000
 CRASHED = "crashed"
 CANCELLED = "cancelled"
 
 
 def expected_text(prompt: str, first: int, count: int) -> str:
-    """Returns what every engine generates for a prompt.
+    """Returns the text that every fake engine generates for a prompt.
 
     Args:
         prompt: the prompt.
-        first: number of the first token, from 0 over the whole answer.
-        count: tokens.
+        first: index of the first token in the whole answer, from 0.
+        count: number of tokens.
     """
-    seed = fake_answers.seed_of(prompt.encode("utf-8"))
+    seed = fake_answers.text_seed(prompt.encode("utf-8"))
     return fake_answers.generate_text(seed, first, count)
 
 
 @attrs.define(kw_only=True)
 class Counters:
-    """What an engine did, over all its lives.
+    """Counters of an engine over all its incarnations.
 
     Attributes:
-        runs: how often each request id entered the batch.
+        runs: how often the prefill of each request id began.
         computed_tokens: prompt tokens computed.
-        cached_tokens: prompt tokens taken from the cache.
+        cached_tokens: prompt tokens found in the cache.
         generated_tokens: tokens generated.
-        crashes: crashes.
+        crashes: number of crashes.
         cancelled: streams cancelled.
-        wrong_continuations: continuations of a text that is not its own.
+        wrong_continuations: completions whose `continued` text differs from
+            what the engine generates.
     """
 
     runs: collections.Counter = attrs.field(factory=collections.Counter)
@@ -70,33 +71,34 @@
 
 
 class FakeEngine:
-    """A model engine without clock, thread or socket.
+    """A fake model engine without clock, threads or sockets.
 
     Attributes:
-        name: first part of its incarnations.
-        slots: streams in the batch at most; with none it only keeps KV
-            cache, for export and import.
+        name: prefix of its incarnation ids.
+        slots: maximum number of streams in the batch; with 0 it only stores
+            KV blocks for export and import.
         token_seconds: prefill time of one uncached prompt token.
         step_seconds: time between two tokens of a stream.
-        checks_orders: whether it refuses an old fencing number.
-        text_every: tokens of a stream per EngineText after its first.
-        max_waiting: completions in its own queue; more are refused.
-        report_lag: seconds by which the status is late.
+        checks_orders: whether it refuses orders with a stale fencing token.
+        text_every: tokens of a stream per EngineText after the first one.
+        max_waiting: length of its own queue; more completions are refused.
+        report_lag: delay of the reported status in seconds.
         kv_block_seconds: time to export or import one block.
-        restart_seconds: time after a crash until it comes back by itself;
-            None to stay down until `restart`.
-        poison: a prompt with this marker crashes it; empty for none.
-        poison_after: tokens that such a prompt generates before the crash.
-        forgets_fencing: whether a crash makes it forget the highest fencing
-            number.
-        incarnation: id of this life; empty while it is down.
-        weights: weights version loaded; after a crash the one it was made
-            with.
-        adapters: adapters loaded; likewise.
+        restart_seconds: time from a crash to the automatic restart; None to
+            stay down until `restart` is called.
+        poison: a prompt that contains this marker crashes the engine; empty
+            for none.
+        poison_after: tokens generated for such a prompt before the crash.
+        resets_fencing: whether a restart resets the highest fencing token to
+            0.
+        starts: number of starts, including the first.
+        incarnation: id of the current incarnation; empty while it is down.
+        weights: weights version loaded; a restart loads the initial one.
+        adapters: adapters loaded; a restart loads the initial ones.
         role: its role; reported, without further effect.
-        fencing: highest fencing number seen.
-        cache: its blocks.
-        counters: what it did.
+        fencing: highest fencing token seen.
+        cache: its block cache.
+        counters: its counters.
     """
 
     def __init__(
@@ -133,17 +135,17 @@
         self.restart_seconds: float | None = None
         self.poison = ""
         self.poison_after = 0
-        self.forgets_fencing = False
+        self.resets_fencing = False
         self.fencing = 0
         self.counters = Counters()
-        self.lives = 0
+        self.starts = 0
         self.now = 0.0
         self.output: list[streams.Event] = []
-        self._begin_life()
+        self._start_incarnation()
 
     @property
     def event_delay(self) -> float:
-        """Seconds by which cache events are late."""
+        """Delay of the cache events in seconds."""
         return self.log_faults.delay
 
     @event_delay.setter
@@ -152,7 +154,7 @@
 
     @property
     def event_loss(self) -> float:
-        """Share of the cache events that get lost, from 0 to 1."""
+        """Fraction of the cache events that are lost, from 0 to 1."""
         return self.log_faults.loss
 
     @event_loss.setter
@@ -166,118 +168,118 @@
         now: float,
         chain: list[bytes] | None = None,
     ) -> events.EngineBroken | None:
-        """Takes a completion in, or refuses it.
+        """Queues a completion, or refuses it.
 
-        `max_tokens` counts the whole answer: a continuation generates what
-        is left behind its `continued_tokens`.
+        `max_tokens` counts the whole answer: a continuation generates only
+        the tokens after its `continued_tokens`.
 
         Args:
             run: the completion.
-            salt: what its cached blocks depend on, beside its text.
+            salt: the cache salt, which separates blocks with equal text.
             now: the time.
-            chain: digests of its blocks, where the caller has them already.
+            chain: digests of its blocks; computed here if None.
 
         Returns:
-            None when it was taken in, else why not.
+            None when it was accepted, else the refusal.
         """
         self.now = now
         key = (run.request, run.attempt)
         if key in self.streams:
             return fake_streams.broken_event(key, results.Ran.RAN, "duplicate")
-        if reason := self._refusal(run):
+        if reason := self._refusal_reason(run):
             return fake_streams.broken_event(key, results.Ran.NOT_RUN, reason)
-        stream = self._stream(run, salt, chain)
+        stream = self._create_stream(run, salt, chain)
         self.streams[key] = stream
         self._queue_of(stream).append(stream)
         self._begin_prefill(now)
-        self._changed(now)
+        self._record_status(now)
         return None
 
     def step(self, now: float) -> list[streams.Event]:
-        """Does all that is due by now, in order; returns what came out."""
+        """Processes all that is due by now, in order; returns the events."""
         while True:
-            due = self._next_due()
+            due = self._next_due_time()
             if due > now:
                 break
             self.now = due
-            self._do(due)
+            self._run_due(due)
         self.now = now
         output = self.output
         self.output = []
         return output
 
     def next_wake(self) -> float | None:
-        """Returns when the next thing is due; None for never."""
+        """Returns when the next step is due; None for never."""
         if self.output:
             return self.now
-        due = self._next_due()
+        due = self._next_due_time()
         return None if due == math.inf else due
 
     def cancel(self, request: str, attempt: int, now: float) -> bool:
-        """Ends a stream; False when it isn't here."""
+        """Cancels a stream; returns False for an unknown one."""
         self.now = now
         stream = self.streams.get((request, attempt))
         if stream is None:
             return False
         started = stream is self.prefill or stream in self.decoding
         if stream is self.prefill:
-            self._stop_prefill()
+            self._clear_prefill()
         elif started:
             self.decoding.remove(stream)
             if not self.decoding:
-                self.tick_due = math.inf
+                self.decode_due = math.inf
         else:
             self._queue_of(stream).remove(stream)
-        self._forget(stream)
+        self._remove_stream(stream)
         self.counters.cancelled += 1
         ran = results.Ran.RAN if started else results.Ran.NOT_RUN
         self.output.append(
             fake_streams.broken_event((request, attempt), ran, CANCELLED)
         )
         self._begin_prefill(now)
-        self._changed(now)
+        self._record_status(now)
         return True
 
     def resume(
         self, request: str, attempt: int, index: int
     ) -> list[streams.Event] | None:
-        """Returns a stream from a token on, as far as it got.
+        """Returns the events of a stream from a token on.
 
-        What comes after is part of the next steps' output, as always.
+        Tokens generated later are part of the output of the next steps.
 
         Args:
             request: request id.
             attempt: attempt number.
-            index: first token wanted, from 0 within the attempt.
+            index: first token to return, from 0 within the attempt.
 
         Returns:
-            The text, and the end if it has ended; None for a stream that the
-            engine does not have or no longer knows.
+            The text sent so far, and the end event if the stream has ended.
+            None if the stream is unknown or not yet at this token.
         """
         key = (request, attempt)
         stream = self.streams.get(key) or self.ended.get(key)
         if stream is None or index > stream.sent:
             return None
-        found: list[streams.Event] = []
+        resumed_events: list[streams.Event] = []
         if index < stream.sent:
-            found.append(stream.piece(index, stream.sent - index))
+            resumed_events.append(stream.text_event(index, stream.sent - index))
         if key in self.ended:
-            found.append(stream.end())
-        return found
+            resumed_events.append(stream.ended_event())
+        return resumed_events
 
     def status(self, now: float) -> events.EngineStatus:
-        """Returns what the engine says of itself; late by `report_lag`."""
+        """Returns the engine's status as of `report_lag` seconds ago."""
         if not self.incarnation:
             return events.EngineStatus()
-        if self.report_lag <= 0 or not self.reports:
+        if self.report_lag <= 0 or not self.statuses:
             return self._snapshot()
-        self._drop_reports(now)
-        return self.reports[0][1]
+        self._drop_old_statuses(now)
+        return self.statuses[0][1]
 
     def cache_events(
         self, after: int, now: float
     ) -> messages.CacheEvents | None:
-        """Returns cache events of this life; None while it is down."""
+        """Returns this incarnation's cache events; None while it is down."""
         if not self.incarnation:
             return None
         return messages.CacheEvents(
@@ -286,10 +288,11 @@
         )
 
     def order(self, order: messages.Order, now: float) -> messages.OrderAnswer:
-        """Carries out an order, or refuses it.
+        """Executes an order, or refuses it.
 
-        A load empties the cache and takes the weight store's time, in which
-        the engine takes no completion; it is refused while there is work.
+        A load takes as long as the weight store determines and empties the
+        cache. Completions are refused until it ends, and the load itself is
+        refused while the engine has any streams.
         """
         self.now = now
         if not self.incarnation:
@@ -319,58 +322,59 @@
         return self._accept_order()
 
     def export_kv(self, chain: list[bytes]) -> messages.KvBlocks:
-        """Returns the blocks of a chain that are here, from its start."""
-        found = chain[: self.cache.match(chain)] if self.incarnation else []
-        seconds = self.kv_block_seconds * len(found)
-        return messages.KvBlocks(blocks=found, seconds=seconds)
+        """Returns the cached leading blocks of a chain."""
+        cached = chain[: self.cache.match(chain)] if self.incarnation else []
+        seconds = self.kv_block_seconds * len(cached)
+        return messages.KvBlocks(blocks=cached, seconds=seconds)
 
     def import_kv(self, kv: messages.KvBlocks, now: float) -> float | None:
-        """Takes blocks in; returns the seconds until they can be used.
+        """Imports blocks into the cache.
 
         Returns:
-            None while the engine is down or loads weights.
+            Seconds until the blocks can be used; None while the engine is
+            down or loads weights.
         """
         self.now = now
         if not self.incarnation or self.loading:
             return None
         seconds = self.kv_block_seconds * len(kv.blocks)
-        self.imports.append((now + seconds, kv.blocks))
-        self.imports.sort(key=lambda each: each[0])
+        self.pending_imports.append((now + seconds, kv.blocks))
+        self.pending_imports.sort(key=lambda each: each[0])
         return seconds
 
     def crash(self, now: float) -> None:
-        """Dies: all streams break, and the cache is lost."""
+        """Simulates a crash: all streams break, and the cache is lost."""
         self.now = now
         if not self.incarnation:
             return
         self.counters.crashes += 1
         for key in self.streams:
-            # From outside nobody can tell whether a stream had begun.
+            # A client can't know whether the stream had started running.
             self.output.append(
                 fake_streams.broken_event(key, results.Ran.RAN, CRASHED)
             )
-        self._empty()
+        self._reset()
         self.incarnation = ""
         if self.restart_seconds is not None:
             self.restart_due = now + self.restart_seconds
 
     def restart(self, now: float) -> None:
-        """Comes back empty, as it was made, with a new incarnation."""
+        """Starts a new incarnation with the initial weights and no cache."""
         self.now = now
         if not self.incarnation:
-            self._begin_life()
+            self._start_incarnation()
 
-    def _begin_life(self) -> None:
-        self.lives += 1
-        self.incarnation = f"{self.name}-{self.seed}-{self.lives}"
+    def _start_incarnation(self) -> None:
+        self.starts += 1
+        self.incarnation = f"{self.name}-{self.seed}-{self.starts}"
         self.weights = self.boot_weights
         self.adapters = list(self.boot_adapters)
         self.role = "both"
-        if self.forgets_fencing:
+        if self.resets_fencing:
             self.fencing = 0
-        self._empty()
+        self._reset()
 
-    def _empty(self) -> None:
+    def _reset(self) -> None:
         self.streams: dict[tuple[str, int], fake_streams.FakeStream] = {}
         self.ended: collections.OrderedDict[
             tuple[str, int], fake_streams.FakeStream
@@ -384,23 +388,23 @@
         self.prefill: fake_streams.FakeStream | None = None
         self.decoding: list[fake_streams.FakeStream] = []
         self.loading = ""
-        self.imports: list[tuple[float, list[bytes]]] = []
-        self.reports: collections.deque[tuple[float, events.EngineStatus]] = (
+        self.pending_imports: list[tuple[float, list[bytes]]] = []
+        self.statuses: collections.deque[tuple[float, events.EngineStatus]] = (
             collections.deque()
         )
         self.prefill_due = math.inf
-        self.tick_due = math.inf
+        self.decode_due = math.inf
         self.load_due = math.inf
         self.restart_due = math.inf
-        self._empty_cache()
+        self._reset_cache()
 
-    def _empty_cache(self) -> None:
+    def _reset_cache(self) -> None:
         log = fake_caches.CacheLog(
-            faults=self.log_faults, seed=self.seed * 1000 + self.lives
+            faults=self.log_faults, seed=self.seed * 1000 + self.starts
         )
         self.cache = fake_caches.BlockCache(capacity=self.cache_blocks, log=log)
 
-    def _refusal(self, run: actions.RunCompletion) -> str:
+    def _refusal_reason(self, run: actions.RunCompletion) -> str:
         if not self.incarnation:
             return "down"
         if self.slots == 0:
@@ -414,7 +418,7 @@
             return "full"
         return ""
 
-    def _stream(
+    def _create_stream(
         self,
         run: actions.RunCompletion,
         salt: str,
@@ -425,11 +429,11 @@
             chain = blocks.chain(
                 salt=salt, prompt=prompt, block_bytes=self.block_bytes
             )
-        stream = fake_streams.begin(run, prompt, chain)
+        stream = fake_streams.create_stream(run, prompt, chain)
         stream.poisonous = bool(self.poison) and (
             self.poison in run.completion.prompt
         )
-        if run.completion.continued != stream.text(0, stream.first):
+        if run.completion.continued != stream.text(0, stream.first_token):
             self.counters.wrong_continuations += 1
         return stream
 
@@ -438,31 +442,31 @@
     ) -> collections.deque[fake_streams.FakeStream]:
         return self.interactive if stream.interactive else self.batch
 
-    def _next_due(self) -> float:
-        due = self.tick_due
+    def _next_due_time(self) -> float:
+        due = self.decode_due
         if self.prefill_due < due:
             due = self.prefill_due
         if self.load_due < due:
             due = self.load_due
         if self.restart_due < due:
             due = self.restart_due
-        if self.imports and self.imports[0][0] < due:
-            due = self.imports[0][0]
+        if self.pending_imports and self.pending_imports[0][0] < due:
+            due = self.pending_imports[0][0]
         return due
 
-    def _do(self, due: float) -> None:
-        if self.imports and self.imports[0][0] <= due:
-            _, found = self.imports.pop(0)
-            stored = self.cache.store(found, due)
-            self.cache.release(found[:stored])
+    def _run_due(self, due: float) -> None:
+        if self.pending_imports and self.pending_imports[0][0] <= due:
+            _, imported = self.pending_imports.pop(0)
+            stored = self.cache.store(imported, due)
+            self.cache.release(imported[:stored])
         elif self.load_due <= due:
             self._end_load()
         elif self.restart_due <= due:
-            self._begin_life()
+            self._start_incarnation()
         elif self.prefill_due <= due:
             self._end_prefill(due)
         else:
-            self._tick(due)
+            self._decode_step(due)
 
     def _begin_prefill(self, now: float) -> None:
         if self.prefill is not None or len(self.decoding) >= self.slots:
@@ -473,13 +477,17 @@
             stream = self.batch.popleft()
         else:
             return
-        depth = self.cache.match(stream.chain)
-        self.cache.pin(stream.chain[:depth])
-        stream.pinned = depth
-        stream.cached_tokens = blocks.tokens_in(depth * self.block_bytes)
-        uncached = stream.prompt_tokens + stream.first - stream.cached_tokens
+        cached_blocks = self.cache.match(stream.chain)
+        self.cache.pin(stream.chain[:cached_blocks])
+        stream.pinned_blocks = cached_blocks
+        stream.cached_tokens = blocks.tokens_in(
+            cached_blocks * self.block_bytes
+        )
+        uncached_tokens = (
+            stream.prompt_tokens + stream.first_token - stream.cached_tokens
+        )
         self.prefill = stream
-        self.prefill_due = now + max(uncached, 1) * self.token_seconds
+        self.prefill_due = now + max(uncached_tokens, 1) * self.token_seconds
         self.counters.runs[stream.request] += 1
         self.output.append(
             events.EngineStarted(
@@ -491,79 +499,81 @@
             )
         )
 
-    def _stop_prefill(self) -> None:
+    def _clear_prefill(self) -> None:
         self.prefill = None
         self.prefill_due = math.inf
 
     def _end_prefill(self, now: float) -> None:
         stream = self.prefill
-        self._stop_prefill()
+        self._clear_prefill()
         computed = stream.prompt_tokens - stream.cached_tokens
         self.counters.computed_tokens += computed
         self.counters.cached_tokens += stream.cached_tokens
-        rest = stream.chain[stream.pinned :]
-        stream.pinned += self.cache.store(rest, now)
+        uncached_blocks = stream.chain[stream.pinned_blocks :]
+        stream.pinned_blocks += self.cache.store(uncached_blocks, now)
         if not self.decoding:
-            self.tick_due = now + self.step_seconds
+            self.decode_due = now + self.step_seconds
         self.decoding.append(stream)
         if self._advance([stream], now):
             self._begin_prefill(now)
-            self._changed(now)
+            self._record_status(now)
 
-    def _tick(self, now: float) -> None:
-        self.tick_due = now + self.step_seconds
+    def _decode_step(self, now: float) -> None:
+        self.decode_due = now + self.step_seconds
         if self._advance(list(self.decoding), now):
             self._begin_prefill(now)
 
     def _advance(
         self, streams: list[fake_streams.FakeStream], now: float
     ) -> bool:
-        """Gives each stream a token; False when that crashed the engine."""
-        every = self.text_every
+        """Generates a token per stream; returns False if the engine crashed."""
+        text_every = self.text_every
         ended = []
         for stream in streams:
-            if stream.poisonous and stream.made >= self.poison_after:
+            if stream.poisonous and stream.generated >= self.poison_after:
                 self.crash(now)
                 return False
-            if stream.first + stream.made < stream.last:
-                stream.made += 1
+            if stream.first_token + stream.generated < stream.end_token:
+                stream.generated += 1
                 self.counters.generated_tokens += 1
-            unsent = stream.made - stream.sent
-            over = stream.first + stream.made >= stream.last
-            if unsent and (over or unsent >= every or stream.made == 1):
-                self.output.append(stream.piece(stream.sent, unsent))
-                stream.sent = stream.made
-            if over:
-                self.output.append(stream.end())
+            unsent = stream.generated - stream.sent
+            finished = stream.first_token + stream.generated >= stream.end_token
+            if unsent and (
+                finished or unsent >= text_every or stream.generated == 1
+            ):
+                self.output.append(stream.text_event(stream.sent, unsent))
+                stream.sent = stream.generated
+            if finished:
+                self.output.append(stream.ended_event())
                 ended.append(stream)
         if ended:
             self._finish(ended)
-            self._changed(now)
+            self._record_status(now)
         return True
 
     def _finish(self, ended: list[fake_streams.FakeStream]) -> None:
         for stream in ended:
-            self._forget(stream)
+            self._remove_stream(stream)
             self.ended[(stream.request, stream.attempt)] = stream
-            if len(self.ended) > KEPT_STREAMS:
+            if len(self.ended) > MAX_ENDED_STREAMS:
                 self.ended.popitem(last=False)
         self.decoding = [each for each in self.decoding if each not in ended]
         if not self.decoding:
-            self.tick_due = math.inf
+            self.decode_due = math.inf
 
-    def _forget(self, stream: fake_streams.FakeStream) -> None:
+    def _remove_stream(self, stream: fake_streams.FakeStream) -> None:
         del self.streams[(stream.request, stream.attempt)]
-        self.cache.release(stream.chain[: stream.pinned])
+        self.cache.release(stream.chain[: stream.pinned_blocks])
 
-    def _changed(self, now: float) -> None:
+    def _record_status(self, now: float) -> None:
         if self.report_lag > 0:
-            self._drop_reports(now)
-            self.reports.append((now, self._snapshot()))
+            self._drop_old_statuses(now)
+            self.statuses.append((now, self._snapshot()))
 
-    def _drop_reports(self, now: float) -> None:
+    def _drop_old_statuses(self, now: float) -> None:
         horizon = now - self.report_lag
-        while len(self.reports) > 1 and self.reports[1][0] <= horizon:
-            self.reports.popleft()
+        while len(self.statuses) > 1 and self.statuses[1][0] <= horizon:
+            self.statuses.popleft()
 
     def _snapshot(self) -> events.EngineStatus:
         return events.EngineStatus(
@@ -587,19 +597,20 @@
         if self.weights == weights:
             return self._accept_order()
         self.loading = weights
-        self.load_due = now + self.weight_store.begin(now)
+        self.load_due = now + self.weight_store.begin_load(now)
         return self._accept_order()
 
     def _end_load(self) -> None:
         self.weights = self.loading
         self.loading = ""
         self.load_due = math.inf
-        old = self.cache
-        self._empty_cache()
-        # Numbers go on: one incarnation has one sequence of events.
-        self.cache.log = old.log
-        for block in old.free:
-            old.log.record(block, self.now, stored=False)
+        old_cache = self.cache
+        self._reset_cache()
+        # The log is kept: events of one incarnation are numbered without a
+        # restart.
+        self.cache.log = old_cache.log
+        for block in old_cache.free:
+            old_cache.log.record(block, self.now, stored=False)
 
     def _accept_order(self) -> messages.OrderAnswer:
         highest = self.fencing if self.checks_orders else 0
--- a/pimentoledge/runners/fake_weight_stores.py
+++ b/pimentoledge/runners/fake_weight_stores.py
@@ -1,33 +1,34 @@
-"""The weight store: loads take longer when many happen at one time."""
+"""A fake weight store whose loads slow down with concurrency."""
 
 
 class WeightStore:
-    """Says how long each load of weights takes.
+    """Determines how long each load of weights takes.
 
     Attributes:
-        load_seconds: time of a load while no more than `concurrent` run.
-        concurrent: loads at one time that the store serves at full speed.
-        loads: loads so far.
-        most: most loads that ran at one time.
+        load_seconds: duration of a load while no more than `concurrent` run.
+        concurrent: number of concurrent loads served at full speed.
+        loads: number of loads so far.
+        max_running: highest number of concurrent loads so far.
+        end_times: end times of the running loads.
     """
 
     def __init__(self, *, load_seconds: float = 0.5, concurrent: int = 3):
         self.load_seconds = load_seconds
         self.concurrent = concurrent
         self.loads = 0
-        self.most = 0
-        self.ends: list[float] = []
+        self.max_running = 0
+        self.end_times: list[float] = []
 
-    def begin(self, now: float) -> float:
-        """Begins a load; returns its seconds.
+    def begin_load(self, now: float) -> float:
+        """Begins a load and returns its duration in seconds.
 
-        The time is fixed at the start, in proportion to the loads then
-        running: later ones do not slow it down any more.
+        The duration is fixed at the start, in proportion to the number of
+        loads then running; later loads do not extend it.
         """
-        self.ends = [end for end in self.ends if end > now]
-        running = len(self.ends) + 1
+        self.end_times = [end for end in self.end_times if end > now]
+        running = len(self.end_times) + 1
         seconds = self.load_seconds * max(1.0, running / self.concurrent)
-        self.ends.append(now + seconds)
+        self.end_times.append(now + seconds)
         self.loads += 1
-        self.most = max(self.most, running)
+        self.max_running = max(self.max_running, running)
         return seconds
--- a/pimentoledge/runners/stream_tasks.py
+++ b/pimentoledge/runners/stream_tasks.py
@@ -1,4 +1,4 @@
-"""Reads the streams of one engine on one thread."""
+"""Reads all streams of one engine on a single thread."""
 
 import collections
 from collections.abc import Callable
@@ -14,190 +14,196 @@
 from pimentoledge.runners import streams
 
 READ_BYTES = 65536
-# How often silent streams are looked for, in seconds.
-SWEEP_SECONDS = 1.0
+# Interval of the checks for idle streams.
+IDLE_CHECK_SECONDS = 1.0
 
 Deliver = Callable[[list[streams.Event]], None]
 
 
 @attrs.define(kw_only=True, eq=False)
 class OpenStream:
-    """A stream that is being read.
+    """A stream whose response is being read.
 
     Attributes:
-        reader: makes events of its bytes.
-        answer: the HTTP answer that it comes in.
-        deliver: gets the events.
-        last_received: when the last bytes came.
+        reader: parses its bytes into events.
+        response: the HTTP response; None until its headers have arrived.
+        deliver: callback that receives the events.
+        last_received: when the last bytes arrived.
         descriptor: file descriptor of its socket while a task reads it.
-        abandoned: whether nobody wants the rest.
+        abandoned: whether the receiver no longer needs the rest.
     """
 
     reader: streams.StreamReader
-    answer: urllib3.BaseHTTPResponse | None = None
+    response: urllib3.BaseHTTPResponse | None = None
     deliver: Deliver
     last_received: float = 0.0
     descriptor: int = -1
     abandoned: bool = False
 
     def receive(self) -> list[streams.Event]:
-        """Reads what has arrived; waits for it if nothing has.
+        """Reads what has arrived; blocks if nothing has.
 
-        Nothing stays behind in the HTTP library's buffer, unless the answer
-        comes in chunks: a read that is larger than the buffer empties it, and
-        goes to the socket itself when it is empty.
+        No bytes remain in the HTTP library's buffer, unless the response uses
+        chunked encoding: a read larger than the buffer drains it, and reads
+        from the socket directly when the buffer is empty.
         """
         try:
-            data = self.answer.read1(READ_BYTES, decode_content=False)
+            data = self.response.read1(READ_BYTES, decode_content=False)
         except (urllib3.exceptions.HTTPError, OSError, ValueError) as error:
-            # ValueError: the answer was closed already.
-            return [self.reader.broken(str(error))]
+            # ValueError: the response is already closed.
+            return [self.reader.mark_broken(str(error))]
         if not data:
             return [
-                self.reader.broken("the stream stopped without its end mark")
+                self.reader.mark_broken(
+                    "the stream stopped without its end mark"
+                )
             ]
         return list(self.reader.feed(data))
 
-    def read(self) -> None:
-        """Reads, and gives the receiver what came."""
-        if found := self.receive():
-            self.deliver(found)
+    def receive_and_deliver(self) -> None:
+        """Reads what has arrived and passes its events to the receiver."""
+        if received := self.receive():
+            self.deliver(received)
 
     def disconnect(self) -> None:
-        """Ends the connection, from any thread; `receive` then sees the end."""
+        """Shuts the connection down so that `receive` ends; thread-safe."""
         try:
-            copy = socket.socket(fileno=os.dup(self.answer.fileno()))
+            copy = socket.socket(fileno=os.dup(self.response.fileno()))
         except (AttributeError, OSError, ValueError):
-            # No answer yet, or it has been closed already.
+            # There is no response yet, or it is already closed.
             return
         with copy:
             try:
                 copy.shutdown(socket.SHUT_RDWR)
             except OSError:
-                # The engine was faster.
+                # The engine has already closed the connection.
                 return
 
 
 class StreamTask:
     """Owns the connections of all streams of one engine.
 
-    A thread for each stream costs a thread switch for each token, and they
-    all wake together at each step of the engine. So one thread waits for all
-    sockets, and gives what came in one round to each receiver in one call.
+    One thread per stream would cost a thread switch per token, and all threads
+    would wake up at each step of the engine. Instead, one thread waits for all
+    sockets and passes the events of one round to each receiver in one call.
 
-    Only answers that aren't in chunks can be read so: of a chunked one, parts
-    may already lie in the HTTP library's buffer, where a selector does not
+    This works only for responses without chunked encoding: parts of a chunked
+    one may already be in the HTTP library's buffer, where a selector does not
     see them.
 
     Attributes:
-        silence: seconds without a byte after which a stream is broken.
+        idle_timeout: seconds without a byte after which a stream is broken.
+        new_streams: streams that the thread has not registered yet.
+        open_streams: streams registered with the selector.
     """
 
-    def __init__(self, *, silence: float):
-        self.silence = silence
+    def __init__(self, *, idle_timeout: float):
+        self.idle_timeout = idle_timeout
         self.selector = None
-        self.inbox: collections.deque[OpenStream] = collections.deque()
-        self.readings: set[OpenStream] = set()
+        self.new_streams: collections.deque[OpenStream] = collections.deque()
+        self.open_streams: set[OpenStream] = set()
         self.closing = False
         self.thread = None
 
     def start(self) -> None:
         """Starts the thread."""
         self.selector = selectors.DefaultSelector()
-        self.waker, self.wakened = socket.socketpair()
-        self.waker.setblocking(False)
-        self.selector.register(self.wakened, selectors.EVENT_READ)
+        self.wake_sender, self.wake_receiver = socket.socketpair()
+        self.wake_sender.setblocking(False)
+        self.selector.register(self.wake_receiver, selectors.EVENT_READ)
         self.thread = threading.Thread(target=self.run, name="engine-streams")
         self.thread.start()
 
     def close(self) -> None:
-        """Breaks the streams that still run, and ends the thread."""
+        """Ends all open streams as broken, and stops the thread."""
         self.closing = True
         self.wake()
         self.thread.join()
         self.selector.close()
-        self.waker.close()
-        self.wakened.close()
+        self.wake_sender.close()
+        self.wake_receiver.close()
 
-    def add(self, reading: OpenStream) -> None:
-        """Begins to read a stream; from any thread."""
-        self.inbox.append(reading)
+    def add(self, stream: OpenStream) -> None:
+        """Starts reading a stream; thread-safe."""
+        self.new_streams.append(stream)
         self.wake()
 
-    def abandon(self, reading: OpenStream) -> None:
-        """Ends a stream that nobody wants any more, without an event."""
-        reading.abandoned = True
+    def abandon(self, stream: OpenStream) -> None:
+        """Closes a stream that is no longer needed, without an event."""
+        stream.abandoned = True
         self.wake()
 
     def wake(self) -> None:
-        """Makes the thread look at its inbox."""
+        """Makes the thread process new and abandoned streams."""
         try:
-            self.waker.send(b"w")
+            self.wake_sender.send(b"w")
         except BlockingIOError:
-            # So many wakes are waiting that it will look anyway.
+            # The socket is full of unread wake-ups, so the thread wakes anyway.
             pass
 
     def run(self) -> None:
-        """Reads until the end."""
-        swept = time.monotonic()
+        """Reads streams until the task is closed."""
+        last_idle_check = time.monotonic()
         while not self.closing:
-            ready = self.selector.select(SWEEP_SECONDS)
+            ready = self.selector.select(IDLE_CHECK_SECONDS)
             now = time.monotonic()
-            self._round([key for key, _ in ready], now)
-            if now - swept >= SWEEP_SECONDS:
-                swept = now
-                self._sweep(now)
-        self._register(time.monotonic())
-        for reading in list(self.readings):
-            self._drop(reading)
-            reading.deliver([reading.reader.broken("the client was closed")])
-
-    def _round(self, ready: list[selectors.SelectorKey], now: float) -> None:
+            self._read_ready([key for key, _ in ready], now)
+            if now - last_idle_check >= IDLE_CHECK_SECONDS:
+                last_idle_check = now
+                self._break_idle(now)
+        self._register_new(time.monotonic())
+        for stream in list(self.open_streams):
+            self._drop(stream)
+            stream.deliver([stream.reader.mark_broken("the client was closed")])
+
+    def _read_ready(
+        self, ready: list[selectors.SelectorKey], now: float
+    ) -> None:
         batches: dict[Deliver, list[streams.Event]] = {}
         for key in ready:
-            reading = key.data
-            if reading is None:
-                self._look(now)
+            stream = key.data
+            if stream is None:
+                self._handle_wakeup(now)
                 continue
-            if reading not in self.readings:
-                # It was abandoned, and dropped earlier in this round. Its
-                # descriptor may already be another stream's.
+            if stream not in self.open_streams:
+                # The stream was abandoned and dropped earlier in this round.
+                # Its descriptor may already belong to another stream.
                 continue
-            found = reading.receive()
-            reading.last_received = now
-            if found:
-                batches.setdefault(reading.deliver, []).extend(found)
-            if reading.reader.over:
-                self._drop(reading)
-        for deliver, found in batches.items():
-            deliver(found)
-
-    def _look(self, now: float) -> None:
-        self.wakened.recv(READ_BYTES)
-        self._register(now)
-        for reading in [each for each in self.readings if each.abandoned]:
-            self._drop(reading)
-
-    def _register(self, now: float) -> None:
-        while self.inbox:
-            reading = self.inbox.popleft()
-            reading.last_received = now
-            self.readings.add(reading)
-            reading.descriptor = reading.answer.fileno()
+            received = stream.receive()
+            stream.last_received = now
+            if received:
+                batches.setdefault(stream.deliver, []).extend(received)
+            if stream.reader.finished:
+                self._drop(stream)
+        for deliver, received in batches.items():
+            deliver(received)
+
+    def _handle_wakeup(self, now: float) -> None:
+        self.wake_receiver.recv(READ_BYTES)
+        self._register_new(now)
+        for stream in [each for each in self.open_streams if each.abandoned]:
+            self._drop(stream)
+
+    def _register_new(self, now: float) -> None:
+        while self.new_streams:
+            stream = self.new_streams.popleft()
+            stream.last_received = now
+            self.open_streams.add(stream)
+            stream.descriptor = stream.response.fileno()
             self.selector.register(
-                reading.descriptor, selectors.EVENT_READ, reading
+                stream.descriptor, selectors.EVENT_READ, stream
             )
 
-    def _drop(self, reading: OpenStream) -> None:
-        self.readings.remove(reading)
-        self.selector.unregister(reading.descriptor)
-        reading.answer.close()
-
-    def _sweep(self, now: float) -> None:
-        # An engine whose VM froze sends nothing and closes nothing: the
-        # stream just stands still. Its reader must not wait for ever.
-        for reading in list(self.readings):
-            if now - reading.last_received > self.silence:
-                self._drop(reading)
-                event = reading.reader.broken("the engine fell silent")
-                reading.deliver([event])
+    def _drop(self, stream: OpenStream) -> None:
+        self.open_streams.remove(stream)
+        self.selector.unregister(stream.descriptor)
+        stream.response.close()
+
+    def _break_idle(self, now: float) -> None:
+        # An engine on a frozen VM neither sends data nor closes its
+        # connections; without a timeout its streams would never end.
+        for stream in list(self.open_streams):
+            if now - stream.last_received > self.idle_timeout:
+                self._drop(stream)
+                event = stream.reader.mark_broken("the engine fell silent")
+                stream.deliver([event])
--- a/pimentoledge/stores/fake_objects.py
+++ b/pimentoledge/stores/fake_objects.py
@@ -1,4 +1,4 @@
-"""The platform's object API in memory, with its faults."""
+"""In-memory fake of the platform's object API, with simulated faults."""
 
 import threading
 import time
@@ -9,21 +9,21 @@
 
 
 class TokenBucket:
-    """Token bucket that holds at most one second's worth of calls."""
+    """Token bucket with a burst of one second's worth of calls."""
 
     def __init__(self, *, per_second: float):
         self.per_second = per_second
         self.tokens = per_second
-        self.last = None
+        self.last_refill = None
 
     def try_acquire(self, now: float) -> bool:
         """Returns whether a call is within the rate; 0 means no limit."""
         if self.per_second <= 0:
             return True
-        if self.last is not None:
-            gained = (now - self.last) * self.per_second
+        if self.last_refill is not None:
+            gained = (now - self.last_refill) * self.per_second
             self.tokens = min(self.per_second, self.tokens + gained)
-        self.last = now
+        self.last_refill = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -31,30 +31,29 @@
 
 
 class FakeObjects:
-    """The object API: versions, conditional writes, scans and watches.
+    """A fake object API: versions, conditional writes, scans and watches.
 
-    One counter numbers the writes of all objects. Calls are answered at once
-    and may come from any thread; whoever serves them over a network does the
-    waiting, with `changed`.
+    One counter numbers the writes of all objects. Calls return immediately and
+    are thread-safe; a server implements the waiting of watches with `changed`.
 
     Attributes:
         clock: returns the time in seconds, for the rate limits.
-        objects: all objects by path, the last written last; a deleted one
-            stays with value None.
+        objects: all objects by path in the order of their last write; a
+            deleted one remains as a tombstone with value None.
         revision: version of the last write.
-        changed: condition that is notified after each write, and that guards
-            everything here.
+        changed: condition that is notified after each write and guards all
+            other attributes.
         down: whether each call is refused, without effect.
-        latency: seconds that the server waits before it makes a call.
-        lose_answers: number of next writes that take effect and whose answer
-            is lost.
-        lose_requests: number of next writes that get lost before they take
-            effect, so that their answer is lost too.
-        drop_watch_entries: number of next changes that watches leave out.
+        latency: seconds that the server waits before it executes a call.
+        lose_answers: number of following writes that take effect but whose
+            answer is lost.
+        lose_requests: number of following writes that are lost before they
+            take effect, so that they get no answer either.
+        drop_watch_entries: number of following changes that watches omit.
         max_value_bytes: a longer value is refused, without effect.
-        writes: rate limit of the writes; above it a call is refused.
-        reads: rate limit of reads, scans and watches.
-        counts: calls by kind, the refused ones included.
+        write_limiter: rate limit of writes; calls above it are refused.
+        read_limiter: rate limit of reads, scans and watches.
+        counts: number of calls by kind, including refused ones.
     """
 
     def __init__(self, *, clock=time.monotonic):
@@ -68,18 +67,20 @@
         self.lose_requests = 0
         self.drop_watch_entries = 0
         self.max_value_bytes = MAX_VALUE_BYTES
-        self.writes = TokenBucket(per_second=0)
-        self.reads = TokenBucket(per_second=0)
+        self.write_limiter = TokenBucket(per_second=0)
+        self.read_limiter = TokenBucket(per_second=0)
         self.counts = {"writes": 0, "reads": 0, "scans": 0, "watches": 0}
 
-    def limit(self, *, writes_per_second: float, reads_per_second: float):
+    def set_rate_limits(
+        self, *, writes_per_second: float, reads_per_second: float
+    ):
         """Sets the rate limits; 0 means none."""
         with self.changed:
-            self.writes = TokenBucket(per_second=writes_per_second)
-            self.reads = TokenBucket(per_second=reads_per_second)
+            self.write_limiter = TokenBucket(per_second=writes_per_second)
+            self.read_limiter = TokenBucket(per_second=reads_per_second)
 
     def call(self, call: stores.Call) -> stores.StoreAnswer:
-        """Makes a call and answers at once."""
+        """Executes a call and returns its answer immediately."""
         with self.changed:
             self._count(call)
             if self.down or not self._within_rate(call):
@@ -90,15 +91,17 @@
                 case stores.Write():
                     return self._write(call)
                 case stores.Scan():
-                    found = self._under(call.prefix, 0)
-                    live = [each for each in found if each.value is not None]
-                    return self._complete(call, live)
+                    written = self._written_after(call.prefix, 0)
+                    existing = [
+                        each for each in written if each.value is not None
+                    ]
+                    return self._list_answer(call, existing)
                 case stores.Watch():
                     return self._watch(call)
 
-    def changes(self, prefix: str, after: int) -> bool:
-        """Returns whether a watch has something to say; isn't counted."""
-        return bool(self._under(prefix, after))
+    def has_changes(self, prefix: str, after: int) -> bool:
+        """Returns whether a watch has changes to return; counts no call."""
+        return bool(self._written_after(prefix, after))
 
     def _count(self, call: stores.Call) -> None:
         match call:
@@ -112,8 +115,12 @@
                 self.counts["watches"] += 1
 
     def _within_rate(self, call: stores.Call) -> bool:
-        rate = self.writes if isinstance(call, stores.Write) else self.reads
-        return rate.try_acquire(self.clock())
+        limiter = (
+            self.write_limiter
+            if isinstance(call, stores.Write)
+            else self.read_limiter
+        )
+        return limiter.try_acquire(self.clock())
 
     def _answer(
         self, call, outcome, objects=(), version=0
@@ -125,20 +132,22 @@
             version=version,
         )
 
-    def _complete(self, call, objects) -> stores.StoreAnswer:
+    def _list_answer(self, call, objects) -> stores.StoreAnswer:
         return self._answer(call, stores.Outcome.FOUND, objects, self.revision)
 
-    def _live(self, path: str) -> stores.Object | None:
-        found = self.objects.get(path)
-        if found is None or found.value is None:
+    def _existing(self, path: str) -> stores.Object | None:
+        stored = self.objects.get(path)
+        if stored is None or stored.value is None:
             return None
-        return found
+        return stored
 
     def _read(self, call: stores.Read) -> stores.StoreAnswer:
-        found = self._live(call.path)
-        if found is None:
+        existing = self._existing(call.path)
+        if existing is None:
             return self._answer(call, stores.Outcome.ABSENT)
-        return self._answer(call, stores.Outcome.FOUND, [found], found.version)
+        return self._answer(
+            call, stores.Outcome.FOUND, [existing], existing.version
+        )
 
     def _write(self, call: stores.Write) -> stores.StoreAnswer:
         if len(call.value or b"") > self.max_value_bytes:
@@ -146,9 +155,9 @@
         if self.lose_requests > 0:
             self.lose_requests -= 1
             return self._answer(call, stores.Outcome.LOST)
-        present = self._live(call.path)
-        if call.expected != (present.version if present else 0):
-            objects = [present] if present else []
+        current = self._existing(call.path)
+        if call.expected != (current.version if current else 0):
+            objects = [current] if current else []
             return self._answer(call, stores.Outcome.CONFLICT, objects)
         self.revision += 1
         self.objects.pop(call.path, None)
@@ -165,18 +174,18 @@
         return self._answer(call, stores.Outcome.WRITTEN, version=self.revision)
 
     def _watch(self, call: stores.Watch) -> stores.StoreAnswer:
-        found = self._under(call.prefix, call.after)
-        dropped = min(self.drop_watch_entries, len(found))
+        written = self._written_after(call.prefix, call.after)
+        dropped = min(self.drop_watch_entries, len(written))
         self.drop_watch_entries -= dropped
-        return self._complete(call, found[dropped:])
+        return self._list_answer(call, written[dropped:])
 
-    def _under(self, prefix: str, after: int) -> list[stores.Object]:
-        """Returns objects written after a version, in order of versions."""
-        found = []
+    def _written_after(self, prefix: str, after: int) -> list[stores.Object]:
+        """Returns objects under a prefix written after a version, in order."""
+        written = []
         for each in reversed(self.objects.values()):
             if each.version <= after:
                 break
             if each.path.startswith(prefix):
-                found.append(each)
-        found.reverse()
-        return found
+                written.append(each)
+        written.reverse()
+        return written
--- a/pimentoledge/stores/fake_servers.py
+++ b/pimentoledge/stores/fake_servers.py
@@ -1,4 +1,4 @@
-"""HTTP server before the fakes of the platform."""
+"""HTTP server for the fakes of the platform."""
 
 import time
 
@@ -13,12 +13,12 @@
 from pimentoledge.stores import wires
 
 THREADS = 32
-# Longest sleep of a waiting watch, so that it sees the server's end.
-WAIT_SECONDS = 0.25
+# Longest sleep of a waiting watch, so that it notices that the server closes.
+MAX_WAIT_SECONDS = 0.25
 
 
 class FakeObjectServer:
-    """Serves the object API, and the list of VMs where there is one.
+    """Serves a fake object API and, optionally, a fake list of VMs.
 
     Attributes:
         objects: the fake object API.
@@ -47,7 +47,7 @@
         return self.server.url
 
     def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self.closing = False
         self.server.start()
 
@@ -59,7 +59,7 @@
         self.server.close()
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers one request."""
+        """Handles one request."""
         path = fake_http.path_of(request)
         if path == vms.PATH:
             self.list_vms(request)
@@ -71,26 +71,28 @@
         if self.objects.latency > 0:
             time.sleep(self.objects.latency)
         if isinstance(call, stores.Watch):
-            self.wait(call)
+            self.wait_for_change(call)
         answer = self.objects.call(call)
         if answer.outcome == stores.Outcome.LOST or self.closing:
             fake_http.cut_connection(request)
             return
         fake_http.send_response(request, wires.encode(answer))
 
-    def wait(self, watch: stores.Watch) -> None:
-        """Waits until a watch has something to say or its time is over."""
+    def wait_for_change(self, watch: stores.Watch) -> None:
+        """Waits until a watch has changes to return or its time is over."""
         end = time.monotonic() + watch.seconds
         objects = self.objects
         with objects.changed:
             while not self.closing and not objects.down:
-                left = end - time.monotonic()
-                if left <= 0 or objects.changes(watch.prefix, watch.after):
+                remaining = end - time.monotonic()
+                if remaining <= 0 or objects.has_changes(
+                    watch.prefix, watch.after
+                ):
                     return
-                objects.changed.wait(min(left, WAIT_SECONDS))
+                objects.changed.wait(min(remaining, MAX_WAIT_SECONDS))
 
     def list_vms(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers with the list of VMs as it is shown now."""
+        """Responds with the lagged list of VMs."""
         if self.vm_list is None or self.vm_list.down:
             fake_http.send_response(request, b"{}", status=503)
             return
--- a/pimentoledge/stores/fake_vms.py
+++ b/pimentoledge/stores/fake_vms.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs in memory."""
+"""In-memory fake of the platform's lagging list of VMs."""
 
 import threading
 import time
@@ -9,13 +9,13 @@
 
 
 class FakeVmList:
-    """A list that shows each change only `lag` seconds after it happened.
+    """A list of VMs that shows each change after a delay of `lag` seconds.
 
     Attributes:
-        lag: seconds by which the list is late.
+        lag: delay of each change in seconds.
         down: whether the list can't be read.
         clock: returns the time in seconds.
-        history: (time, list from then on), oldest first.
+        history: (time, VMs by name from then on), oldest first.
     """
 
     def __init__(self, *, lag: float = 0.0, clock=time.monotonic):
@@ -26,36 +26,36 @@
         self.history: list[tuple[float, dict[str, vms.Vm]]] = []
 
     def put(self, vm: vms.Vm) -> None:
-        """Adds a VM or changes it."""
+        """Adds a VM or replaces the one of this name."""
         with self.lock:
-            self._change({**self._newest(), vm.name: vm})
+            self._append({**self._latest(), vm.name: vm})
 
-    def leave(self, name: str) -> None:
+    def mark_leaving(self, name: str) -> None:
         """Marks a VM as leaving."""
         with self.lock:
-            newest = self._newest()
-            leaving = attrs.evolve(newest[name], state=vms.VmState.LEAVING)
-            self._change({**newest, name: leaving})
+            latest = self._latest()
+            leaving = attrs.evolve(latest[name], state=vms.VmState.LEAVING)
+            self._append({**latest, name: leaving})
 
     def remove(self, name: str) -> None:
-        """Takes a VM out."""
+        """Removes a VM."""
         with self.lock:
-            newest = self._newest()
-            kept = {key: vm for key, vm in newest.items() if key != name}
-            self._change(kept)
+            latest = self._latest()
+            remaining = {key: vm for key, vm in latest.items() if key != name}
+            self._append(remaining)
 
     def lagged_list(self) -> list[vms.Vm]:
         """Returns the list as it was `lag` seconds ago."""
         with self.lock:
-            shown: dict[str, vms.Vm] = {}
-            horizon = self.clock() - self.lag
+            listed: dict[str, vms.Vm] = {}
+            latest_time = self.clock() - self.lag
             for when, state in self.history:
-                if when <= horizon:
-                    shown = state
-            return list(shown.values())
+                if when <= latest_time:
+                    listed = state
+            return list(listed.values())
 
-    def _newest(self) -> dict[str, vms.Vm]:
+    def _latest(self) -> dict[str, vms.Vm]:
         return self.history[-1][1] if self.history else {}
 
-    def _change(self, state: dict[str, vms.Vm]) -> None:
+    def _append(self, state: dict[str, vms.Vm]) -> None:
         self.history.append((self.clock(), state))
--- a/pimentoledge/tests/test_fake_platform.py
+++ b/pimentoledge/tests/test_fake_platform.py
@@ -1,4 +1,4 @@
-"""The object API's and the VM list's fakes, servers and clients."""
+"""Tests of fakes, servers and clients of the object API and VM list."""
 
 import threading
 
@@ -16,8 +16,8 @@
 Outcome = stores.Outcome
 
 
-class Clock:
-    """A clock that stands still until it is set."""
+class ManualClock:
+    """A clock that advances only when `now` is set."""
 
     def __init__(self):
         self.now = 0.0
@@ -40,7 +40,7 @@
     return stores.Watch(call="c", prefix=prefix, after=after, seconds=seconds)
 
 
-def test_versions_conditions_and_tombstones():
+def test_versions_conditional_writes_and_tombstones():
     fake = fake_objects.FakeObjects()
     first = fake.call(write("a/x", b"1", 0)).version
     second = fake.call(write("b/x", b"1", 0)).version
@@ -51,8 +51,8 @@
     third = fake.call(write("a/x", b"2", first)).version
     assert fake.call(write("a/x", None, third)).outcome == Outcome.WRITTEN
     assert fake.call(read("a/x")).outcome == Outcome.ABSENT
-    found = fake.call(stores.Scan(call="c", prefix=""))
-    assert [each.path for each in found.objects] == ["b/x"]
+    scan = fake.call(stores.Scan(call="c", prefix=""))
+    assert [each.path for each in scan.objects] == ["b/x"]
     changes = fake.call(watch(first))
     assert [(o.path, o.value) for o in changes.objects] == [
         ("b/x", b"1"),
@@ -63,15 +63,15 @@
     assert fake.call(watch(first, "b/")).objects[0].path == "b/x"
 
 
-def test_outage_and_size_and_rates_have_no_effect():
-    clock = Clock()
+def test_calls_refused_for_outage_size_or_rate_have_no_effect():
+    clock = ManualClock()
     fake = fake_objects.FakeObjects(clock=clock)
     fake.down = True
     assert fake.call(write("a", b"1", 0)).outcome == Outcome.DOWN
     fake.down = False
     fake.max_value_bytes = 4
     assert fake.call(write("a", b"12345", 0)).outcome == Outcome.DOWN
-    fake.limit(writes_per_second=2, reads_per_second=1)
+    fake.set_rate_limits(writes_per_second=2, reads_per_second=1)
     outcomes = [fake.call(write(f"{n}", b"", 0)).outcome for n in range(3)]
     assert outcomes == [Outcome.WRITTEN, Outcome.WRITTEN, Outcome.DOWN]
     assert fake.call(read("0")).outcome == Outcome.FOUND
@@ -83,10 +83,10 @@
 
 
 def test_watch_can_lose_entries():
-    """A watch stream loses an entry.
+    """A watch omits a change.
 
-    The watcher is told that it is complete up to the newest version, and
-    has never seen one of the objects.
+    Its answer has the newest version, although the watcher has never received
+    one of the objects.
     """
     fake = fake_objects.FakeObjects()
     fake.call(write("a", b"1", 0))
@@ -112,23 +112,23 @@
     server.close()
 
 
-def test_lost_answer_has_taken_effect(store):
-    """The store's answer gets lost after the write.
+def test_write_whose_answer_is_lost_takes_effect(store):
+    """The store's answer is lost after the write took effect.
 
-    The connection closes without an answer, the write stands, and its write
-    id shows so when the object is read back. A lost request looks the same,
-    and the write id shows that it did not take effect.
+    The connection closes without an answer, and the write id of the object
+    read back shows that the write took effect. A lost request fails in the
+    same way, and the write id shows that it did not.
     """
     fake, client, _ = store
     fake.lose_answers = 1
     answer = client.call(write("a/b", b"1", 0, "mine"))
     assert answer.outcome == Outcome.LOST
-    found = client.call(read("a/b")).objects[0]
-    assert (found.value, found.write_id) == (b"1", "mine")
+    stored = client.call(read("a/b")).objects[0]
+    assert (stored.value, stored.write_id) == (b"1", "mine")
     again = client.call(write("a/b", b"1", 0, "mine"))
     assert again.outcome == Outcome.CONFLICT
     fake.lose_requests = 1
-    lost = client.call(write("a/b", b"2", found.version, "other"))
+    lost = client.call(write("a/b", b"2", stored.version, "other"))
     assert lost.outcome == Outcome.LOST
     assert client.call(read("a/b")).objects[0].write_id == "mine"
 
@@ -155,11 +155,11 @@
     assert client.call(watch(0, "", 30)).outcome == Outcome.DOWN
 
 
-def test_slow_store_loses_writes_and_fails_reads(store):
-    """The store is slower than the client's patience.
+def test_slow_store_makes_writes_lost_and_reads_down(store):
+    """The store is slower than the client's timeout.
 
-    The write takes effect after its caller gave up, so the answer must not
-    say that it had no effect.
+    The write takes effect after its caller timed out, so the outcome must not
+    be that it had no effect.
     """
     fake, _, server = store
     fake.latency = 0.3
@@ -178,7 +178,7 @@
     client.close()
 
 
-CROSSED = wires.encode(
+MISMATCHED_ANSWER = wires.encode(
     stores.StoreAnswer(call="other", outcome=Outcome.WRITTEN)
 )
 
@@ -191,14 +191,14 @@
         raw_servers.http_reply(b'{"call"', length=100),
         raw_servers.http_reply(b"{}", status=500),
         raw_servers.http_reply(b"garbage"),
-        raw_servers.http_reply(CROSSED),
+        raw_servers.http_reply(MISMATCHED_ANSWER),
     ],
 )
-def test_unclear_answer_leaves_a_write_open(reply):
-    """The request was sent, and what came back says nothing about it.
+def test_invalid_answer_leaves_the_outcome_of_a_write_unknown(reply):
+    """The response does not show whether the call took effect.
 
-    Cut, garbled, a server error, or the answer to another call: the write
-    may have taken effect, and a read has to be made again.
+    It is truncated, malformed, a server error or the answer to another call:
+    the write may have taken effect, and a read has to be repeated.
     """
     with raw_servers.raw_server(reply) as url:
         client = objects.ObjectClient(url=url)
@@ -213,11 +213,11 @@
 
 
 def test_list_of_vms_lags():
-    clock = Clock()
+    clock = ManualClock()
     fake = fake_vms.FakeVmList(lag=5, clock=clock)
     fake.put(vm("vm1"))
     clock.now = 4.0
-    fake.leave("vm1")
+    fake.mark_leaving("vm1")
     assert fake.lagged_list() == []
     clock.now = 5.0
     assert fake.lagged_list()[0].state == vms.VmState.LIVE
