--- a/pimentoledge/commands/administration.py
+++ b/pimentoledge/commands/administration.py
@@ -1,4 +1,4 @@
-"""The commands of operators, over the administration API."""
+"""Commands for operators, which call the administration API."""
 
 import json
 import os
@@ -14,8 +14,8 @@
 
 BAD_SETTING_EXIT = 2
 REFUSED_EXIT = 1
-PAGE = 1000
-_HTTP_ERROR = 400
+PAGE_SIZE = 1000
+_FIRST_ERROR_STATUS = 400
 KINDS = (
     "contracts",
     "backend-servers",
@@ -27,10 +27,10 @@
 
 
 class AdminCommand(command.Command):
-    """Makes calls as an operator, and prints the answers as JSON.
+    """Base of commands that call the administration API and print JSON.
 
     Attributes:
-        client: the administration API's client.
+        client: client of the administration API.
     """
 
     client: clients.AdminClient
@@ -39,7 +39,7 @@
         """Checks the settings and runs the command; returns the exit status."""
         checked = settings.check_settings(
             program=settings.OPERATOR,
-            flags=self.flags(),
+            flags=self.given_flags(),
             environment=dict(os.environ),
         )
         match checked:
@@ -57,16 +57,16 @@
         finally:
             self.client.close()
 
-    def flags(self) -> dict[str, str]:
+    def given_flags(self) -> dict[str, str]:
         """Returns the settings that were given as flags."""
         names = [each.name for each in settings.settings_of(settings.OPERATOR)]
         return {n: self.option(n) for n in names if self.option(n) is not None}
 
     def run_with_client(self) -> int:
-        """Does the command's work; returns the exit status."""
+        """Runs the command with a started client; returns the exit status."""
         raise NotImplementedError
 
-    def show(
+    def print_answer(
         self, answer: result.Result[clients.ApiAnswer, results.Error]
     ) -> int:
         """Prints an answer; returns the exit status."""
@@ -74,19 +74,19 @@
             case result.Failure(error):
                 self.line_error(f"{error.code.value}: {error.message()}")
                 return REFUSED_EXIT
-            case result.Success(got):
+            case result.Success(received):
                 pass
-        if got.known:
+        if received.known:
             self.line_error("the store did not answer; this is what is known")
-        text = json.dumps(got.fields, indent=2)
-        if got.status >= _HTTP_ERROR:
+        text = json.dumps(received.fields, indent=2)
+        if received.status >= _FIRST_ERROR_STATUS:
             self.line_error(text)
             return REFUSED_EXIT
         self.line(text)
         return 0
 
 
-def _settings() -> list:
+def _setting_options() -> list:
     return [
         option(each.name, description=each.text, flag=False)
         for each in settings.settings_of(settings.OPERATOR)
@@ -106,7 +106,7 @@
 class ListCommand(AdminCommand):
     """Prints all objects of a kind, one JSON object a line."""
 
-    options = _settings()
+    options = _setting_options()
 
     def __init__(self, *, kind: str):
         self.kind = kind
@@ -115,12 +115,12 @@
         super().__init__()
 
     def run_with_client(self) -> int:
-        """Prints page by page."""
-        for page in self.client.pages(self.kind, PAGE):
-            got = page.value_or(None)
-            if got is None or got.status >= _HTTP_ERROR:
-                return self.show(page)
-            for item in got.fields["items"]:
+        """Prints the objects, page by page."""
+        for page in self.client.pages(self.kind, PAGE_SIZE):
+            received = page.value_or(None)
+            if received is None or received.status >= _FIRST_ERROR_STATUS:
+                return self.print_answer(page)
+            for item in received.fields["items"]:
                 self.line(json.dumps(item))
         return 0
 
@@ -129,7 +129,7 @@
     """Prints one object with its version."""
 
     arguments = [_NAME]
-    options = _settings()
+    options = _setting_options()
 
     def __init__(self, *, kind: str):
         self.kind = kind
@@ -140,14 +140,14 @@
     def run_with_client(self) -> int:
         """Prints the object."""
         path = f"{self.kind}/{self.argument('object')}"
-        return self.show(self.client.read(path))
+        return self.print_answer(self.client.read(path))
 
 
 class HistoryCommand(AdminCommand):
-    """Prints the former versions of one object."""
+    """Prints the earlier versions of one object."""
 
     arguments = [_NAME]
-    options = _settings()
+    options = _setting_options()
 
     def __init__(self, *, kind: str):
         self.kind = kind
@@ -158,18 +158,18 @@
     def run_with_client(self) -> int:
         """Prints the versions, newest first."""
         path = f"{self.kind}/{self.argument('object')}/history"
-        return self.show(self.client.read(path))
+        return self.print_answer(self.client.read(path))
 
 
 class WriteCommand(AdminCommand):
     """Creates, replaces, changes or deletes one object.
 
     Attributes:
-        kind: the kind's part of the path.
+        kind: kind of the object, as in its path.
         method: HTTP method.
     """
 
-    options = [*_settings(), _IF_VERSION, _DRY_RUN]
+    options = [*_setting_options(), _IF_VERSION, _DRY_RUN]
 
     def __init__(self, *, kind: str, method: str, text: str):
         self.kind = kind
@@ -180,7 +180,7 @@
         super().__init__()
 
     def run_with_client(self) -> int:
-        """Writes on condition of the version."""
+        """Writes only if the object still has the expected version."""
         expected = self.option("if-version")
         if expected is None or not expected.isdecimal():
             self.line_error("--if-version must be the version that was read")
@@ -199,26 +199,26 @@
             expected=int(expected),
             dry_run=self.option("dry-run"),
         )
-        return self.show(answer)
+        return self.print_answer(answer)
 
 
 class StatusCommand(AdminCommand):
-    """Prints what is declared beside what is in force at each node."""
+    """Prints the declared configuration and the one in force at each node."""
 
     name = "status"
     description = "Prints what is in force at each node"
-    options = _settings()
+    options = _setting_options()
 
     def run_with_client(self) -> int:
         """Prints the status."""
-        return self.show(self.client.read("status"))
+        return self.print_answer(self.client.read("status"))
 
 
 def commands() -> list[command.Command]:
-    """Returns every command of operators."""
-    made: list[command.Command] = [StatusCommand()]
+    """Returns all commands for operators."""
+    created: list[command.Command] = [StatusCommand()]
     for kind in KINDS:
-        made += [
+        created += [
             ListCommand(kind=kind),
             ShowCommand(kind=kind),
             HistoryCommand(kind=kind),
@@ -226,4 +226,4 @@
             WriteCommand(kind=kind, method="PATCH", text="Changes fields of"),
             WriteCommand(kind=kind, method="DELETE", text="Deletes"),
         ]
-    return made
+    return created
--- a/pimentoledge/commands/daemons.py
+++ b/pimentoledge/commands/daemons.py
@@ -1,4 +1,4 @@
-"""What the commands that run a daemon have in common."""
+"""Base of the commands that run a daemon."""
 
 import os
 import signal
@@ -27,40 +27,42 @@
     ]
 
 
-def given_flags(asked: command.Command, program: str) -> dict[str, str]:
+def given_flags(
+    daemon_command: command.Command, program: str
+) -> dict[str, str]:
     """Returns the settings that were given as flags."""
     names = [each.name for each in settings.settings_of(program)]
     return {
-        name: asked.option(name)
+        name: daemon_command.option(name)
         for name in names
-        if asked.option(name) is not None
+        if daemon_command.option(name) is not None
     }
 
 
 class Daemon(Protocol):
-    """What a command needs of a daemon."""
+    """Interface of a daemon that a command can run."""
 
     def start(self) -> None:
         """Opens every socket and starts every task."""
 
     def drain(self) -> None:
-        """Takes no new work and finishes what runs."""
+        """Stops accepting work and finishes running requests."""
 
     def close(self) -> None:
         """Closes every socket and waits for every task."""
 
 
-def run_until_told(daemon: Daemon) -> None:
+def run_until_signalled(daemon: Daemon) -> None:
     """Runs a daemon until SIGTERM or SIGINT, then drains and closes it."""
-    told = threading.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda *_: told.set())
+    stop_requested = threading.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: stop_requested.set())
     daemon.start()
-    told.wait()
-    logger.notice("told to end: draining")
+    stop_requested.wait()
+    logger.notice("received a stop signal, draining")
     daemon.drain()
     daemon.close()
-    logger.notice("ended")
+    logger.notice("stopped")
 
 
 class DaemonCommand(command.Command):
@@ -68,7 +70,7 @@
 
     Attributes:
         program: settings.ENTRY or settings.AGENT.
-        daemon: class of the daemon.
+        daemon: class of the daemon to run.
     """
 
     program = ""
@@ -91,5 +93,5 @@
             level=chosen.text("log-level"), form=chosen.text("log-format")
         )
         with handler.applicationbound():
-            run_until_told(self.daemon(chosen=chosen))
+            run_until_signalled(self.daemon(chosen=chosen))
         return 0
--- a/pimentoledge/commands/demo.py
+++ b/pimentoledge/commands/demo.py
@@ -1,4 +1,4 @@
-"""The command that runs the whole path on fakes and reports."""
+"""The command that runs a whole deployment on fakes and reports."""
 
 import json
 import time
@@ -15,35 +15,36 @@
 API_KEY = "demo-key"
 MODEL = "assistant"
 SERVICE = "job-cards"
-READY_SECONDS = 10.0
-MANUALS = 3
-QUESTIONS = 4
-PAGE = "Remove the crank, then the bottom bracket; torque 35 Nm. "
+READY_TIMEOUT_SECONDS = 10.0
+MANUAL_COUNT = 3
+QUESTION_COUNT = 4
+PAGE_TEXT = "Remove the crank, then the bottom bracket; torque 35 Nm. "
 
 
 @attrs.define(kw_only=True)
 class Outcome:
-    """What became of one request.
+    """Result of one request.
 
     Attributes:
-        what: the request, in a few words.
-        complete: whether its stream was whole.
-        first: seconds to the first token.
-        prompt: prompt tokens.
-        cached: prompt tokens that the engine took from its cache.
-        text: what the answer said, or the error.
+        label: short description of the request.
+        complete: whether the answer was complete.
+        first_token_seconds: time to the first token; for a job card, to the
+            whole answer.
+        prompt_tokens: number of prompt tokens.
+        cached_tokens: prompt tokens that the engine had cached.
+        text: text of the answer, or the error.
     """
 
-    what: str
+    label: str
     complete: bool
-    first: float = 0.0
-    prompt: int = 0
-    cached: int = 0
+    first_token_seconds: float = 0.0
+    prompt_tokens: int = 0
+    cached_tokens: int = 0
     text: str = ""
 
 
 class DemoCommand(command.Command):
-    """Starts everything in one process and sends real requests."""
+    """Starts a deployment in this process and sends it real requests."""
 
     name = "demo"
     description = "Runs the whole path on fakes and prints a report"
@@ -58,7 +59,7 @@
         with logs.make_handler(level=level, form="plain").applicationbound():
             emulator.start()
             try:
-                problems = self.play(emulator)
+                problems = self.run_requests(emulator)
             finally:
                 emulator.close()
         for problem in problems:
@@ -67,52 +68,54 @@
             self.line("every answer was complete; each job card ran once")
         return 1 if problems else 0
 
-    def play(self, emulator: emulators.Emulator) -> list[str]:
-        """Sends the requests; returns what went wrong."""
+    def run_requests(self, emulator: emulators.Emulator) -> list[str]:
+        """Sends the requests; returns a line for each problem."""
         declare(emulator)
         entry = emulator.add_entry("entry-1")
-        until = time.monotonic() + READY_SECONDS
-        while not entry.ready() and time.monotonic() < until:
+        deadline = time.monotonic() + READY_TIMEOUT_SECONDS
+        while not entry.ready() and time.monotonic() < deadline:
             time.sleep(0.02)
         caller = Caller(url=f"http://{entry.callers.address}")
         outcomes = [
-            caller.ask(manual, question)
-            for question in range(QUESTIONS)
-            for manual in range(MANUALS)
+            caller.send_question(manual, question)
+            for question in range(QUESTION_COUNT)
+            for manual in range(MANUAL_COUNT)
         ]
         cards = [caller.post_card("card-1"), caller.post_card("card-1")]
-        self.report(outcomes + cards)
+        self.print_report(outcomes + cards)
         problems = [
-            f"{each.what}: {each.text}"
+            f"{each.label}: {each.text}"
             for each in outcomes + cards
             if not each.complete
         ]
-        ran = sum(
-            sum(plain.service.runs_by_key.values())
-            for plain in emulator.services.values()
+        run_count = sum(
+            sum(emulated.service.runs_by_key.values())
+            for emulated in emulator.services.values()
         )
-        if ran != 1:
-            problems.append(f"the job card sent twice ran {ran} times")
+        if run_count != 1:
+            problems.append(f"the job card sent twice ran {run_count} times")
         return problems
 
-    def report(self, outcomes: list[Outcome]) -> None:
-        """Prints a line for each request, and the sums."""
+    def print_report(self, outcomes: list[Outcome]) -> None:
+        """Prints a row for each request, and the share of cached tokens."""
         table = self.table(["request", "whole", "TTFT ms", "prompt", "cached"])
         for each in outcomes:
             table.add_row(
                 [
-                    each.what,
+                    each.label,
                     "yes" if each.complete else "NO",
-                    f"{each.first * 1000:.1f}",
-                    str(each.prompt),
-                    str(each.cached),
+                    f"{each.first_token_seconds * 1000:.1f}",
+                    str(each.prompt_tokens),
+                    str(each.cached_tokens),
                 ]
             )
         table.render()
-        prompt = sum(each.prompt for each in outcomes)
-        cached = sum(each.cached for each in outcomes)
-        share = 100.0 * cached / prompt if prompt else 0.0
-        self.line(f"prefix hits: {cached} of {prompt} tokens, {share:.0f} %")
+        prompt = sum(each.prompt_tokens for each in outcomes)
+        cached = sum(each.cached_tokens for each in outcomes)
+        hit_percent = 100.0 * cached / prompt if prompt else 0.0
+        self.line(
+            f"prefix hits: {cached} of {prompt} tokens, {hit_percent:.0f} %"
+        )
 
 
 def declare(emulator: emulators.Emulator) -> None:
@@ -134,10 +137,10 @@
 
 
 class Caller:
-    """A caller of the demo.
+    """HTTP client that sends the demo's requests.
 
     Attributes:
-        url: where the entry serves.
+        url: base URL of the entry.
     """
 
     def __init__(self, *, url: str):
@@ -145,10 +148,12 @@
         self.pool = urllib3.PoolManager(retries=False)
         self.headers = {"Authorization": f"Bearer {API_KEY}"}
 
-    def ask(self, manual: int, question: int) -> Outcome:
-        """Asks one question about one manual; reads the whole stream."""
-        what = f"manual {manual}, question {question}"
-        prompt = f"Manual {manual}. " + PAGE * 200 + f"Question {question}?"
+    def send_question(self, manual: int, question: int) -> Outcome:
+        """Sends a question about a manual and reads the whole stream."""
+        label = f"manual {manual}, question {question}"
+        prompt = (
+            f"Manual {manual}. " + PAGE_TEXT * 200 + f"Question {question}?"
+        )
         body = {
             "model": MODEL,
             "prompt": prompt,
@@ -164,20 +169,20 @@
             headers=self.headers,
             preload_content=False,
         )
-        outcome = Outcome(what=what, complete=False)
+        outcome = Outcome(label=label, complete=False)
         if response.status != 200:
             outcome.text = response.data.decode()
             return outcome
         for line in response:
             if not line.startswith(b"data: "):
                 continue
-            if not outcome.first:
-                outcome.first = time.monotonic() - started
-            self.take(outcome, line[len(b"data: ") :].strip())
+            if not outcome.first_token_seconds:
+                outcome.first_token_seconds = time.monotonic() - started
+            self.read_event(outcome, line[len(b"data: ") :].strip())
         return outcome
 
-    def take(self, outcome: Outcome, data: bytes) -> None:
-        """Takes one event of a stream."""
+    def read_event(self, outcome: Outcome, data: bytes) -> None:
+        """Adds one event of a stream to its outcome."""
         if data == b"[DONE]":
             outcome.complete = bool(outcome.text)
             return
@@ -188,11 +193,13 @@
             outcome.text += choice["text"]
         usage = event.get("usage")
         if usage:
-            outcome.prompt = usage["prompt_tokens"]
-            outcome.cached = usage["prompt_tokens_details"]["cached_tokens"]
+            outcome.prompt_tokens = usage["prompt_tokens"]
+            outcome.cached_tokens = usage["prompt_tokens_details"][
+                "cached_tokens"
+            ]
 
     def post_card(self, key: str) -> Outcome:
-        """Posts a job card that may not be repeated."""
+        """Posts a job card, which must not run more than once."""
         started = time.monotonic()
         response = self.pool.request(
             "POST",
@@ -201,9 +208,9 @@
             headers={**self.headers, "Idempotency-Key": key},
         )
         return Outcome(
-            what=f"job card {key}",
+            label=f"job card {key}",
             complete=response.status == 200,
-            first=time.monotonic() - started,
+            first_token_seconds=time.monotonic() - started,
             text=response.data.decode(),
         )
 
--- a/pimentoledge/commands/fakes.py
+++ b/pimentoledge/commands/fakes.py
@@ -1,4 +1,4 @@
-"""The command that runs a fake outside system in a process of its own."""
+"""The command that runs a fake of an external system."""
 
 import signal
 import threading
@@ -14,7 +14,7 @@
 from pimentoledge.stores import fake_objects
 from pimentoledge.stores import fake_servers as object_servers
 
-Server = (
+FakeServer = (
     object_servers.FakeObjectServer
     | engine_servers.FakeEngineServer
     | fake_services.ServiceServer
@@ -23,7 +23,7 @@
 
 
 class FakeCommand(command.Command):
-    """Runs a fake until it is told to end; prints its URL first."""
+    """Runs a fake until SIGTERM or SIGINT; prints its URL first."""
 
     name = "fake"
     description = "Runs a fake object API, engine, service or platform"
@@ -46,10 +46,10 @@
 
     def handle(self) -> int:
         """Runs the command; returns the exit status."""
-        told = threading.Event()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(number, lambda *_: told.set())
-        server = self.server()
+        stop_requested = threading.Event()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(signal_number, lambda *_: stop_requested.set())
+        server = self.make_server()
         if server is None:
             self.line_error("what to run: store, engine, service or platform")
             return 2
@@ -59,12 +59,12 @@
                 self.line(server.store.address)
             case _:
                 self.line(server.url)
-        told.wait()
+        stop_requested.wait()
         server.close()
         return 0
 
-    def server(self) -> Server | None:
-        """Returns the server that was asked for."""
+    def make_server(self) -> FakeServer | None:
+        """Returns the requested fake, or None if its kind is unknown."""
         port = int(self.option("port"))
         match self.argument("what"):
             case "store":
--- a/pimentoledge/commands/routers.py
+++ b/pimentoledge/commands/routers.py
@@ -11,7 +11,7 @@
 
 
 class RouterCommand(command.Command):
-    """Runs a router; the deployment starts the same one by its module."""
+    """Runs a router, as the module `pimentoledge.router` does."""
 
     name = "router"
     description = "Runs a router: serves clients of the users' platform"
--- a/pimentoledge/commands/shown_settings.py
+++ b/pimentoledge/commands/shown_settings.py
@@ -37,9 +37,9 @@
 
 def _row(setting: settings.Setting) -> list[str]:
     default = setting.default
-    found = os.environ.get(setting.variable())
-    value = found if found is not None else default
-    source = "environment" if found is not None else "default"
+    environment_value = os.environ.get(setting.variable())
+    value = environment_value if environment_value is not None else default
+    source = "environment" if environment_value is not None else "default"
     return [
         setting.name,
         "(must be given)" if value is None else value,
--- a/pimentoledge/router.py
+++ b/pimentoledge/router.py
@@ -1,4 +1,4 @@
-"""Starts a router without the command line's modules, which it never uses."""
+"""Starts a router without importing the modules of the command line."""
 
 import sys
 
