--- a/pimentoledge/agent.py
+++ b/pimentoledge/agent.py
@@ -26,14 +26,16 @@
 
 logger = logbook.Logger("agent")
 
-STATUS_SECONDS = 0.5
-# The same while the engine takes no work: each such second is lost to it.
-CLOSED_STATUS_SECONDS = 0.1
-IDLE_CHECK_SECONDS = 0.05
-# Threads beside those that each hold one running request.
-SPARE_THREADS = 4
-LIFE_BYTES = 8
-# New at each start: ids of writes must never be those of a former life.
+STATUS_INTERVAL_SECONDS = 0.5
+# Interval while the engine accepts no work: it may idle until the next check.
+CLOSED_STATUS_INTERVAL_SECONDS = 0.1
+IDLE_CHECK_INTERVAL_SECONDS = 0.05
+# Threads besides the one for each running request.
+EXTRA_THREADS = 4
+# Size of the id of this start of the process.
+START_ID_BYTES = 8
+# Size of the random seed, drawn at each start: write ids must never repeat
+# those of an earlier start.
 SEED_BITS = 64
 
 
@@ -41,12 +43,12 @@
     """One agent process.
 
     Attributes:
-        chosen: its checked settings.
-        core: the state machine; only the loop's thread touches it.
+        chosen: the checked settings.
+        core: the state machine; only the loop's thread changes it.
         loop: the thread that owns the state machine.
         store: task that calls the object API.
         backend: client of the engine or service beside this agent.
-        metrics: what it counts.
+        metrics: the exported metrics.
         admin: the HTTP server for metrics and health.
     """
 
@@ -54,13 +56,13 @@
         self.chosen = chosen
         name = chosen.text("name")
         self.kind = declarations.ServerKind(chosen.text("kind"))
-        life = secrets.token_hex(LIFE_BYTES)
+        start_id = secrets.token_hex(START_ID_BYTES)
         slots = chosen.integer("slots")
         self.core = agents.Agent(
             name=name,
             address=chosen.text("mailbox"),
             kind=self.kind,
-            life=life,
+            life=start_id,
             slots=slots,
             seed=secrets.randbits(SEED_BITS),
             view=configuration.Configuration(),
@@ -76,7 +78,7 @@
         )
         self.backend = self.backend_client()
         self.pool = futures.ThreadPoolExecutor(
-            max_workers=slots + SPARE_THREADS, thread_name_prefix="run"
+            max_workers=slots + EXTRA_THREADS, thread_name_prefix="run"
         )
         self.metrics = metrics.AgentMetrics()
         self.admin = admin_servers.AdminServer(
@@ -88,10 +90,10 @@
                 refresh=self.refresh_metrics,
             ),
         )
-        self.ask_now = threading.Event()
+        self.status_check_due = threading.Event()
         self.closing = False
         self.status_thread = threading.Thread(
-            target=self.follow_status, name="status"
+            target=self.poll_status, name="status"
         )
 
     def object_client(self) -> objects.ObjectClient:
@@ -102,12 +104,12 @@
         )
 
     def backend_client(self) -> engines.EngineClient | clients.ServiceClient:
-        """Returns the client of what stands beside this agent."""
+        """Returns a client of the engine or service beside this agent."""
         url = self.chosen.text("backend")
         if self.kind == declarations.ServerKind.SERVICE:
             return clients.ServiceClient(url=url)
-        silence = self.chosen.number("engine-timeout")
-        return engines.EngineClient(url=url, silence=silence)
+        silence_timeout = self.chosen.number("engine-timeout")
+        return engines.EngineClient(url=url, silence=silence_timeout)
 
     def start(self) -> None:
         """Opens every socket and starts every task."""
@@ -122,60 +124,62 @@
         logger.info("agent {} listens at {}", self.core.name, address)
 
     def drain(self) -> None:
-        """Refuses new work and finishes what runs."""
+        """Rejects new work and finishes running requests."""
         self.loop.inbox.put(events.Drain())
-        until = time.monotonic() + self.chosen.number("shutdown-seconds")
-        while time.monotonic() < until and not self.loop.query(_is_idle):
-            time.sleep(IDLE_CHECK_SECONDS)
+        deadline = time.monotonic() + self.chosen.number("shutdown-seconds")
+        while time.monotonic() < deadline and not self.loop.query(_is_idle):
+            time.sleep(IDLE_CHECK_INTERVAL_SECONDS)
 
     def close(self) -> None:
         """Closes every socket and waits for every task."""
         self.closing = True
         self.admin.close()
-        self.ask_now.set()
+        self.status_check_due.set()
         self.status_thread.join()
         self.loop.close()
         self.backend.close()
         self.pool.shutdown(wait=True, cancel_futures=True)
         self.store.close()
 
-    def follow_status(self) -> None:
-        """Asks the engine who it is, regularly and when told to."""
+    def poll_status(self) -> None:
+        """Polls the engine's status, periodically and when a check is due."""
         while not self.closing:
             self.loop.inbox.put(self.status())
-            closed = self.core.orders.closing
-            self.ask_now.wait(
-                CLOSED_STATUS_SECONDS if closed else STATUS_SECONDS
+            engine_closed = self.core.orders.closing
+            self.status_check_due.wait(
+                CLOSED_STATUS_INTERVAL_SECONDS
+                if engine_closed
+                else STATUS_INTERVAL_SECONDS
             )
-            self.ask_now.clear()
+            self.status_check_due.clear()
 
     def status(self) -> events.EngineStatus:
-        """Returns what the engine or service says of itself."""
+        """Returns the status that the engine or service reports."""
         if isinstance(self.backend, engines.EngineClient):
             return self.backend.status()
-        # A plain service has no incarnation: it keeps nothing that a request
-        # could rely on. Its agent's life stands for it.
+        # A plain service has no incarnation, since it keeps no state that a
+        # request could rely on. The id of the agent's start replaces it.
         return events.EngineStatus(incarnation=self.core.life)
 
     def alive(self) -> bool:
-        """Returns whether the state machine's thread answers."""
+        """Returns whether the state machine's thread responds."""
         return self.loop.query(_is_idle) is not None
 
     def ready(self) -> bool:
-        """Returns whether new work should come here."""
+        """Returns whether this agent may get new work."""
         return bool(self.core.status.incarnation) and not self.core.draining
 
     def refresh_metrics(self) -> None:
-        """Brings the gauges up to date."""
+        """Updates the gauges."""
         self.metrics.running.set(len(self.core.admission.running))
         self.metrics.queued.set(self.core.admission.queued)
         self.metrics.claims.set(self.core.claims.held())
         self.metrics.claim_bytes.set(self.core.claims.largest())
-        self.metrics.configuration.set(self.core.configuration.version)
+        self.metrics.configuration_version.set(self.core.configuration.version)
 
-    def perform(self, todo: list[actions.Action]) -> None:
-        """Carries out actions other than sending."""
-        for action in todo:
+    def perform(self, to_perform: list[actions.Action]) -> None:
+        """Carries out all actions except sending messages."""
+        for action in to_perform:
             match action:
                 case actions.RunCompletion():
                     self.backend.start_run(
@@ -195,27 +199,27 @@
                         self.backend.cancel, action.request, action.attempt
                     )
                 case actions.CheckEngine():
-                    self.ask_now.set()
+                    self.status_check_due.set()
                 case actions.OrderEngine():
-                    self.pool.submit(self.give_order, action.order)
+                    self.pool.submit(self.send_order, action.order)
                 case actions.CallStore():
                     self.store.call(action.call)
                 case actions.LogDecision():
                     self.metrics.count_decision(action)
                     logs.log_decision(action.kind, action.fields)
 
-    def deliver_events(self, found: list[object]) -> None:
-        """Delivers what the engine says of its streams."""
-        for event in found:
+    def deliver_events(self, stream_events: list[object]) -> None:
+        """Delivers the events of the engine's streams."""
+        for event in stream_events:
             self.loop.inbox.put(event)
 
-    def give_order(self, order: messages.Order) -> None:
-        """Gives an order to the engine and delivers its answer."""
+    def send_order(self, order: messages.Order) -> None:
+        """Sends an order to the engine and delivers its answer."""
         answer = self.backend.order(order)
         if answer.reason == engines.NO_ANSWER:
             answer = None
         self.loop.inbox.put(events.OrderDone(order=order, answer=answer))
-        self.ask_now.set()
+        self.status_check_due.set()
 
     def run_call(self, action: actions.RunCall) -> None:
         """Runs a call at the service and delivers its answer."""
--- a/pimentoledge/emulators.py
+++ b/pimentoledge/emulators.py
@@ -1,4 +1,4 @@
-"""A whole deployment in one process: real daemons before fakes."""
+"""Runs a whole deployment in one process: real daemons, fake backends."""
 
 import hashlib
 
@@ -17,8 +17,8 @@
 from pimentoledge.stores import fake_servers as object_servers
 from pimentoledge.stores import fake_vms
 
-LOOPBACK = "tcp://127.0.0.1:0"
-ANY_PORT = "127.0.0.1:0"
+ANY_MAILBOX_ADDRESS = "tcp://127.0.0.1:0"
+ANY_HTTP_ADDRESS = "127.0.0.1:0"
 
 
 @attrs.define(kw_only=True)
@@ -28,7 +28,7 @@
     Attributes:
         name: the backend server's name.
         engine: the fake engine.
-        server: HTTP before it.
+        server: HTTP server of the fake engine.
         daemon: its agent.
     """
 
@@ -59,11 +59,11 @@
     Attributes:
         objects: the fake object API.
         vm_list: the fake list of VMs.
-        store: HTTP before both.
+        store: HTTP server of both fakes.
         runners: emulated runners by name.
         services: emulated plain services by name.
         entries: entry daemons.
-        peers: the setting of that name for every daemon; empty for none.
+        peers: value of the `peers` setting of every daemon; may be empty.
     """
 
     def __init__(self, *, peers: str = ""):
@@ -78,11 +78,11 @@
         self.entries: list[entry.EntryDaemon] = []
 
     def start(self) -> None:
-        """Starts the object API; the rest is added afterwards."""
+        """Starts the object API; the other processes are added later."""
         self.store.start()
 
     def close(self) -> None:
-        """Ends everything that was started, entries first."""
+        """Closes everything that was started, entries first."""
         for each in self.entries:
             each.close()
         for each in [*self.runners.values(), *self.services.values()]:
@@ -108,17 +108,19 @@
 
     def settings_for(self, program: str, **flags: str) -> settings.Settings:
         """Returns checked settings for a daemon of this deployment."""
-        given = {name.replace("_", "-"): each for name, each in flags.items()}
-        given["store"] = self.store.url
-        given["peers"] = given.get("peers", self.peers)
-        given["admin-listen"] = ANY_PORT
-        given["mailbox"] = given.get("mailbox", LOOPBACK)
+        all_flags = {
+            name.replace("_", "-"): each for name, each in flags.items()
+        }
+        all_flags["store"] = self.store.url
+        all_flags["peers"] = all_flags.get("peers", self.peers)
+        all_flags["admin-listen"] = ANY_HTTP_ADDRESS
+        all_flags["mailbox"] = all_flags.get("mailbox", ANY_MAILBOX_ADDRESS)
         checked = settings.check_settings(
-            program=program, flags=given, environment={}
+            program=program, flags=all_flags, environment={}
         )
         match checked:
-            case result.Success(found):
-                return found
+            case result.Success(checked_settings):
+                return checked_settings
             case result.Failure(error):
                 raise ValueError(error.text)
 
@@ -164,10 +166,10 @@
         server = fake_services.ServiceServer(service=fake)
         server.start()
         daemon = self.start_agent(name, "service", server.url, slots, "local")
-        plain = EmulatedService(
+        emulated = EmulatedService(
             name=name, service=fake, server=server, daemon=daemon
         )
-        self.services[name] = plain
+        self.services[name] = emulated
         self.declare(
             declarations.BackendServer(
                 name=name,
@@ -177,7 +179,7 @@
                 slots=slots,
             )
         )
-        return plain
+        return emulated
 
     def start_agent(
         self, name: str, kind: str, url: str, slots: int, data_centre: str
@@ -196,9 +198,9 @@
         return daemon
 
     def add_entry(self, name: str, **flags: str) -> entry.EntryDaemon:
-        """Starts an entry; it is ready once it has its configuration."""
+        """Starts an entry, which is ready once it has its configuration."""
         chosen = self.settings_for(
-            settings.ENTRY, name=name, listen=ANY_PORT, **flags
+            settings.ENTRY, name=name, listen=ANY_HTTP_ADDRESS, **flags
         )
         daemon = entry.EntryDaemon(chosen=chosen)
         daemon.start()
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -28,27 +28,29 @@
 
 logger = logbook.Logger("entry")
 
-IDLE_CHECK_SECONDS = 0.05
-# New at each start: ids of writes must never be those of a former life.
+IDLE_CHECK_INTERVAL_SECONDS = 0.05
+# Size of the random seed, drawn at each start: write ids must never repeat
+# those of an earlier start.
 SEED_BITS = 64
-# Longer than any update takes to be answered by the state machine.
-OPERATOR_SECONDS = 12.0
+# Longer than the state machine takes to answer any update.
+OPERATOR_TIMEOUT_SECONDS = 12.0
 
 
 class EntryDaemon:
     """One entry process.
 
     Attributes:
-        chosen: its checked settings.
-        core: the state machine; only the loop's thread touches it.
+        chosen: the checked settings.
+        core: the state machine; only the loop's thread changes it.
         loop: the thread that owns the state machine.
         store: task that calls the object API.
         vms: task that reads the list of VMs.
-        metrics: what it counts.
+        metrics: the exported metrics.
         admin: the HTTP server for operators.
         callers: the HTTP server for callers.
-        replies: where the answer of each open request goes.
-        operators: where the answer to each operator goes.
+        replies: queue for the answer of each open request, by request id.
+        operator_answers: queue for the answer of each operator's request, by
+            request id.
         leaving: whether the balancer should send no more callers.
     """
 
@@ -85,7 +87,7 @@
         self.admin = admin_servers.AdminServer(
             listen=chosen.text("admin-listen"),
             pages={
-                api.API_ROOT: api.AdminApi(submit=self.operate).serve,
+                api.API_ROOT: api.AdminApi(submit=self.answer_operator).serve,
                 **pages.daemon_pages(
                     counted=self.metrics,
                     alive=self.alive,
@@ -101,11 +103,11 @@
             buffer_bytes=chosen.integer("stream-buffer-bytes"),
             submit=self.submit,
             on_caller_left=self.caller_left,
-            models=self.models,
+            models=self.models_of_key,
             ready=self.ready,
         )
         self.replies: dict[str, replies.ReplyQueue] = {}
-        self.operators: dict[str, queue.SimpleQueue] = {}
+        self.operator_answers: dict[str, queue.SimpleQueue] = {}
         self.leaving = False
 
     def object_client(self) -> objects.ObjectClient:
@@ -129,22 +131,22 @@
         logger.info("entry {} serves {}", self.core.name, self.callers.address)
 
     def drain(self) -> None:
-        """Leaves the balancer, then finishes what runs.
+        """Reports not ready for a time, then finishes running requests.
 
-        A balancer looks at /readyz only now and then; until it has, callers
-        still come here, and each is served.
+        The balancer polls /readyz only periodically. Until its next poll it
+        still sends callers here, and they are served.
         """
         self.leaving = True
         time.sleep(self.chosen.number("drain-seconds"))
         self.loop.inbox.put(events.Drain())
-        until = time.monotonic() + self.chosen.number("shutdown-seconds")
-        while time.monotonic() < until and not self.loop.query(_is_idle):
-            time.sleep(IDLE_CHECK_SECONDS)
+        deadline = time.monotonic() + self.chosen.number("shutdown-seconds")
+        while time.monotonic() < deadline and not self.loop.query(_is_idle):
+            time.sleep(IDLE_CHECK_INTERVAL_SECONDS)
 
     def close(self) -> None:
         """Closes every socket and waits for every task."""
         self.callers.close()
-        for answer in list(self.operators.values()):
+        for answer in list(self.operator_answers.values()):
             answer.put(None)
         self.admin.close()
         self.vms.close()
@@ -152,7 +154,7 @@
         self.store.close()
 
     def submit(self, event: events.CallerRequest) -> replies.ReplyQueue:
-        """Hands a request to the state machine; any thread may call it."""
+        """Passes a request to the state machine; any thread may call it."""
         answer = replies.ReplyQueue(
             limit_bytes=self.chosen.integer("stream-buffer-bytes")
         )
@@ -162,51 +164,51 @@
         return answer
 
     def caller_left(self, request: str) -> None:
-        """Says that the caller of a request went away."""
+        """Reports that the caller of a request disconnected."""
         if self.replies.pop(request, None) is None:
-            return  # It has ended meanwhile, and was counted.
+            return  # The request has already ended and was counted.
         self.metrics.note_caller_left(request)
         self.loop.inbox.put(events.CallerGone(request=request))
 
     def ready(self) -> bool:
-        """Returns whether the balancer should send callers here."""
+        """Returns whether the balancer may send callers here."""
         return not self.leaving and self.core.configuration.is_complete()
 
     def alive(self) -> bool:
-        """Returns whether the state machine's thread answers."""
+        """Returns whether the state machine's thread responds."""
         return self.loop.query(_is_idle) is not None
 
     def refresh_metrics(self) -> None:
-        """Brings the gauges up to date."""
-        self.metrics.open.set(len(self.replies))
-        self.metrics.configuration.set(self.core.configuration.version)
+        """Updates the gauges."""
+        self.metrics.open_requests.set(len(self.replies))
+        self.metrics.configuration_version.set(self.core.configuration.version)
 
-    def operate(
+    def answer_operator(
         self, event: events.OperatorRequest
     ) -> actions.ReplyOperator | None:
-        """Hands an operator's request on and waits for the answer."""
+        """Returns the answer to an operator, or None on timeout or close."""
         answer: queue.SimpleQueue = queue.SimpleQueue()
-        self.operators[event.request] = answer
+        self.operator_answers[event.request] = answer
         self.loop.inbox.put(event)
         try:
-            return answer.get(timeout=OPERATOR_SECONDS)
+            return answer.get(timeout=OPERATOR_TIMEOUT_SECONDS)
         except queue.Empty:
             return None
         finally:
-            del self.operators[event.request]
+            del self.operator_answers[event.request]
 
-    def models(self, key_digest: str) -> list[str] | None:
+    def models_of_key(self, key_digest: str) -> list[str] | None:
         """Returns the models of an API key, or None for an unknown key."""
 
-        def find(core: entries.Entry) -> list[str] | None:
+        def find_models(core: entries.Entry) -> list[str] | None:
             contract = core.configuration.contract_by_key(key_digest)
             return None if contract is None else list(contract.models)
 
-        return self.loop.query(find)
+        return self.loop.query(find_models)
 
-    def perform(self, todo: list[actions.Action]) -> None:
-        """Carries out actions other than sending."""
-        for action in todo:
+    def perform(self, to_perform: list[actions.Action]) -> None:
+        """Carries out all actions except sending messages."""
+        for action in to_perform:
             match action:
                 case actions.ReplyText():
                     self.metrics.note_text(action.request)
@@ -214,7 +216,7 @@
                 case actions.CallStore():
                     self.store.call(action.call)
                 case actions.ReplyOperator():
-                    answer = self.operators.get(action.request)
+                    answer = self.operator_answers.get(action.request)
                     if answer is not None:
                         answer.put(action)
                 case actions.ReleaseMemory():
@@ -226,7 +228,7 @@
                     self.reply(action, last=True)
 
     def reply(self, action: actions.Action, *, last: bool) -> None:
-        """Hands a piece of an answer to its caller's thread."""
+        """Passes a part of an answer to its caller's thread."""
         answer = self.replies.get(action.request)
         if last:
             self.replies.pop(action.request, None)
@@ -238,9 +240,9 @@
 
 
 def _answer_defect(event: object) -> list[actions.Action]:
-    """Answers a request that met a defect before it was taken up.
+    """Returns an error reply to a request whose handling raised an exception.
 
-    Its caller would wait for its deadline and never learn why.
+    Without it the caller would wait for its deadline and not learn why.
     """
     if not isinstance(event, events.CallerRequest):
         return []
--- a/pimentoledge/fake_http.py
+++ b/pimentoledge/fake_http.py
@@ -1,9 +1,8 @@
-"""HTTP server under the fakes of the peers.
+"""HTTP server of the fakes of external systems.
 
-A fake must be able to do what a good server never does: close a connection in
-the middle of an answer. So the handlers here write to cheroot's request
-themselves, and `cut_connection` ends a connection without an answer or an end
-mark.
+A fake must be able to fail as a real server may: close a connection in the
+middle of a response. So the handlers write to cheroot's request themselves, and
+`cut_connection` closes a connection without a response or an end marker.
 """
 
 from collections.abc import Callable
@@ -16,19 +15,19 @@
 import msgspec
 
 LISTEN_BACKLOG = 512
-SHUTDOWN_SECONDS = 5
-POLL_SECONDS = 0.05
+SHUTDOWN_TIMEOUT_SECONDS = 5
+POLL_INTERVAL_SECONDS = 0.05
 JSON = b"application/json"
 EVENT_STREAM = b"text/event-stream"
 
-Handle = Callable[[cheroot.server.HTTPRequest], None]
+RequestHandler = Callable[[cheroot.server.HTTPRequest], None]
 
 
 class HandlerGateway(cheroot.server.Gateway):
-    """Gives each request to the handler of its server."""
+    """Passes each request to the handler of its server."""
 
     def respond(self) -> None:
-        """Answers one request; one that makes no sense with a 400."""
+        """Answers one request; a malformed one with status 400."""
         try:
             self.req.server.handle(self.req)
         except (msgspec.MsgspecError, KeyError, ValueError):
@@ -38,24 +37,25 @@
 
 
 class ReusingServer(cheroot.server.HTTPServer):
-    """A server whose port can be bound again at once after its end.
+    """A server whose port can be bound again at once after it has closed.
 
     Cheroot leaves SO_REUSEADDR off for a port that the system picked, so a
     restart on it fails with "address in use" for as long as connections of
-    the life before are in TIME_WAIT. Connections inherit the option from the
-    listening socket; setting it only after binding can't steal a port.
+    the previous server are in TIME_WAIT. Connections inherit the option from
+    the listening socket. It is set only after binding, so that it can't take
+    over a port that is in use.
     """
 
     @staticmethod
     def bind_socket(socket_, bind_addr):
-        """Binds, then lets the port be bound again later."""
+        """Binds the socket, then sets SO_REUSEADDR for later binds."""
         socket_.bind(bind_addr)
         socket_.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         return socket_
 
 
 class HttpServer:
-    """A cheroot server on a thread of its own.
+    """A cheroot server that runs in its own thread.
 
     It can be started again on the same port after `close`, as a restarted
     peer would be.
@@ -63,10 +63,12 @@
     Attributes:
         host: address to listen at.
         port: port to listen at; 0 until the first start picks a free one.
-        threads: requests handled at one time.
+        threads: number of requests handled concurrently.
     """
 
-    def __init__(self, *, handle: Handle, host: str, port: int, threads: int):
+    def __init__(
+        self, *, handle: RequestHandler, host: str, port: int, threads: int
+    ):
         self.handle = handle
         self.host = host
         self.port = port
@@ -86,8 +88,8 @@
         )
         self.http.handle = self.handle
         self.http.request_queue_size = LISTEN_BACKLOG
-        self.http.shutdown_timeout = SHUTDOWN_SECONDS
-        self.http.expiration_interval = POLL_SECONDS
+        self.http.shutdown_timeout = SHUTDOWN_TIMEOUT_SECONDS
+        self.http.expiration_interval = POLL_INTERVAL_SECONDS
         self.http.keep_alive_conn_limit = 1000
         self.http.prepare()
         self.port = self.http.bind_addr[1]
@@ -107,7 +109,7 @@
 
 
 def read_body(request: cheroot.server.HTTPRequest) -> bytes:
-    """Returns the whole body of a request."""
+    """Returns the complete body of a request."""
     return request.rfile.read()
 
 
@@ -121,7 +123,7 @@
     status: int,
     headers: list[tuple[bytes, bytes]],
 ) -> None:
-    """Sends status line and headers; the body may follow in pieces."""
+    """Sends status line and headers; the body may follow in parts."""
     request.status = b"%d status" % status
     request.outheaders = headers
     request.send_headers()
@@ -131,8 +133,8 @@
 def end_with_connection(
     request: cheroot.server.HTTPRequest, headers: list[tuple[bytes, bytes]]
 ) -> None:
-    """Makes the answer's body end with the connection, without chunks."""
-    # Cheroot writes bodies of unknown length in chunks, but to HTTP/1.0.
+    """Delimits the body by closing the connection instead of by chunks."""
+    # Cheroot sends bodies of unknown length in chunks, except over HTTP/1.0.
     request.response_protocol = "HTTP/1.0"
     headers.append((b"Connection", b"close"))
 
@@ -143,15 +145,15 @@
     status: int = 200,
     headers: list[tuple[bytes, bytes]] | None = None,
 ) -> None:
-    """Sends a whole answer; JSON, unless the headers say otherwise."""
-    given = list(headers or [(b"Content-Type", JSON)])
-    given.append((b"Content-Length", b"%d" % len(body)))
-    begin_response(request, status, given)
+    """Sends a complete response, as JSON unless headers are given."""
+    all_headers = list(headers or [(b"Content-Type", JSON)])
+    all_headers.append((b"Content-Length", b"%d" % len(body)))
+    begin_response(request, status, all_headers)
     request.conn.wfile.write(body)
 
 
 def cut_connection(request: cheroot.server.HTTPRequest) -> None:
-    """Ends the connection at once, without an answer or an end mark."""
+    """Closes the connection at once, without a response or an end marker."""
     request.sent_headers = True
     request.chunked_write = False
     request.close_connection = True
@@ -163,12 +165,12 @@
     try:
         connection.shutdown(socket.SHUT_RDWR)
     except OSError:
-        # The other side was faster; the connection is down either way.
+        # The peer closed it first; the connection is down either way.
         pass
 
 
 def query_of(request: cheroot.server.HTTPRequest) -> dict[str, str]:
-    """Returns the query's fields; of a repeated field the last."""
+    """Returns the query's fields; a repeated field has its last value."""
     return dict(urllib.parse.parse_qsl(request.qs.decode("ascii")))
 
 
--- a/pimentoledge/http_faults.py
+++ b/pimentoledge/http_faults.py
@@ -1,4 +1,4 @@
-"""What an error of the HTTP client says about the request."""
+"""Classifies errors of the HTTP client."""
 
 import urllib3
 
@@ -6,9 +6,9 @@
 def never_sent(error: urllib3.exceptions.HTTPError) -> bool:
     """Returns whether a request certainly never left this process.
 
-    That holds only when no connection came about: refused, unreachable, or
-    timed out while connecting. After that, even a reset says nothing about
-    what the peer did with the request.
+    That holds only if no connection was established: refused, unreachable, or
+    timed out while connecting. Afterwards even a reset does not show what the
+    peer did with the request.
     """
     return isinstance(
         error,
--- a/pimentoledge/http_pools.py
+++ b/pimentoledge/http_pools.py
@@ -6,31 +6,31 @@
 from urllib3 import connection
 from urllib3 import connectionpool
 
-# For calls that name no timeout of their own.
-DEFAULT_SECONDS = 30.0
+# Timeout of pools that are created without one.
+DEFAULT_TIMEOUT_SECONDS = 30.0
 
 
 class HttpPool(urllib3.PoolManager):
-    """A pool of connections, without retries, that `cut` ends.
+    """A connection pool without retries, whose connections `cut` closes.
 
-    A thread that waits for an answer holds its connection outside the pool,
-    so clearing the pool would leave it waiting until its timeout and delay
-    the end of the process by as much.
+    A thread that waits for a response has taken its connection out of the
+    pool, so clearing the pool would leave it waiting until its timeout and
+    delay the exit of the process by as much.
 
     Attributes:
-        connections: connections that are open.
-        cutting: whether the pool was cut; a new connection then fails.
+        connections: the open connections.
+        is_cut: whether the pool was cut; new connections then fail.
     """
 
     def __init__(
         self,
         *,
         size: int,
-        timeout: float | urllib3.Timeout = DEFAULT_SECONDS,
+        timeout: float | urllib3.Timeout = DEFAULT_TIMEOUT_SECONDS,
     ):
         super().__init__(retries=False, maxsize=size, timeout=timeout)
         self.connections: set[connection.HTTPConnection] = set()
-        self.cutting = False
+        self.is_cut = False
         pool = self
 
         class TrackedConnection(connection.HTTPConnection):
@@ -49,25 +49,25 @@
         self.pool_classes_by_scheme = {"http": TrackedPool}
 
     def track(self, opened: connection.HTTPConnection) -> None:
-        """Notes an open connection; cuts it if it came too late."""
+        """Records an open connection; cuts it if the pool is already cut."""
         self.connections.add(opened)
-        if self.cutting:
+        if self.is_cut:
             _cut(opened)
 
     def cut(self) -> None:
-        """Ends every connection; whoever waits on one gets an error."""
-        self.cutting = True
+        """Shuts all connections down; threads that wait on one get an error."""
+        self.is_cut = True
         for each in list(self.connections):
             _cut(each)
         self.clear()
 
 
-def _cut(each: connection.HTTPConnection) -> None:
-    opened = each.sock
-    if opened is None:
+def _cut(opened: connection.HTTPConnection) -> None:
+    connected = opened.sock
+    if connected is None:
         return
     try:
-        opened.shutdown(socket.SHUT_RDWR)
+        connected.shutdown(socket.SHUT_RDWR)
     except OSError:
         # Already closed by its peer or by the thread that used it.
         return
--- a/pimentoledge/logs.py
+++ b/pimentoledge/logs.py
@@ -1,4 +1,4 @@
-"""Log lines, in a plain and a JSON form."""
+"""Formats log lines as plain text or as JSON."""
 
 import datetime
 
@@ -8,26 +8,29 @@
 logger = logbook.Logger("decisions")
 
 
-def _plain(record: logbook.LogRecord, _handler: object) -> str:
-    when = record.time.strftime("%Y-%m-%dT%H:%M:%S.%f")
-    return f"{when}Z {record.level_name} {record.channel}: {_text(record)}"
+def _format_plain(record: logbook.LogRecord, _handler: object) -> str:
+    timestamp = record.time.strftime("%Y-%m-%dT%H:%M:%S.%f")
+    return (
+        f"{timestamp}Z {record.level_name} {record.channel}:"
+        f" {_format_message(record)}"
+    )
 
 
-def _text(record: logbook.LogRecord) -> str:
+def _format_message(record: logbook.LogRecord) -> str:
     fields = record.extra["fields"]
     if not fields:
         return record.message
-    pairs = " ".join(f"{name}={_short(fields[name])}" for name in fields)
+    pairs = " ".join(f"{name}={_format_value(fields[name])}" for name in fields)
     return f"{record.message} {pairs}"
 
 
-def _short(value: object) -> str:
+def _format_value(value: object) -> str:
     if isinstance(value, str):
         return value if value and " " not in value else repr(value)
     return msgspec.json.encode(value, enc_hook=str).decode()
 
 
-def _json(record: logbook.LogRecord, _handler: object) -> str:
+def _format_json(record: logbook.LogRecord, _handler: object) -> str:
     line = {
         "time": record.time.replace(tzinfo=datetime.UTC).isoformat(),
         "level": record.level_name.lower(),
@@ -45,9 +48,9 @@
         level: lowest level, by logbook's name in any case.
         form: "plain" or "json".
     """
-    chosen = logbook.StderrHandler(level=level.upper(), bubble=False)
-    chosen.formatter = _json if form == "json" else _plain
-    return chosen
+    handler = logbook.StderrHandler(level=level.upper(), bubble=False)
+    handler.formatter = _format_json if form == "json" else _format_plain
+    return handler
 
 
 def log_decision(kind: str, fields: dict[str, object]) -> None:
--- a/pimentoledge/metrics.py
+++ b/pimentoledge/metrics.py
@@ -11,12 +11,12 @@
 
 
 class Metrics:
-    """What every daemon counts; each has a registry of its own.
+    """Metrics of every daemon; each daemon has its own registry.
 
     Attributes:
-        registry: holds all of them.
+        registry: registry of all metrics of the daemon.
         decisions: decisions by kind and outcome.
-        configuration: newest configuration version in force here.
+        configuration_version: newest configuration version in force here.
     """
 
     def __init__(self):
@@ -27,7 +27,7 @@
             ["kind", "outcome"],
             registry=self.registry,
         )
-        self.configuration = prometheus_client.Gauge(
+        self.configuration_version = prometheus_client.Gauge(
             "pimentoledge_configuration_version",
             "Newest configuration version in force here",
             registry=self.registry,
@@ -44,19 +44,19 @@
         self.decisions.labels(decision.kind, "").inc()
 
     def render(self) -> bytes:
-        """Returns all of them in Prometheus's text form."""
+        """Returns all metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
 
 
 class EntryMetrics(Metrics):
-    """What an entry counts besides.
+    """Metrics of an entry.
 
     Attributes:
         requests: requests ended, by result code.
-        open: requests that have not ended.
+        open_requests: requests that have not ended.
         first_token: time from arrival to the first text.
         prompt_tokens: prompt tokens, by whether the engine had them cached.
-        arrivals: time of arrival of the requests without text, by id.
+        arrivals: arrival times of requests that have no text yet, by id.
     """
 
     def __init__(self):
@@ -67,7 +67,7 @@
             ["code"],
             registry=self.registry,
         )
-        self.open = prometheus_client.Gauge(
+        self.open_requests = prometheus_client.Gauge(
             "pimentoledge_open_requests",
             "Requests that have not ended",
             registry=self.registry,
@@ -87,22 +87,22 @@
         self.arrivals: dict[str, float] = {}
 
     def note_arrival(self, request: str) -> None:
-        """Notes a request's arrival; any thread may call it."""
+        """Records a request's arrival; any thread may call it."""
         self.arrivals[request] = time.monotonic()
 
     def note_text(self, request: str) -> None:
-        """Notes text of a stream; only the first counts."""
+        """Records the time to a stream's first text; ignores later text."""
         arrived = self.arrivals.pop(request, None)
         if arrived is not None:
             self.first_token.observe(time.monotonic() - arrived)
 
     def note_caller_left(self, request: str) -> None:
-        """Notes that a request's caller went away; any thread may call it."""
+        """Counts a request whose caller left; any thread may call it."""
         self.arrivals.pop(request, None)
         self.requests.labels(results.Code.CALLER_GONE.name).inc()
 
     def note_end(self, action: actions.Action) -> None:
-        """Notes a request's end."""
+        """Counts an ended request by its result code."""
         self.arrivals.pop(action.request, None)
         match action:
             case actions.ReplyError():
@@ -116,11 +116,11 @@
 
 
 class AgentMetrics(Metrics):
-    """What an agent counts besides.
+    """Metrics of an agent.
 
     Attributes:
-        running: attempts that the engine or service runs.
-        queued: attempts that wait at this agent.
+        running: attempts that run at the engine or service.
+        queued: attempts that are queued at this agent.
         claims: claims that are not settled in the store.
         claim_bytes: size of the largest shard of claims held here.
     """
--- a/pimentoledge/results.py
+++ b/pimentoledge/results.py
@@ -1,6 +1,6 @@
 """Numbered result codes, shared by every process and shown to callers.
 
-docs/result-codes.md holds the same table; a test compares the two.
+docs/result-codes.md is generated from MEANINGS; a test compares them.
 """
 
 import enum
@@ -9,7 +9,7 @@
 
 
 class Ran(enum.StrEnum):
-    """What an answer says about the call having run."""
+    """Whether a call ran, as reported in its answer."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -17,7 +17,7 @@
 
 
 class Code(enum.IntEnum):
-    """Result codes; the thousands group them by who can act on them."""
+    """Result codes, grouped by thousands by who can act on them."""
 
     OK = 0
     # 1xxx: the request itself.
@@ -39,7 +39,7 @@
     SHUTTING_DOWN = 2005
     CRASHES = 2006
     LIMIT_UNKNOWN = 2007
-    # 3xxx: routing; what an agent refuses, and what an entry can't place.
+    # 3xxx: routing; refusals by agents, and requests that an entry can't place.
     NO_SERVER = 3001
     STALE_INCARNATION = 3002
     STALE_WEIGHTS = 3003
@@ -76,7 +76,7 @@
     PRECONDITION_NEEDED = 6007
     UNCONFIRMED = 6008
     PLATFORM_DOWN = 6009
-    # 7xxx: settings and starting.
+    # 7xxx: settings and startup.
     BAD_SETTING = 7001
     # 9xxx: defects.
     INTERNAL = 9001
@@ -88,7 +88,7 @@
 
     Attributes:
         status: HTTP status.
-        ran: what is true of the call unless the error itself says otherwise.
+        ran: whether the call ran, unless the error overrides it.
         text: default message.
     """
 
@@ -101,53 +101,57 @@
     return Meaning(status=status, ran=ran, text=text)
 
 
-_NOT = Ran.NOT_RUN
+_NOT_RUN = Ran.NOT_RUN
 _RAN = Ran.RAN
 _UNKNOWN = Ran.UNKNOWN
 
 MEANINGS: dict[Code, Meaning] = {
     Code.OK: _row(200, _RAN, "done"),
-    Code.BAD_JSON: _row(400, _NOT, "the body is not valid JSON"),
-    Code.BODY_TOO_LARGE: _row(413, _NOT, "the body is too large"),
-    Code.BAD_FIELD: _row(400, _NOT, "a field is missing or out of range"),
-    Code.UNKNOWN_MODEL: _row(404, _NOT, "no such model"),
-    Code.UNKNOWN_SERVICE: _row(404, _NOT, "no such service"),
-    Code.BAD_KEY: _row(401, _NOT, "the API key is missing or unknown"),
-    Code.NOT_PERMITTED: _row(403, _NOT, "the contract does not permit this"),
+    Code.BAD_JSON: _row(400, _NOT_RUN, "the body is not valid JSON"),
+    Code.BODY_TOO_LARGE: _row(413, _NOT_RUN, "the body is too large"),
+    Code.BAD_FIELD: _row(400, _NOT_RUN, "a field is missing or out of range"),
+    Code.UNKNOWN_MODEL: _row(404, _NOT_RUN, "no such model"),
+    Code.UNKNOWN_SERVICE: _row(404, _NOT_RUN, "no such service"),
+    Code.BAD_KEY: _row(401, _NOT_RUN, "the API key is missing or unknown"),
+    Code.NOT_PERMITTED: _row(
+        403, _NOT_RUN, "the contract does not permit this"
+    ),
     Code.KEY_NEEDED: _row(
-        400, _NOT, "a call that may not be repeated needs Idempotency-Key"
+        400, _NOT_RUN, "a call that may not be repeated needs Idempotency-Key"
     ),
-    Code.NOT_FOUND: _row(404, _NOT, "no such path"),
-    Code.METHOD_NOT_ALLOWED: _row(405, _NOT, "method not allowed"),
-    Code.RATE_LIMITED: _row(429, _NOT, "the contract's rate is used up"),
+    Code.NOT_FOUND: _row(404, _NOT_RUN, "no such path"),
+    Code.METHOD_NOT_ALLOWED: _row(405, _NOT_RUN, "method not allowed"),
+    Code.RATE_LIMITED: _row(429, _NOT_RUN, "the contract's rate is used up"),
     Code.CONCURRENCY_LIMITED: _row(
-        429, _NOT, "the contract's concurrent requests are used up"
+        429, _NOT_RUN, "the contract's concurrent requests are used up"
     ),
     Code.DEADLINE_UNMEETABLE: _row(
-        503, _NOT, "the deadline cannot be met by any server"
+        503, _NOT_RUN, "the deadline cannot be met by any server"
     ),
-    Code.OVERLOADED: _row(503, _NOT, "all servers are full"),
-    Code.SHUTTING_DOWN: _row(503, _NOT, "this process is shutting down"),
+    Code.OVERLOADED: _row(503, _NOT_RUN, "all servers are full"),
+    Code.SHUTTING_DOWN: _row(503, _NOT_RUN, "this process is shutting down"),
     Code.CRASHES: _row(
-        503, _NOT, "requests with this content crashed servers; not run"
+        503, _NOT_RUN, "requests with this content crashed servers; not run"
     ),
     Code.LIMIT_UNKNOWN: _row(
-        503, _NOT, "what the contract's rate has left cannot be told now"
+        503, _NOT_RUN, "what the contract's rate has left cannot be told now"
+    ),
+    Code.NO_SERVER: _row(503, _NOT_RUN, "no server can take this call now"),
+    Code.STALE_INCARNATION: _row(503, _NOT_RUN, "the engine has restarted"),
+    Code.STALE_WEIGHTS: _row(503, _NOT_RUN, "the weights have changed"),
+    Code.SERVER_LEAVING: _row(503, _NOT_RUN, "the server is leaving"),
+    Code.SERVER_DOWN: _row(503, _NOT_RUN, "the server is down"),
+    Code.WRONG_SERVER: _row(503, _NOT_RUN, "another server has this address"),
+    Code.AGENT_UNREACHABLE: _row(503, _NOT_RUN, "the agent cannot be reached"),
+    Code.STALE_CONFIGURATION: _row(
+        503, _NOT_RUN, "the configuration has changed"
     ),
-    Code.NO_SERVER: _row(503, _NOT, "no server can take this call now"),
-    Code.STALE_INCARNATION: _row(503, _NOT, "the engine has restarted"),
-    Code.STALE_WEIGHTS: _row(503, _NOT, "the weights have changed"),
-    Code.SERVER_LEAVING: _row(503, _NOT, "the server is leaving"),
-    Code.SERVER_DOWN: _row(503, _NOT, "the server is down"),
-    Code.WRONG_SERVER: _row(503, _NOT, "another server has this address"),
-    Code.AGENT_UNREACHABLE: _row(503, _NOT, "the agent cannot be reached"),
-    Code.STALE_CONFIGURATION: _row(503, _NOT, "the configuration has changed"),
-    Code.ADAPTER_NOT_LOADED: _row(503, _NOT, "the adapter is not loaded"),
-    Code.SUSPECT_BUSY: _row(503, _NOT, "another suspect request runs here"),
+    Code.ADAPTER_NOT_LOADED: _row(503, _NOT_RUN, "the adapter is not loaded"),
+    Code.SUSPECT_BUSY: _row(503, _NOT_RUN, "another suspect request runs here"),
     Code.CONFIGURATION_INCOMPLETE: _row(
-        503, _NOT, "this entry is starting and lacks the configuration"
+        503, _NOT_RUN, "this entry is starting and lacks the configuration"
     ),
-    Code.SERVER_LOADING: _row(503, _NOT, "the server is loading weights"),
+    Code.SERVER_LOADING: _row(503, _NOT_RUN, "the server is loading weights"),
     Code.ENGINE_DIED: _row(502, _RAN, "the engine died while it ran this"),
     Code.DEADLINE_PASSED: _row(504, _UNKNOWN, "the deadline has passed"),
     Code.POISON: _row(
@@ -166,44 +170,46 @@
     ),
     Code.CLAIM_STORE_DOWN: _row(
         503,
-        _NOT,
+        _NOT_RUN,
         "the claim cannot be made durable now; this request was not run, an"
         " earlier one with its key may have",
     ),
     Code.KEY_REUSED: _row(
-        422, _NOT, "this key was used before with another request"
+        422, _NOT_RUN, "this key was used before with another request"
     ),
     Code.ANSWER_NOT_KEPT: _row(
         409, _RAN, "the call with this key ran; its answer is not kept"
     ),
     Code.CLAIMS_FULL: _row(
-        503, _NOT, "too many keys are remembered; this request was not run"
+        503, _NOT_RUN, "too many keys are remembered; this request was not run"
+    ),
+    Code.INVALID_DECLARATION: _row(
+        400, _NOT_RUN, "the declaration is not valid"
     ),
-    Code.INVALID_DECLARATION: _row(400, _NOT, "the declaration is not valid"),
     Code.VERSION_CONFLICT: _row(
-        412, _NOT, "the object has a newer version than the one you read"
+        412, _NOT_RUN, "the object has a newer version than the one you read"
     ),
     Code.NOT_ACCEPTED: _row(
-        503, _NOT, "the platform's store did not take this; not accepted"
+        503, _NOT_RUN, "the platform's store did not take this; not accepted"
     ),
-    Code.OPERATOR_KEY: _row(401, _NOT, "the operator key is unknown"),
-    Code.OPERATOR_ROLE: _row(403, _NOT, "the operator's role forbids this"),
-    Code.ABSENT: _row(404, _NOT, "no such object"),
+    Code.OPERATOR_KEY: _row(401, _NOT_RUN, "the operator key is unknown"),
+    Code.OPERATOR_ROLE: _row(403, _NOT_RUN, "the operator's role forbids this"),
+    Code.ABSENT: _row(404, _NOT_RUN, "no such object"),
     Code.PRECONDITION_NEEDED: _row(
-        428, _NOT, "If-Match or If-None-Match is needed"
+        428, _NOT_RUN, "If-Match or If-None-Match is needed"
     ),
     Code.UNCONFIRMED: _row(
         504, _UNKNOWN, "the store's answer was lost; read the object again"
     ),
     Code.PLATFORM_DOWN: _row(
-        503, _NOT, "the platform's service gave no answer"
+        503, _NOT_RUN, "the platform's service gave no answer"
     ),
-    Code.BAD_SETTING: _row(500, _NOT, "a setting is not valid"),
+    Code.BAD_SETTING: _row(500, _NOT_RUN, "a setting is not valid"),
     Code.INTERNAL: _row(500, _UNKNOWN, "a defect of pimentoledge"),
 }
 
 
-_TYPES = {
+_ERROR_TYPES = {
     401: "authentication_error",
     403: "permission_error",
     404: "not_found_error",
@@ -214,13 +220,13 @@
 
 @attrs.frozen(kw_only=True)
 class Error:
-    """An error as it is passed on and shown.
+    """An error, as it is passed on and shown to callers.
 
     Attributes:
         code: result code.
-        text: message for a person; empty for the code's own.
-        ran: overrides what the code says about the call having run.
-        retry_after: seconds after which to come back; 0 for no advice.
+        text: message for people; empty for the code's default message.
+        ran: whether the call ran, if it differs from the code's default.
+        retry_after: seconds after which to retry; 0 for no advice.
     """
 
     code: Code
@@ -229,7 +235,7 @@
     retry_after: float = 0.0
 
     def message(self) -> str:
-        """Returns the text, or the code's own where there is none."""
+        """Returns the text, or the code's default message without one."""
         return self.text or MEANINGS[self.code].text
 
     def status(self) -> int:
@@ -237,17 +243,17 @@
         return MEANINGS[self.code].status
 
     def outcome(self) -> Ran:
-        """Returns what is true of the call having run."""
+        """Returns whether the call ran."""
         return self.ran or MEANINGS[self.code].ran
 
     def fields(self, param: str | None = None) -> dict[str, object]:
-        """Returns the error object that every interface shows.
+        """Returns the error object that every interface returns.
 
-        It is the OpenAI error object with a number, what is true of the call
-        having run, and when to come back.
+        It is the OpenAI error object, extended by the number of the result
+        code, whether the call ran, and when to retry.
 
         Args:
-            param: the field at fault, if one is.
+            param: name of the invalid field, if any.
         """
         return {
             "message": self.message(),
@@ -264,4 +270,4 @@
     """Returns the type of the OpenAI error object for an HTTP status."""
     if status >= _FIRST_SERVER_STATUS:
         return "server_error"
-    return _TYPES.get(status, "invalid_request_error")
+    return _ERROR_TYPES.get(status, "invalid_request_error")
--- a/pimentoledge/settings.py
+++ b/pimentoledge/settings.py
@@ -1,4 +1,4 @@
-"""Every setting of every process: its default, its range and its check."""
+"""Settings of all programs: defaults, allowed values and checks."""
 
 import re
 import tomllib
@@ -14,7 +14,7 @@
 OPERATOR = "operator"
 ROUTER = "router"
 DAEMONS = (ENTRY, AGENT)
-NAMED = (ENTRY, AGENT, ROUTER)
+NAMED_PROGRAMS = (ENTRY, AGENT, ROUTER)
 _ADDRESS = re.compile(r"^tcp://\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 _HOST_PORT = re.compile(r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
 _URL = re.compile(r"^https?://\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")
@@ -28,11 +28,11 @@
 
 @attrs.frozen(kw_only=True)
 class Text:
-    """A setting of text that matches a pattern.
+    """A kind of setting whose text matches a pattern.
 
     Attributes:
         pattern: what the whole text must match.
-        allowed: the pattern in words, for messages.
+        allowed: description of the allowed texts, for messages.
     """
 
     pattern: re.Pattern[str]
@@ -41,18 +41,18 @@
 
 @attrs.frozen(kw_only=True)
 class Number:
-    """A number between two bounds, both allowed."""
+    """A kind of setting that is a number between two inclusive bounds."""
 
     low: float
     high: float
-    whole: bool = False
+    integral: bool = False
 
 
 @attrs.frozen(kw_only=True)
 class Choice:
-    """One of a few words."""
+    """A kind of setting that is one of a few words."""
 
-    words: tuple[str, ...]
+    values: tuple[str, ...]
 
 
 @attrs.frozen(kw_only=True)
@@ -60,11 +60,11 @@
     """One setting.
 
     Attributes:
-        name: name with hyphens, as in its flag.
-        kind: what values are allowed.
-        default: default value; None when it must be given.
-        programs: programs that have it.
-        text: what it does, with its unit.
+        name: name with hyphens, as in the flag.
+        kind: the allowed values.
+        default: default value; None if the setting is required.
+        programs: programs that have the setting.
+        text: description for operators, with the unit.
     """
 
     name: str
@@ -74,11 +74,11 @@
     text: str
 
     def variable(self) -> str:
-        """Returns the name of its environment variable."""
+        """Returns the name of the environment variable."""
         return ENVIRONMENT_PREFIX + self.name.replace("-", "_").upper()
 
     def flag(self) -> str:
-        """Returns its flag."""
+        """Returns the command line flag."""
         return "--" + self.name
 
 
@@ -100,14 +100,14 @@
         name="name",
         kind=_NAME_KIND,
         default=None,
-        programs=NAMED,
+        programs=NAMED_PROGRAMS,
         text="name of this process; an agent has its backend server's name",
     ),
     Setting(
         name="data-centre",
         kind=_NAME_KIND,
         default="local",
-        programs=NAMED,
+        programs=NAMED_PROGRAMS,
         text="data centre that this process runs in",
     ),
     Setting(
@@ -185,21 +185,21 @@
     ),
     Setting(
         name="caller-threads",
-        kind=Number(low=4, high=4096, whole=True),
+        kind=Number(low=4, high=4096, integral=True),
         default="600",
         programs=(ENTRY,),
         text="callers served at one time; each open stream holds one thread",
     ),
     Setting(
         name="max-body-bytes",
-        kind=Number(low=1024, high=64 * 1024 * 1024, whole=True),
+        kind=Number(low=1024, high=64 * 1024 * 1024, integral=True),
         default=str(8 * 1024 * 1024),
         programs=(ENTRY,),
         text="largest body of a request, in bytes",
     ),
     Setting(
         name="stream-buffer-bytes",
-        kind=Number(low=4096, high=16 * 1024 * 1024, whole=True),
+        kind=Number(low=4096, high=16 * 1024 * 1024, integral=True),
         default=str(256 * 1024),
         programs=(ENTRY,),
         text="text kept for a slow caller before its stream is ended, bytes",
@@ -227,14 +227,14 @@
     ),
     Setting(
         name="kind",
-        kind=Choice(words=("runner", "service", "kv_cache")),
+        kind=Choice(values=("runner", "service", "kv_cache")),
         default="runner",
         programs=(AGENT,),
         text="what stands beside this agent",
     ),
     Setting(
         name="slots",
-        kind=Number(low=1, high=1024, whole=True),
+        kind=Number(low=1, high=1024, integral=True),
         default="16",
         programs=(AGENT,),
         text="requests that run at one time until the engine has told",
@@ -248,21 +248,21 @@
     ),
     Setting(
         name="block-bytes",
-        kind=Number(low=16, high=65536, whole=True),
+        kind=Number(low=16, high=65536, integral=True),
         default="256",
         programs=(ENTRY,),
         text="prompt bytes in one block of the prefix chain",
     ),
     Setting(
         name="log-level",
-        kind=Choice(words=("debug", "info", "notice", "warning", "error")),
+        kind=Choice(values=("debug", "info", "notice", "warning", "error")),
         default="info",
-        programs=NAMED,
+        programs=NAMED_PROGRAMS,
         text="lowest level that is logged",
     ),
     Setting(
         name="log-format",
-        kind=Choice(words=("plain", "json")),
+        kind=Choice(values=("plain", "json")),
         default="plain",
         programs=DAEMONS,
         text="form of the log lines",
@@ -397,10 +397,10 @@
 
 @attrs.frozen(kw_only=True)
 class Value:
-    """A setting's value and where it came from.
+    """A setting's value and its source.
 
     Attributes:
-        setting: which setting.
+        setting: the setting.
         text: the value as text.
         source: "flag", "environment", "file" or "default".
     """
@@ -433,7 +433,7 @@
         return self.values[name].text
 
     def items(self, name: str) -> list[str]:
-        """Returns the items of a setting with commas between them."""
+        """Returns the items of a comma-separated setting."""
         return [each for each in self.values[name].text.split(",") if each]
 
     def number(self, name: str) -> float:
@@ -450,34 +450,34 @@
     return [each for each in SETTINGS if program in each.programs]
 
 
-def allowed(kind: Text | Number | Choice) -> str:
-    """Returns in words which values a setting may have."""
+def describe_allowed(kind: Text | Number | Choice) -> str:
+    """Returns a description of the values that a kind allows."""
     match kind:
         case Text():
             return kind.allowed
         case Number():
-            noun = "a whole number" if kind.whole else "a number"
+            noun = "a whole number" if kind.integral else "a number"
             return f"{noun} from {kind.low:g} to {kind.high:g}"
         case Choice():
-            return "one of " + ", ".join(kind.words)
+            return "one of " + ", ".join(kind.values)
 
 
 def is_valid(kind: Text | Number | Choice, text: str) -> bool:
-    """Returns whether a text is an allowed value."""
+    """Returns whether a kind allows a text as value."""
     match kind:
         case Text():
             return bool(kind.pattern.match(text))
         case Choice():
-            return text in kind.words
+            return text in kind.values
         case Number():
             try:
-                number = int(text) if kind.whole else float(text)
+                number = int(text) if kind.integral else float(text)
             except ValueError:
                 return False
             return kind.low <= number <= kind.high
 
 
-def _bad(text: str) -> result.Failure:
+def _setting_error(text: str) -> result.Failure:
     error = results.Error(code=results.Code.BAD_SETTING, text=text)
     return result.Failure(error)
 
@@ -501,38 +501,52 @@
         The settings, or an Error that names flag, variable, value and what
         is allowed.
     """
-    known = {each.name: each for each in SETTINGS}
+    setting_by_name = {each.name: each for each in SETTINGS}
     variables = {each.variable() for each in SETTINGS}
-    mine = settings_of(program)
+    program_settings = settings_of(program)
     for name in flags:
-        if name not in known or known[name] not in mine:
-            return _bad(f"unknown setting --{name} of pimentoledge {program}")
+        if (
+            name not in setting_by_name
+            or setting_by_name[name] not in program_settings
+        ):
+            return _setting_error(
+                f"unknown setting --{name} of pimentoledge {program}"
+            )
     file = file or {}
     for name in file:
-        if name not in known or known[name] not in mine:
-            return _bad(f"unknown setting {name} in the settings file")
+        if (
+            name not in setting_by_name
+            or setting_by_name[name] not in program_settings
+        ):
+            return _setting_error(
+                f"unknown setting {name} in the settings file"
+            )
     for variable in sorted(environment):
-        ours = variable.startswith(ENVIRONMENT_PREFIX)
-        if ours and variable not in variables:
-            return _bad(f"unknown setting {variable} in the environment")
+        has_prefix = variable.startswith(ENVIRONMENT_PREFIX)
+        if has_prefix and variable not in variables:
+            return _setting_error(
+                f"unknown setting {variable} in the environment"
+            )
     values: dict[str, Value] = {}
-    for setting in mine:
-        value = _value(setting, flags, environment, file)
-        where = f"{setting.flag()} (or {setting.variable()})"
+    for setting in program_settings:
+        value = _find_value(setting, flags, environment, file)
+        setting_label = f"{setting.flag()} (or {setting.variable()})"
         if value is None:
-            return _bad(
-                f"missing setting {where}: must be {allowed(setting.kind)}"
+            return _setting_error(
+                f"missing setting {setting_label}:"
+                f" must be {describe_allowed(setting.kind)}"
             )
         if not is_valid(setting.kind, value.text):
-            return _bad(
-                f"bad setting {where}: {value.text!r} from {value.source};"
-                f" must be {allowed(setting.kind)}"
+            return _setting_error(
+                f"bad setting {setting_label}: {value.text!r} from"
+                f" {value.source};"
+                f" must be {describe_allowed(setting.kind)}"
             )
         values[setting.name] = value
     return result.Success(Settings(values=values))
 
 
-def _value(
+def _find_value(
     setting: Setting,
     flags: dict[str, str],
     environment: dict[str, str],
@@ -558,7 +572,7 @@
     """
     try:
         with open(path, "rb") as file:
-            found = tomllib.load(file)
+            parsed = tomllib.load(file)
     except (OSError, tomllib.TOMLDecodeError) as error:
-        return _bad(f"settings file: {error}")
-    return result.Success({name: str(found[name]) for name in found})
+        return _setting_error(f"settings file: {error}")
+    return result.Success({name: str(parsed[name]) for name in parsed})
--- a/pimentoledge/tables.py
+++ b/pimentoledge/tables.py
@@ -1,4 +1,4 @@
-"""Writes the tables of docs/ that follow from the code."""
+"""Generates the tables in docs/ from the code."""
 
 import pathlib
 import sys
@@ -6,7 +6,7 @@
 from pimentoledge import results
 from pimentoledge import settings
 
-_CODES_HEAD = """# Result codes
+_RESULT_CODES_HEADER = """# Result codes
 
 Every error of every interface carries one of these numbers. `outcome` says
 what is true of the call having run, unless the error itself says otherwise:
@@ -19,7 +19,7 @@
 | --- | --- | --- | --- | --- |
 """
 
-_SETTINGS_HEAD = """# Settings
+_SETTINGS_HEADER = """# Settings
 
 Every setting is a flag or an environment variable; a flag goes first. All are
 checked at the start: an unknown, missing or out-of-range one stops the start
@@ -32,25 +32,25 @@
 """
 
 
-def _row(cells: list[str]) -> str:
+def _table_row(cells: list[str]) -> str:
     return "| " + " | ".join(cells) + " |\n"
 
 
-def result_codes() -> str:
-    """Returns docs/result-codes.md."""
+def result_codes_page() -> str:
+    """Returns the text of docs/result-codes.md."""
     rows = [
-        _row(
+        _table_row(
             [str(code.value), code.name, str(each.status), each.ran, each.text]
         )
         for code, each in results.MEANINGS.items()
     ]
-    return _CODES_HEAD + "".join(rows)
+    return _RESULT_CODES_HEADER + "".join(rows)
 
 
 def settings_page() -> str:
-    """Returns docs/settings.md."""
+    """Returns the text of docs/settings.md."""
     rows = [
-        _row(
+        _table_row(
             [
                 f"`{each.flag()}`",
                 f"`{each.variable()}`",
@@ -58,17 +58,17 @@
                 "must be given"
                 if each.default is None
                 else f"`{each.default}`",
-                settings.allowed(each.kind),
+                settings.describe_allowed(each.kind),
                 each.text,
             ]
         )
         for each in settings.SETTINGS
     ]
-    return _SETTINGS_HEAD + "".join(rows)
+    return _SETTINGS_HEADER + "".join(rows)
 
 
 PAGES = {
-    "result-codes.md": result_codes,
+    "result-codes.md": result_codes_page,
     "settings.md": settings_page,
 }
 
