--- a/pimentoledge/tests/test_docs.py
+++ b/pimentoledge/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The tables in docs/ say what the code says."""
+"""Tests that the tables in docs/ match the code."""
 
 import pathlib
 import re
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize("name", sorted(tables.PAGES))
-def test_tables_follow_the_code(name: str):
+def test_tables_in_docs_match_the_code(name: str):
     assert (DOCS / name).read_text() == tables.PAGES[name](), "run: make tables"
 
 
--- a/pimentoledge/tests/test_processes.py
+++ b/pimentoledge/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""The programs as processes: killed, told to end, and started again."""
+"""Tests of the programs as processes: killed, stopped and restarted."""
 
 import json
 import signal
@@ -16,44 +16,45 @@
     started.close()
 
 
-def serves(entry) -> bool:
+def can_serve(entry) -> bool:
     """Returns whether an entry answers a short request."""
     return entry.ready() and entry.ask(1).status == 200
 
 
-def expected(tokens: int) -> tuple[str, bool]:
+def expected_stream(tokens: int) -> tuple[str, bool]:
     return fake_engines.expected_text(processes.PROMPT, 0, tokens), True
 
 
 def test_sigterm_cuts_no_stream_and_ends_with_zero(deployment):
-    """An entry is replaced while a mechanic reads a long answer.
+    """Guards against a stream that breaks when its entry is replaced.
 
-    SIGTERM comes in the middle of the stream. The caller reads the whole
-    answer, then the process ends by itself; so does the agent's.
+    The entry gets SIGTERM in the middle of a stream. The caller must read the
+    whole answer, then the entry's process exits; the agent's exits as well.
     """
     _, agent = deployment.runner("r1")
     entry = deployment.entry("e1")
-    processes.wait_until(lambda: serves(entry))
+    processes.wait_until(lambda: can_serve(entry))
     response = entry.ask(120)
     first = response.read(10)
     entry.process.popen.send_signal(signal.SIGTERM)
     processes.wait_until(lambda: not entry.ready())
     rest = response.read()
     text, done = processes.read_stream((first + rest).splitlines(True))
-    assert (text, done) == expected(120)
+    assert (text, done) == expected_stream(120)
     assert entry.process.wait() == 0
     assert agent.end() == 0
 
 
 def test_a_killed_runner_vm_cuts_no_stream(deployment):
-    """A VM with an engine and its agent dies in the middle of a stream.
+    """Guards against a stream that breaks when its runner's VM crashes.
 
-    Both are killed at once, so nobody is left to say so. The entry sees the
-    connection break and goes on at the other runner behind what was sent.
+    The engine and its agent are killed at once, so neither reports the crash.
+    The entry detects the broken connection and continues the stream on the
+    other runner after the text already sent.
     """
     pairs = [deployment.runner("r1"), deployment.runner("r2")]
     entry = deployment.entry("e1")
-    processes.wait_until(lambda: serves(entry))
+    processes.wait_until(lambda: can_serve(entry))
     response = entry.ask(200)
     first = response.read(200)
     used = chosen_server(entry)
@@ -62,42 +63,43 @@
     text, done = processes.read_stream(
         (first + response.read()).splitlines(True)
     )
-    assert (text, done) == expected(200)
+    assert (text, done) == expected_stream(200)
 
 
 def chosen_server(entry) -> str:
-    """Returns the server of the newest route line of an entry's log."""
-    used = entry.process.find(r"route .*choice=(\S+)")
+    """Returns the server of the last route decision in an entry's log."""
+    server = entry.process.find(r"route .*choice=(\S+)")
     while not entry.process.lines.empty():
         line = entry.process.lines.get()
         if "route" in line:
-            used = line.split("choice=")[1].split()[0]
-    return used
+            server = line.split("choice=")[1].split()[0]
+    return server
 
 
 def test_a_killed_entry_serves_at_once_after_its_restart(deployment):
-    """An entry is killed, and its VM's slot starts it again.
+    """Guards against an entry that can't serve after a crash.
 
-    It kept nothing. It must serve as soon as it has read the configuration,
-    with no help from an operator.
+    It stores no state, so it must serve as soon as it has read the
+    configuration, without an operator's help.
     """
     deployment.runner("r1")
-    one = deployment.entry("e1")
-    processes.wait_until(lambda: serves(one))
-    assert one.process.end(signal.SIGKILL) == -signal.SIGKILL
-    again = deployment.entry("e1")
-    processes.wait_until(lambda: serves(again))
-    assert processes.read_stream(again.ask(20)) == expected(20)
+    killed = deployment.entry("e1")
+    processes.wait_until(lambda: can_serve(killed))
+    assert killed.process.end(signal.SIGKILL) == -signal.SIGKILL
+    restarted = deployment.entry("e1")
+    processes.wait_until(lambda: can_serve(restarted))
+    assert processes.read_stream(restarted.ask(20)) == expected_stream(20)
 
 
-# Seven processes start, one after the other; on a busy machine that takes long.
+# Seven processes start one after the other, which is slow on a busy machine.
 @pytest.mark.timeout(300)
 def test_entries_restart_with_the_store_down(deployment):
-    """The platform's store is gone, and entries are replaced all the same.
+    """Guards against entries that can't restart during a store outage.
 
-    First one entry is killed and started again: the other one gives it the
-    configuration. Then both are killed at once, so that no entry is left
-    that knows it: they get it from the agents, which keep a share each.
+    First one entry is killed and restarted: it copies the configuration from
+    the other entry. Then both are killed at once, so that no entry has the
+    configuration any more: they copy it from the agents, each of which stores
+    a part of it.
     """
     addresses = [processes.free_mailbox() for _ in range(2)]
     peers = ",".join(addresses)
@@ -109,33 +111,34 @@
 
     entries = [start(0), start(1)]
     for each in entries:
-        processes.wait_until(lambda each=each: serves(each))
+        processes.wait_until(lambda each=each: can_serve(each))
     deployment.store.end(signal.SIGKILL)
     entries[0].process.end(signal.SIGKILL)
     entries[0] = start(0)
-    processes.wait_until(lambda: serves(entries[0]))
+    processes.wait_until(lambda: can_serve(entries[0]))
     for each in entries:
         each.process.end(signal.SIGKILL)
     entries = [start(0), start(1)]
     for each in entries:
-        processes.wait_until(lambda each=each: serves(each))
-        assert processes.read_stream(each.ask(20)) == expected(20)
+        processes.wait_until(lambda each=each: can_serve(each))
+        assert processes.read_stream(each.ask(20)) == expected_stream(20)
 
 
 def test_a_card_posted_before_and_after_a_kill_runs_once(deployment):
-    """The entry that took a job card is killed, and the page posts again.
+    """Guards against a second run when a call is repeated via another entry.
 
-    The second entry gives the first run's answer: the claim is kept by the
-    agent beside the service and by the store, not by the entry.
+    The entry that accepted a job card is killed, and the client posts it again.
+    The second entry must return the first run's answer: the claim is stored by
+    the agent beside the service and in the store, not by the entry.
     """
     deployment.service("c1")
-    one, other = deployment.entry("e1"), deployment.entry("e2")
+    killed, survivor = deployment.entry("e1"), deployment.entry("e2")
     answer = processes.wait_until(
-        lambda: a if (a := one.post_card("k1")).status == 200 else None
+        lambda: a if (a := killed.post_card("k1")).status == 200 else None
     )
-    one.process.end(signal.SIGKILL)
-    again = other.post_card("k1")
-    assert (again.status, again.data) == (200, answer.data)
-    unknown = json.loads(other.post_card("").data)["error"]
-    assert unknown["code"] == "KEY_NEEDED"
-    assert unknown["outcome"] == "not_run"
+    killed.process.end(signal.SIGKILL)
+    second_answer = survivor.post_card("k1")
+    assert (second_answer.status, second_answer.data) == (200, answer.data)
+    error = json.loads(survivor.post_card("").data)["error"]
+    assert error["code"] == "KEY_NEEDED"
+    assert error["outcome"] == "not_run"
--- a/pimentoledge/tests/test_settings.py
+++ b/pimentoledge/tests/test_settings.py
@@ -1,18 +1,20 @@
-"""Settings are checked at the start."""
+"""Tests of the checks of settings at the start."""
 
 from returns import result
 
 from pimentoledge import results
 from pimentoledge import settings
 
-NEEDED = {
+REQUIRED_FLAGS = {
     "name": "entry-1",
     "mailbox": "tcp://127.0.0.1:7000",
     "store": "http://127.0.0.1:2000",
 }
 
 
-def refusal(flags: dict[str, str], environment: dict[str, str]) -> str:
+def setting_error_text(
+    flags: dict[str, str], environment: dict[str, str]
+) -> str:
     checked = settings.check_settings(
         program=settings.ENTRY, flags=flags, environment=environment
     )
@@ -23,10 +25,10 @@
     raise AssertionError("accepted")
 
 
-def test_a_flag_goes_before_the_environment_and_that_before_the_default():
+def test_flags_override_the_environment_which_overrides_defaults():
     chosen = settings.check_settings(
         program=settings.ENTRY,
-        flags=NEEDED,
+        flags=REQUIRED_FLAGS,
         environment={
             "PIMENTOLEDGE_NAME": "other",
             "PIMENTOLEDGE_DATA_CENTRE": "north",
@@ -40,29 +42,35 @@
 
 
 def test_a_missing_setting_names_flag_variable_and_what_is_allowed():
-    flags = {name: NEEDED[name] for name in ("name", "store")}
-    text = refusal(flags, {})
+    flags = {name: REQUIRED_FLAGS[name] for name in ("name", "store")}
+    text = setting_error_text(flags, {})
     assert "--mailbox" in text
     assert "PIMENTOLEDGE_MAILBOX" in text
     assert "tcp://IP:PORT" in text
 
 
 def test_an_out_of_range_setting_names_its_value_and_source():
-    text = refusal({**NEEDED, "block-bytes": "7"}, {})
+    text = setting_error_text({**REQUIRED_FLAGS, "block-bytes": "7"}, {})
     assert "'7' from flag" in text
     assert "from 16 to 65536" in text
-    text = refusal(NEEDED, {"PIMENTOLEDGE_DRAIN_SECONDS": "nan"})
+    text = setting_error_text(
+        REQUIRED_FLAGS, {"PIMENTOLEDGE_DRAIN_SECONDS": "nan"}
+    )
     assert "'nan' from environment" in text
 
 
 def test_an_unknown_setting_stops_the_start():
-    """An operator sets a limit under a misspelt name.
+    """Guards against a daemon that ignores a misspelt setting.
 
-    If the daemon ignored it, the limit that they believe in would not be
-    there. So it must not start.
+    The operator would rely on a limit that is not in force, so the daemon must
+    not start.
     """
-    assert "--caller-thread" in refusal({**NEEDED, "caller-thread": "9"}, {})
-    text = refusal(NEEDED, {"PIMENTOLEDGE_CALLER_THREAD": "9"})
+    assert "--caller-thread" in setting_error_text(
+        {**REQUIRED_FLAGS, "caller-thread": "9"}, {}
+    )
+    text = setting_error_text(
+        REQUIRED_FLAGS, {"PIMENTOLEDGE_CALLER_THREAD": "9"}
+    )
     assert "PIMENTOLEDGE_CALLER_THREAD" in text
 
 
