--- a/benches/callers.py
+++ b/benches/callers.py
@@ -106,13 +106,13 @@
     core = Core(step=step)
     server = servers.CallerServer(
         listen="127.0.0.1:0",
-        threads=threads,
+        max_open_requests=threads,
         max_body_bytes=1 << 20,
-        buffer_bytes=_BUFFER,
+        send_buffer_bytes=_BUFFER,
         submit=core.submit,
         on_caller_left=core.gone.add,
-        models=lambda key: [],
-        ready=lambda: True,
+        list_models=lambda key: [],
+        is_ready=lambda: True,
     )
     server.start()
     feeder = threading.Thread(target=core.run)
--- a/pimentoledge/agent.py
+++ b/pimentoledge/agent.py
@@ -82,10 +82,10 @@
         self.admin = admin_servers.AdminServer(
             listen=chosen.text("admin-listen"),
             pages=pages.daemon_pages(
-                counted=self.metrics,
-                alive=self.alive,
-                ready=self.ready,
-                refresh=self.refresh_metrics,
+                daemon_metrics=self.metrics,
+                is_alive=self.alive,
+                is_ready=self.ready,
+                refresh_gauges=self.refresh_metrics,
             ),
         )
         self.ask_now = threading.Event()
--- a/pimentoledge/callers/answers.py
+++ b/pimentoledge/callers/answers.py
@@ -17,8 +17,8 @@
 
 _encode = msgspec.json.Encoder().encode
 # Stands for the text while a template is encoded; cut out again afterwards.
-_MARK = "\x00text\x00"
-_ENCODED_MARK = _encode(_MARK)
+_PLACEHOLDER = "\x00text\x00"
+_ENCODED_PLACEHOLDER = _encode(_PLACEHOLDER)
 
 
 def _usage(end: actions.ReplyEnd) -> dict[str, object]:
@@ -30,8 +30,8 @@
     }
 
 
-def _event(content: dict[str, object]) -> bytes:
-    return b"data: " + _encode(content) + b"\n\n"
+def _event(chunk: dict[str, object]) -> bytes:
+    return b"data: " + _encode(chunk) + b"\n\n"
 
 
 class CompletionEncoder:
@@ -44,24 +44,36 @@
         behind: what stands behind it.
     """
 
-    __slots__ = ("asked", "before", "behind", "common")
-
-    def __init__(self, *, request: str, asked: completions.CompletionRequest):
-        self.asked = asked
-        prefix = "chatcmpl-" if asked.chat else "cmpl-"
-        self.common = {
-            "id": prefix + request,
-            "object": self._kind(),
+    __slots__ = (
+        "common_fields",
+        "completion_request",
+        "event_prefix",
+        "event_suffix",
+    )
+
+    def __init__(
+        self,
+        *,
+        request_id: str,
+        completion_request: completions.CompletionRequest,
+    ):
+        self.completion_request = completion_request
+        prefix = "chatcmpl-" if completion_request.chat else "cmpl-"
+        self.common_fields = {
+            "id": prefix + request_id,
+            "object": self._object_type(),
             "created": int(time.time()),
-            "model": asked.name,
+            "model": completion_request.model_name,
         }
-        template = _event(self._chunk([self._choice(_MARK, None)]))
+        template = _event(self._chunk([self._choice(_PLACEHOLDER, None)]))
         # The last mark is the text; a model's name could hold another.
-        self.before, _, self.behind = template.rpartition(_ENCODED_MARK)
+        self.event_prefix, _, self.event_suffix = template.rpartition(
+            _ENCODED_PLACEHOLDER
+        )
 
     def encode_start(self) -> bytes:
         """Returns what a stream begins with: the role, in a chat."""
-        if not self.asked.chat:
+        if not self.completion_request.chat:
             return b""
         delta = {"role": "assistant", "content": ""}
         choice = {"index": 0, "delta": delta, "finish_reason": None}
@@ -69,42 +81,42 @@
 
     def encode_text(self, text: str) -> bytes:
         """Returns the event of one piece of text."""
-        return self.before + _encode(text) + self.behind
+        return self.event_prefix + _encode(text) + self.event_suffix
 
     def encode_end(self, end: actions.ReplyEnd) -> bytes:
         """Returns what a complete stream ends with."""
         events = _event(self._chunk([self._last_choice(end.reason)]))
-        if self.asked.include_usage:
+        if self.completion_request.include_usage:
             events += _event({**self._chunk([]), "usage": _usage(end)})
         return events + DONE_EVENT
 
     def encode_response(self, text: str, end: actions.ReplyEnd) -> bytes:
         """Returns an answer that isn't streamed."""
         choice = {"index": 0, "logprobs": None, "finish_reason": end.reason}
-        if self.asked.chat:
+        if self.completion_request.chat:
             choice["message"] = {"role": "assistant", "content": text}
         else:
             choice["text"] = text
         return _encode(
-            {**self.common, "choices": [choice], "usage": _usage(end)}
+            {**self.common_fields, "choices": [choice], "usage": _usage(end)}
         )
 
-    def _kind(self) -> str:
-        if not self.asked.chat:
+    def _object_type(self) -> str:
+        if not self.completion_request.chat:
             return "text_completion"
-        if self.asked.stream:
+        if self.completion_request.stream:
             return "chat.completion.chunk"
         return "chat.completion"
 
     def _chunk(self, choices: list[dict[str, object]]) -> dict[str, object]:
-        chunk = {**self.common, "choices": choices}
-        if self.asked.include_usage:
+        chunk = {**self.common_fields, "choices": choices}
+        if self.completion_request.include_usage:
             chunk["usage"] = None
         return chunk
 
     def _choice(self, text: str, reason: str | None) -> dict[str, object]:
         choice = {"index": 0, "logprobs": None, "finish_reason": reason}
-        if self.asked.chat:
+        if self.completion_request.chat:
             choice["delta"] = {"content": text}
         else:
             choice["text"] = text
@@ -112,7 +124,7 @@
 
     def _last_choice(self, reason: str) -> dict[str, object]:
         choice = self._choice("", reason)
-        if self.asked.chat:
+        if self.completion_request.chat:
             choice["delta"] = {}
         return choice
 
@@ -124,7 +136,7 @@
 
 def encode_models(names: list[str]) -> bytes:
     """Returns the answer to GET /v1/models."""
-    data = [
+    models = [
         {
             "id": each,
             "object": "model",
@@ -133,4 +145,4 @@
         }
         for each in names
     ]
-    return _encode({"object": "list", "data": data})
+    return _encode({"object": "list", "data": models})
--- a/pimentoledge/callers/completions.py
+++ b/pimentoledge/callers/completions.py
@@ -12,11 +12,11 @@
 from pimentoledge.nodes import messages
 
 DEFAULT_MAX_TOKENS = 1024
-_MOST_TOKENS = 1 << 20
-_MOST_SECONDS = 86400
+_MAX_TOKENS = 1 << 20
+_MAX_TIMEOUT_SECONDS = 86400
 
 # Fields read here; every other field goes to the engine unread.
-_OWN_FIELDS = (
+_PARSED_FIELDS = (
     "model",
     "adapter",
     "messages",
@@ -31,7 +31,7 @@
 )
 # Fields whose meaning needs more than text from the engine. Ignoring them
 # would give an answer that isn't what was asked for.
-_UNSUPPORTED = (
+_UNSUPPORTED_FIELDS = (
     "tools",
     "functions",
     "logprobs",
@@ -41,17 +41,17 @@
     "audio",
     "modalities",
 )
-_EMPTY = (b"null", b"false", b"[]", b"0", b'["text"]')
+_EMPTY_VALUES = (b"null", b"false", b"[]", b"0", b'["text"]')
 
 # Where msgspec's messages name the field: "... - at `$.messages[0].role`",
 # "Object missing required field `messages`".
-_PLACE = re.compile(r"`(?:\$\.)?([a-z][\w.\[\]]*)`$")
+_FIELD_PATH_PATTERN = re.compile(r"`(?:\$\.)?([a-z][\w.\[\]]*)`$")
 
-_Count = Annotated[int, msgspec.Meta(ge=1, le=_MOST_TOKENS)]
-_Seconds = Annotated[float, msgspec.Meta(gt=0, le=_MOST_SECONDS)]
-_Sign = Annotated[float, msgspec.Meta(ge=-2, le=2)]
-_Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-_Stop = Annotated[str, msgspec.Meta(max_length=256)]
+_TokenCount = Annotated[int, msgspec.Meta(ge=1, le=_MAX_TOKENS)]
+_TimeoutSeconds = Annotated[float, msgspec.Meta(gt=0, le=_MAX_TIMEOUT_SECONDS)]
+_Penalty = Annotated[float, msgspec.Meta(ge=-2, le=2)]
+_ModelName = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
+_StopSequence = Annotated[str, msgspec.Meta(max_length=256)]
 
 
 @attrs.define(kw_only=True)
@@ -84,23 +84,25 @@
     The sampling parameters are checked and then passed on as they came.
     """
 
-    model: _Name
+    model: _ModelName
     adapter: str | None = None
-    max_tokens: _Count | None = None
-    max_completion_tokens: _Count | None = None
+    max_tokens: _TokenCount | None = None
+    max_completion_tokens: _TokenCount | None = None
     stream: bool | None = None
     stream_options: _StreamOptions | None = None
     n: Literal[1] | None = None
     best_of: Literal[1] | None = None
-    timeout: _Seconds | None = None
+    timeout: _TimeoutSeconds | None = None
     temperature: Annotated[float, msgspec.Meta(ge=0, le=2)] | None = None
     top_p: Annotated[float, msgspec.Meta(ge=0, le=1)] | None = None
-    presence_penalty: _Sign | None = None
-    frequency_penalty: _Sign | None = None
+    presence_penalty: _Penalty | None = None
+    frequency_penalty: _Penalty | None = None
     seed: int | None = None
-    stop: _Stop | Annotated[list[_Stop], msgspec.Meta(max_length=4)] | None = (
-        None
-    )
+    stop: (
+        _StopSequence
+        | Annotated[list[_StopSequence], msgspec.Meta(max_length=4)]
+        | None
+    ) = None
 
 
 @attrs.define(kw_only=True)
@@ -127,11 +129,11 @@
     """
 
     completion: messages.Completion
-    name: str
+    model_name: str
     chat: bool
     stream: bool
     include_usage: bool
-    seconds: float
+    timeout_seconds: float
 
 
 @attrs.frozen(kw_only=True)
@@ -167,76 +169,78 @@
     """
     try:
         fields = _decode_fields(body)
-        fault = _unsupported(fields)
-        if fault is not None:
-            return result.Failure(fault)
-        asked = _decode_chat(body) if chat else _decode_text(body)
+        unsupported = _find_unsupported_field(fields)
+        if unsupported is not None:
+            return result.Failure(unsupported)
+        decoded = _decode_chat(body) if chat else _decode_text(body)
     except msgspec.ValidationError as error:
-        return result.Failure(_invalid(str(error)))
+        return result.Failure(_validation_error(str(error)))
     except (msgspec.DecodeError, RecursionError) as error:
         # A body nested some thousand levels deep ends in RecursionError.
-        return result.Failure(_not_json(str(error)))
-    return result.Success(_asked(asked, fields, chat))
+        return result.Failure(_json_error(str(error)))
+    return result.Success(_build_request(decoded, fields, chat))
 
 
-def _not_json(text: str) -> BodyError:
+def _json_error(text: str) -> BodyError:
     message = f"the body is not valid JSON: {text}"
     error = results.Error(code=results.Code.BAD_JSON, text=message)
     return BodyError(error=error)
 
 
-def _invalid(text: str) -> BodyError:
-    place = _PLACE.search(text)
-    param = place.group(1) if place is not None else None
+def _validation_error(text: str) -> BodyError:
+    field_path = _FIELD_PATH_PATTERN.search(text)
+    param = field_path.group(1) if field_path is not None else None
     error = results.Error(code=results.Code.BAD_FIELD, text=text)
     return BodyError(error=error, param=param)
 
 
-def _unsupported(fields: dict[str, msgspec.Raw]) -> BodyError | None:
-    for name in _UNSUPPORTED:
-        if name in fields and bytes(fields[name]) not in _EMPTY:
+def _find_unsupported_field(fields: dict[str, msgspec.Raw]) -> BodyError | None:
+    for name in _UNSUPPORTED_FIELDS:
+        if name in fields and bytes(fields[name]) not in _EMPTY_VALUES:
             text = f"the field {name} is not supported"
             error = results.Error(code=results.Code.BAD_FIELD, text=text)
             return BodyError(error=error, param=name)
     return None
 
 
-def _asked(
+def _build_request(
     body: _ChatBody | _TextBody, fields: dict[str, msgspec.Raw], chat: bool
 ) -> CompletionRequest:
     model, _, adapter = body.model.partition(":")
-    limit = body.max_completion_tokens or body.max_tokens or DEFAULT_MAX_TOKENS
-    for name in _OWN_FIELDS:
+    max_tokens = (
+        body.max_completion_tokens or body.max_tokens or DEFAULT_MAX_TOKENS
+    )
+    for name in _PARSED_FIELDS:
         fields.pop(name, None)
     completion = messages.Completion(
         model=model,
         adapter=body.adapter or adapter,
-        prompt=_prompt(body),
-        max_tokens=limit,
+        prompt=_render_prompt(body),
+        max_tokens=max_tokens,
         parameters=_encode(fields),
     )
     options = body.stream_options
     return CompletionRequest(
         completion=completion,
-        name=body.model,
+        model_name=body.model,
         chat=chat,
         stream=bool(body.stream),
         include_usage=options is not None and options.include_usage,
-        seconds=body.timeout or 0.0,
+        timeout_seconds=body.timeout or 0.0,
     )
 
 
-def _prompt(body: _ChatBody | _TextBody) -> str:
+def _render_prompt(body: _ChatBody | _TextBody) -> str:
     match body:
         case _TextBody():
             prompt = body.prompt
             return prompt if isinstance(prompt, str) else prompt[0]
         case _ChatBody():
-            turns = [_turn(each) for each in body.messages]
-            return "".join(turns) + "<|assistant|>\n"
+            rendered = [_render_message(each) for each in body.messages]
+            return "".join(rendered) + "<|assistant|>\n"
 
 
-def _turn(message: _Message) -> str:
+def _render_message(message: _Message) -> str:
     content = message.content
     if not isinstance(content, str):
         content = "".join(each.text for each in content)
--- a/pimentoledge/callers/faults.py
+++ b/pimentoledge/callers/faults.py
@@ -21,13 +21,13 @@
 
 def error_headers(error: results.Error) -> list[tuple[str, str]]:
     """Returns the headers that go with an error."""
-    found = [("Content-Type", "application/json")]
+    headers = [("Content-Type", "application/json")]
     if error.retry_after > 0:
-        found.append(("Retry-After", str(math.ceil(error.retry_after))))
+        headers.append(("Retry-After", str(math.ceil(error.retry_after))))
     if error.status() == 401:
-        found.append(("WWW-Authenticate", "Bearer"))
+        headers.append(("WWW-Authenticate", "Bearer"))
     if error.outcome() == results.Ran.UNKNOWN:
         # OpenAI's client libraries send a failed call again by themselves;
         # of a call that may have run, only its caller can decide that.
-        found.append(("X-Should-Retry", "false"))
-    return found
+        headers.append(("X-Should-Retry", "false"))
+    return headers
--- a/pimentoledge/callers/gateways.py
+++ b/pimentoledge/callers/gateways.py
@@ -31,36 +31,36 @@
 from pimentoledge.decisions import events
 
 # How often a thread that waits looks whether its caller is still there.
-POLL_SECONDS = 0.5
+CALLER_CHECK_SECONDS = 0.5
 # Comes with an answer that a service gave to an earlier, identical call.
 REPLAYED_HEADER = ("Idempotent-Replayed", "true")
 
 _LINGER_SECONDS = 2.0
 _LINGER_BYTES = 64 * 1024
-_BUSY_RETRY_SECONDS = 1.0
-_MOST_SECONDS = 86400
-_JSON = ("Content-Type", "application/json")
-_TEXT = ("Content-Type", "text/plain; charset=utf-8")
-_STREAM = (
+_OVERLOAD_RETRY_SECONDS = 1.0
+_MAX_TIMEOUT_SECONDS = 86400
+_JSON_HEADER = ("Content-Type", "application/json")
+_TEXT_HEADER = ("Content-Type", "text/plain; charset=utf-8")
+_STREAM_HEADERS = (
     ("Content-Type", "text/event-stream; charset=utf-8"),
     ("Cache-Control", "no-cache"),
 )
-_COMPLETIONS = {"/v1/chat/completions": True, "/v1/completions": False}
-_READABLE = ("GET", "HEAD")
+_COMPLETION_PATHS = {"/v1/chat/completions": True, "/v1/completions": False}
+_READ_METHODS = ("GET", "HEAD")
 
 _log = logbook.Logger("callers")
 
 
-class _GoneError(Exception):
+class _CallerGoneError(Exception):
     """The caller went away."""
 
 
-class _CutError(Exception):
+class _StreamFailedError(Exception):
     """A stream ended with an error, and the connection must end with it."""
 
 
 @attrs.define(kw_only=True)
-class _Head:
+class _ParsedHeaders:
     """What the head of a request says to this system.
 
     Attributes:
@@ -72,10 +72,10 @@
     """
 
     key_digest: str
-    seconds: float
+    timeout_seconds: float
     batch: bool
     idempotency_key: str
-    trace: str
+    traceparent: str
 
 
 def digest_key(key: str) -> str:
@@ -96,370 +96,423 @@
 
     def __init__(self, req: server.HTTPRequest):
         super().__init__(req)
-        self.owner = req.server.owner
+        self.caller_server = req.server.caller_server
         self.path = req.uri.decode("latin-1").partition("?")[0]
-        self.length = int(req.inheaders.get(b"Content-Length", 0))
-        self.unread = req.chunked_read or self.length != 0
+        self.content_length = int(req.inheaders.get(b"Content-Length", 0))
+        self.body_unread = req.chunked_read or self.content_length != 0
 
     def respond(self) -> None:
         """Reads the body, has the request served and writes the answer."""
-        if not self.owner.ready():
+        if not self.caller_server.is_ready():
             # Callers with a kept connection must find another entry before
             # this one closes its socket.
             self.req.close_connection = True
         try:
             self._route()
-        except (_GoneError, _CutError, ConnectionError, TimeoutError):
-            self._abort()
+        except (
+            _CallerGoneError,
+            _StreamFailedError,
+            ConnectionError,
+            TimeoutError,
+        ):
+            self._abort_connection()
         except Exception:
             _log.exception("request to {} failed", self.path)
             if self.req.sent_headers:
-                self._abort()
-            self._refuse(results.Code.INTERNAL)
-        if self.unread:
-            self._linger()
+                self._abort_connection()
+            self._send_code(results.Code.INTERNAL)
+        if self.body_unread:
+            self._discard_input()
 
     def _route(self) -> None:
         if self.path == "/healthz":
-            return self._text(200, b"ok\n")
+            return self._send_text(200, b"ok\n")
         if self.path == "/readyz":
-            return self._readyz()
+            return self._send_readiness()
         if self.path == "/v1/models":
-            return self._models()
-        if self.path in _COMPLETIONS:
-            return self._admit(self._completion, methods=("POST",))
+            return self._send_models()
+        if self.path in _COMPLETION_PATHS:
+            return self._serve_if_admitted(
+                self._serve_completion, methods=("POST",)
+            )
         if self.path.startswith(service_calls.SERVICES_ROOT):
-            return self._admit(self._service, methods=None)
-        return self._refuse(results.Code.NOT_FOUND)
-
-    def _readyz(self) -> None:
-        if self.owner.ready():
-            return self._text(200, b"ready\n")
-        return self._text(503, b"not ready\n")
-
-    def _models(self) -> None:
-        if self._method() not in _READABLE:
-            return self._wrong_method(_READABLE)
-        names = self.owner.models(self._key_digest())
+            return self._serve_if_admitted(
+                self._serve_service_call, methods=None
+            )
+        return self._send_code(results.Code.NOT_FOUND)
+
+    def _send_readiness(self) -> None:
+        if self.caller_server.is_ready():
+            return self._send_text(200, b"ready\n")
+        return self._send_text(503, b"not ready\n")
+
+    def _send_models(self) -> None:
+        if self._request_method() not in _READ_METHODS:
+            return self._send_wrong_method(_READ_METHODS)
+        names = self.caller_server.list_models(self._key_digest())
         if names is None:
-            return self._refuse(results.Code.BAD_KEY)
-        return self._send(200, [_JSON], answers.encode_models(names))
+            return self._send_code(results.Code.BAD_KEY)
+        return self._send_response(
+            200, [_JSON_HEADER], answers.encode_models(names)
+        )
 
-    def _admit(self, serve, *, methods: tuple[str, ...] | None) -> None:
-        if methods is not None and self._method() not in methods:
-            return self._wrong_method(methods)
-        if not self.owner.open_request():
+    def _serve_if_admitted(
+        self, serve, *, methods: tuple[str, ...] | None
+    ) -> None:
+        if methods is not None and self._request_method() not in methods:
+            return self._send_wrong_method(methods)
+        if not self.caller_server.open_request():
             # The last threads stay free for health checks and refusals, so
             # that a full entry still says so at once.
             error = results.Error(
                 code=results.Code.OVERLOADED,
                 text="this entry serves as many callers as it can",
-                retry_after=_BUSY_RETRY_SECONDS,
+                retry_after=_OVERLOAD_RETRY_SECONDS,
             )
-            return self._fail(error)
+            return self._send_error(error)
         try:
-            return self._admitted(serve)
+            return self._read_and_serve(serve)
         finally:
-            self.owner.close_request()
+            self.caller_server.close_request()
 
-    def _admitted(self, serve) -> None:
-        match self._body():
+    def _read_and_serve(self, serve) -> None:
+        match self._read_body():
             case result.Failure(error):
-                return self._fail(error)
+                return self._send_error(error)
             case result.Success(body):
-                self.unread = False
-                self.owner.reading_done(self.req.conn)
-        match self._head():
+                self.body_unread = False
+                self.caller_server.on_request_read(self.req.conn)
+        match self._parse_headers():
             case result.Failure(error):
-                return self._fail(error)
-            case result.Success(head):
-                return serve(head, body)
+                return self._send_error(error)
+            case result.Success(parsed):
+                return serve(parsed, body)
 
-    def _completion(self, head: _Head, body: bytes) -> None:
-        chat = _COMPLETIONS[self.path]
+    def _serve_completion(self, parsed: _ParsedHeaders, body: bytes) -> None:
+        chat = _COMPLETION_PATHS[self.path]
         match completions.parse(body, chat=chat):
-            case result.Failure(fault):
-                return self._fail(fault.error, fault.param)
-            case result.Success(asked):
+            case result.Failure(body_error):
+                return self._send_error(body_error.error, body_error.param)
+            case result.Success(completion_request):
                 pass
-        request = self._event(head, asked.seconds)
+        event = self._build_event(parsed, completion_request.timeout_seconds)
         # A completion changes nothing and may run again. With a key it would
         # be claimed as a call that may not, and the claim, which keeps whole
         # answers of services only, would refuse each resend as running.
-        request.idempotency_key = ""
-        request.completion = asked.completion
-        answer = answers.CompletionEncoder(request=request.request, asked=asked)
-        waiting = self.owner.submit(request)
-        relay = self._stream if asked.stream else self._whole
-        return self._relay(request.request, relay, waiting, answer)
-
-    def _service(self, head: _Head, body: bytes) -> None:
+        event.idempotency_key = ""
+        event.completion = completion_request.completion
+        encoder = answers.CompletionEncoder(
+            request_id=event.request, completion_request=completion_request
+        )
+        reply_queue = self.caller_server.submit(event)
+        send_replies = (
+            self._send_stream
+            if completion_request.stream
+            else self._send_completion
+        )
+        return self._relay_replies(
+            event.request, send_replies, reply_queue, encoder
+        )
+
+    def _serve_service_call(self, parsed: _ParsedHeaders, body: bytes) -> None:
         call = service_calls.parse_call(
-            method=self._method(),
+            method=self._request_method(),
             target=self.req.uri.decode("latin-1"),
-            headers=self._headers(),
+            headers=self._request_headers(),
             body=body,
         )
         if call is None:
-            return self._refuse(results.Code.NOT_FOUND)
-        request = self._event(head, 0.0)
-        request.call = call
-        waiting = self.owner.submit(request)
-        return self._relay(request.request, self._answer, waiting)
+            return self._send_code(results.Code.NOT_FOUND)
+        event = self._build_event(parsed, 0.0)
+        event.call = call
+        reply_queue = self.caller_server.submit(event)
+        return self._relay_replies(
+            event.request, self._send_service_response, reply_queue
+        )
 
-    def _relay(self, request: str, relay, *arguments) -> None:
+    def _relay_replies(self, request_id: str, send_replies, *arguments) -> None:
         try:
-            relay(*arguments)
-        except _CutError:
+            send_replies(*arguments)
+        except _StreamFailedError:
             raise
         except Exception:
-            self.owner.on_caller_left(request)
+            self.caller_server.on_caller_left(request_id)
             raise
 
-    def _answer(self, waiting: replies.ReplyQueue) -> None:
-        for reply in self._first(waiting):
+    def _send_service_response(self, reply_queue: replies.ReplyQueue) -> None:
+        for reply in self._wait_for_replies(reply_queue):
             match reply:
                 case actions.ReplyAnswer():
-                    self._pass_back(reply)
+                    self._forward_response(reply)
                 case actions.ReplyError():
-                    self._fail(reply.error)
+                    self._send_error(reply.error)
 
-    def _whole(
-        self, waiting: replies.ReplyQueue, answer: answers.CompletionEncoder
+    def _send_completion(
+        self,
+        reply_queue: replies.ReplyQueue,
+        encoder: answers.CompletionEncoder,
     ) -> None:
         texts = []
-        for reply in self._all(waiting):
+        for reply in self._iterate_replies(reply_queue):
             match reply:
                 case actions.ReplyText():
                     texts.append(reply.text)
                 case actions.ReplyEnd():
-                    body = answer.encode_response("".join(texts), reply)
-                    self._send(200, [_JSON], body)
+                    body = encoder.encode_response("".join(texts), reply)
+                    self._send_response(200, [_JSON_HEADER], body)
                 case actions.ReplyAnswer():
-                    self._pass_back(reply)
+                    self._forward_response(reply)
                 case actions.ReplyError():
-                    self._fail(reply.error)
+                    self._send_error(reply.error)
 
-    def _stream(
-        self, waiting: replies.ReplyQueue, answer: answers.CompletionEncoder
+    def _send_stream(
+        self,
+        reply_queue: replies.ReplyQueue,
+        encoder: answers.CompletionEncoder,
     ) -> None:
         # Until the first reply it is open whether there will be a stream.
-        for reply in self._first(waiting):
+        for reply in self._wait_for_replies(reply_queue):
             match reply:
                 case actions.ReplyText():
-                    self._event_out(answer, answer.encode_text(reply.text))
+                    self._send_event(encoder, encoder.encode_text(reply.text))
                 case actions.ReplyEnd():
-                    return self._event_out(answer, answer.encode_end(reply))
+                    return self._send_event(encoder, encoder.encode_end(reply))
                 case actions.ReplyAnswer():
-                    return self._pass_back(reply)
+                    return self._forward_response(reply)
                 case actions.ReplyError():
-                    return self._break(reply.error)
-        return self._rest(waiting, answer)
+                    return self._fail_stream(reply.error)
+        return self._send_remaining_stream(reply_queue, encoder)
 
-    def _event_out(
-        self, answer: answers.CompletionEncoder, piece: bytes
+    def _send_event(
+        self, encoder: answers.CompletionEncoder, data: bytes
     ) -> None:
         if not self.req.sent_headers:
-            self._begin(200, list(_STREAM))
-            piece = answer.encode_start() + piece
-        self.req.write(piece)
-
-    def _rest(
-        self, waiting: replies.ReplyQueue, answer: answers.CompletionEncoder
+            self._send_headers(200, list(_STREAM_HEADERS))
+            data = encoder.encode_start() + data
+        self.req.write(data)
+
+    def _send_remaining_stream(
+        self,
+        reply_queue: replies.ReplyQueue,
+        encoder: answers.CompletionEncoder,
     ) -> None:
         """Has the writer send the rest of a stream, and waits for its end."""
         sock = self.req.conn.socket
         stream = writers.OutgoingStream(
-            replies=waiting,
-            encoder=answer,
+            reply_queue=reply_queue,
+            encoder=encoder,
             sock=sock,
             chunked=self.req.chunked_write,
         )
-        timeout = sock.gettimeout()
+        previous_timeout = sock.gettimeout()
         sock.setblocking(False)
-        match self.owner.writer.write(stream):
-            case writers.StreamEnd.WHOLE:
-                sock.settimeout(timeout)
-            case writers.StreamEnd.CUT:
-                raise _CutError
-            case writers.StreamEnd.GONE:
-                raise _GoneError
-
-    def _first(self, waiting: replies.ReplyQueue) -> list[replies.Reply]:
-        while not (ready := waiting.get_all(POLL_SECONDS)):
-            self._check_caller()
-        return ready
-
-    def _all(self, waiting: replies.ReplyQueue) -> Iterator[replies.Reply]:
+        match self.caller_server.writer.write(stream):
+            case writers.StreamEnd.COMPLETE:
+                sock.settimeout(previous_timeout)
+            case writers.StreamEnd.FAILED:
+                raise _StreamFailedError
+            case writers.StreamEnd.CALLER_GONE:
+                raise _CallerGoneError
+
+    def _wait_for_replies(
+        self, reply_queue: replies.ReplyQueue
+    ) -> list[replies.Reply]:
+        while not (ready_replies := reply_queue.get_all(CALLER_CHECK_SECONDS)):
+            self._raise_if_caller_gone()
+        return ready_replies
+
+    def _iterate_replies(
+        self, reply_queue: replies.ReplyQueue
+    ) -> Iterator[replies.Reply]:
         """Gives out all replies; wakes only for the last, and now and then."""
-        over = threading.Event()
-        waiting.set_listener(lambda last: last and over.set())
+        last_ready = threading.Event()
+        reply_queue.set_listener(lambda last: last and last_ready.set())
         while True:
-            if not over.wait(POLL_SECONDS):
-                self._check_caller()
-            over.clear()
-            ready = waiting.take_ready()
-            yield from ready
-            if ready and type(ready[-1]) is not actions.ReplyText:
+            if not last_ready.wait(CALLER_CHECK_SECONDS):
+                self._raise_if_caller_gone()
+            last_ready.clear()
+            ready_replies = reply_queue.get_ready()
+            yield from ready_replies
+            if (
+                ready_replies
+                and type(ready_replies[-1]) is not actions.ReplyText
+            ):
                 return
 
-    def _break(self, error: results.Error) -> None:
+    def _fail_stream(self, error: results.Error) -> None:
         if not self.req.sent_headers:
             # Nothing was sent yet, so the error has its real status.
-            return self._fail(error)
+            return self._send_error(error)
         # Neither [DONE] nor the last chunk follows: a client that overlooks
         # the error still can't take what it got for a whole answer.
         self.req.write(answers.encode_failure(error))
-        raise _CutError
+        raise _StreamFailedError
 
-    def _abort(self) -> None:
+    def _abort_connection(self) -> None:
         # The HTTP library closes the connection on this error, quietly.
         raise ConnectionAbortedError(errno.ECONNABORTED, "request ended")
 
-    def _linger(self) -> None:
+    def _discard_input(self) -> None:
         """Reads away what the caller still sends, for a short while.
 
         Closing a connection with unread bytes resets it, and the caller
         would see a reset instead of the answer that says why.
         """
         sock = self.req.conn.socket
-        end = time.monotonic() + _LINGER_SECONDS
+        deadline = time.monotonic() + _LINGER_SECONDS
         try:
             sock.shutdown(socket.SHUT_WR)
-            while (left := end - time.monotonic()) > 0:
-                sock.settimeout(left)
+            while (remaining := deadline - time.monotonic()) > 0:
+                sock.settimeout(remaining)
                 if not sock.recv(_LINGER_BYTES):
                     return
         except OSError:
             return
 
-    def _pass_back(self, reply: actions.ReplyAnswer) -> None:
-        headers = service_calls.answer_headers(reply.headers)
+    def _forward_response(self, reply: actions.ReplyAnswer) -> None:
+        headers = service_calls.response_headers(reply.headers)
         if reply.replayed:
             headers.append(REPLAYED_HEADER)
-        self._send(reply.status, headers, reply.body)
+        self._send_response(reply.status, headers, reply.body)
 
-    def _refuse(self, code: results.Code) -> None:
-        self._fail(results.Error(code=code))
+    def _send_code(self, code: results.Code) -> None:
+        self._send_error(results.Error(code=code))
 
-    def _wrong_method(self, methods: tuple[str, ...]) -> None:
+    def _send_wrong_method(self, methods: tuple[str, ...]) -> None:
         error = results.Error(code=results.Code.METHOD_NOT_ALLOWED)
-        allow = ("Allow", ", ".join(methods))
-        self._send(
+        allow_header = ("Allow", ", ".join(methods))
+        self._send_response(
             error.status(),
-            [*faults.error_headers(error), allow],
+            [*faults.error_headers(error), allow_header],
             faults.error_body(error),
         )
 
-    def _fail(self, error: results.Error, param: str | None = None) -> None:
-        self._send(
+    def _send_error(
+        self, error: results.Error, param: str | None = None
+    ) -> None:
+        self._send_response(
             error.status(),
             faults.error_headers(error),
             faults.error_body(error, param),
         )
 
-    def _text(self, status: int, body: bytes) -> None:
-        self._send(status, [_TEXT], body)
+    def _send_text(self, status: int, body: bytes) -> None:
+        self._send_response(status, [_TEXT_HEADER], body)
 
-    def _send(
+    def _send_response(
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
-        if self.unread:
+        if self.body_unread:
             # What is left of the body can't be told from a next request.
             self.req.close_connection = True
-        length = ("Content-Length", str(len(body)))
-        self._begin(status, [*headers, length])
-        if body and self._method() != "HEAD":
+        length_header = ("Content-Length", str(len(body)))
+        self._send_headers(status, [*headers, length_header])
+        if body and self._request_method() != "HEAD":
             self.req.write(body)
 
-    def _begin(self, status: int, headers: list[tuple[str, str]]) -> None:
-        self.req.status = f"{status} {_phrase(status)}".encode("latin-1")
+    def _send_headers(
+        self, status: int, headers: list[tuple[str, str]]
+    ) -> None:
+        self.req.status = f"{status} {_reason_phrase(status)}".encode("latin-1")
         for name, value in headers:
-            pair = (name.encode("latin-1"), value.encode("latin-1", "replace"))
-            self.req.outheaders.append(pair)
+            header = (
+                name.encode("latin-1"),
+                value.encode("latin-1", "replace"),
+            )
+            self.req.outheaders.append(header)
         self.req.ensure_headers_sent()
 
-    def _method(self) -> str:
+    def _request_method(self) -> str:
         return self.req.method.decode("latin-1")
 
-    def _header(self, name: bytes) -> str:
+    def _get_header(self, name: bytes) -> str:
         return self.req.inheaders.get(name, b"").decode("latin-1").strip()
 
-    def _headers(self) -> list[tuple[str, str]]:
+    def _request_headers(self) -> list[tuple[str, str]]:
         return [
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in self.req.inheaders.items()
         ]
 
     def _key_digest(self) -> str:
-        scheme, _, key = self._header(b"Authorization").partition(" ")
+        scheme, _, key = self._get_header(b"Authorization").partition(" ")
         if scheme.lower() != "bearer" or not key.strip():
             return ""
         return digest_key(key.strip())
 
-    def _head(self) -> result.Result[_Head, results.Error]:
+    def _parse_headers(self) -> result.Result[_ParsedHeaders, results.Error]:
         key_digest = self._key_digest()
         if not key_digest:
             return result.Failure(results.Error(code=results.Code.BAD_KEY))
-        seconds = _seconds(self._header(b"X-Request-Timeout"))
-        if seconds is None:
+        timeout_seconds = _parse_timeout(self._get_header(b"X-Request-Timeout"))
+        if timeout_seconds is None:
             return result.Failure(
                 results.Error(
                     code=results.Code.BAD_FIELD,
                     text="X-Request-Timeout must be a number of seconds above"
-                    f" 0, at most {_MOST_SECONDS}",
+                    f" 0, at most {_MAX_TIMEOUT_SECONDS}",
                 )
             )
         return result.Success(
-            _Head(
+            _ParsedHeaders(
                 key_digest=key_digest,
-                seconds=seconds,
-                batch=self._header(b"X-Priority").lower() == "batch",
-                idempotency_key=self._header(b"Idempotency-Key"),
-                trace=self._header(b"Traceparent"),
+                timeout_seconds=timeout_seconds,
+                batch=self._get_header(b"X-Priority").lower() == "batch",
+                idempotency_key=self._get_header(b"Idempotency-Key"),
+                traceparent=self._get_header(b"Traceparent"),
             )
         )
 
-    def _event(self, head: _Head, seconds: float) -> events.CallerRequest:
-        named = [each for each in (head.seconds, seconds) if each > 0]
+    def _build_event(
+        self, parsed: _ParsedHeaders, body_timeout_seconds: float
+    ) -> events.CallerRequest:
+        timeouts = [
+            each
+            for each in (parsed.timeout_seconds, body_timeout_seconds)
+            if each > 0
+        ]
         return events.CallerRequest(
-            request=self.owner.new_request_id(),
-            key_digest=head.key_digest,
-            seconds=min(named, default=0.0),
-            batch=head.batch,
-            idempotency_key=head.idempotency_key,
-            trace=head.trace,
+            request=self.caller_server.new_request_id(),
+            key_digest=parsed.key_digest,
+            seconds=min(timeouts, default=0.0),
+            batch=parsed.batch,
+            idempotency_key=parsed.idempotency_key,
+            trace=parsed.traceparent,
         )
 
-    def _body(self) -> result.Result[bytes, results.Error]:
-        limit = self.owner.max_body_bytes
+    def _read_body(self) -> result.Result[bytes, results.Error]:
+        max_bytes = self.caller_server.max_body_bytes
         too_large = results.Error(
             code=results.Code.BODY_TOO_LARGE,
-            text=f"the body is larger than {limit} bytes",
+            text=f"the body is larger than {max_bytes} bytes",
         )
         if self.req.chunked_read:
             # The library's own limit would answer in plain text; without one
             # it would read a chunk of any declared size into memory.
-            self.req.rfile = server.ChunkedRFile(self.req.conn.rfile, limit)
-        elif self.length > limit:
+            self.req.rfile = server.ChunkedRFile(self.req.conn.rfile, max_bytes)
+        elif self.content_length > max_bytes:
             return result.Failure(too_large)
-        if self.length < 0:
-            return result.Failure(_half("Content-Length is negative"))
+        if self.content_length < 0:
+            return result.Failure(_bad_request("Content-Length is negative"))
         try:
             body = self.req.rfile.read()
         except TimeoutError:
-            return result.Failure(_half("the body did not arrive in time"))
+            return result.Failure(
+                _bad_request("the body did not arrive in time")
+            )
         except ValueError as error:
-            return result.Failure(_half(str(error)))
+            return result.Failure(_bad_request(str(error)))
         except (errors.MaxSizeExceeded, OSError) as error:
             if isinstance(error, ConnectionError):
                 raise
             return result.Failure(too_large)
-        if not self.req.chunked_read and len(body) < self.length:
-            return result.Failure(_half("the body is shorter than declared"))
+        if not self.req.chunked_read and len(body) < self.content_length:
+            return result.Failure(
+                _bad_request("the body is shorter than declared")
+            )
         return result.Success(body)
 
-    def _check_caller(self) -> None:
+    def _raise_if_caller_gone(self) -> None:
         """Ends the request if the caller's end of the connection is closed.
 
         A caller that goes away while it waits for the first token would keep
@@ -468,28 +521,28 @@
         """
         poll = select.poll()
         poll.register(self.req.conn.socket, select.POLLRDHUP)
-        for _, seen in poll.poll(0):
-            if seen & (select.POLLRDHUP | select.POLLHUP | select.POLLERR):
-                raise _GoneError
+        for _, flags in poll.poll(0):
+            if flags & (select.POLLRDHUP | select.POLLHUP | select.POLLERR):
+                raise _CallerGoneError
 
 
-def _half(text: str) -> results.Error:
+def _bad_request(text: str) -> results.Error:
     return results.Error(code=results.Code.BAD_FIELD, text=text)
 
 
-def _seconds(text: str) -> float | None:
+def _parse_timeout(text: str) -> float | None:
     if not text:
         return 0.0
     try:
         seconds = float(text)
     except ValueError:
         return None
-    if not math.isfinite(seconds) or not 0 < seconds <= _MOST_SECONDS:
+    if not math.isfinite(seconds) or not 0 < seconds <= _MAX_TIMEOUT_SECONDS:
         return None
     return seconds
 
 
-def _phrase(status: int) -> str:
+def _reason_phrase(status: int) -> str:
     try:
         return http.HTTPStatus(status).phrase
     except ValueError:
--- a/pimentoledge/callers/replies.py
+++ b/pimentoledge/callers/replies.py
@@ -13,7 +13,7 @@
     | actions.ReplyError
 )
 
-_TOO_SLOW = results.Error(
+_TOO_SLOW_ERROR = results.Error(
     code=results.Code.CALLER_GONE,
     text="the answer was read too slowly; the stream was ended",
 )
@@ -41,22 +41,22 @@
 
     __slots__ = (
         "limit_bytes",
-        "notified",
-        "notify",
-        "overrun",
+        "listener",
+        "listener_called",
+        "overflowed",
+        "pending",
         "put_bytes",
-        "taken_bytes",
-        "waiting",
+        "read_bytes",
     )
 
     def __init__(self, *, limit_bytes: int):
         self.limit_bytes = limit_bytes
-        self.overrun = False
-        self.waiting: queue.SimpleQueue[Reply] = queue.SimpleQueue()
-        self.notify: Callable[[bool], None] | None = None
-        self.notified = False
+        self.overflowed = False
+        self.pending: queue.SimpleQueue[Reply] = queue.SimpleQueue()
+        self.listener: Callable[[bool], None] | None = None
+        self.listener_called = False
         self.put_bytes = 0
-        self.taken_bytes = 0
+        self.read_bytes = 0
 
     def put(self, reply: Reply) -> bool:
         """Hands a reply to the caller's thread; never waits.
@@ -66,28 +66,28 @@
             slowly: nothing more will reach it, and the request should be
             cancelled.
         """
-        if self.overrun:
+        if self.overflowed:
             return False
-        last = type(reply) is not actions.ReplyText
-        if not last:
+        is_last = type(reply) is not actions.ReplyText
+        if not is_last:
             self.put_bytes += len(reply.text)
-            if self.put_bytes - self.taken_bytes > self.limit_bytes:
-                self._overrun(reply.request)
+            if self.put_bytes - self.read_bytes > self.limit_bytes:
+                self._overflow(reply.request)
                 return False
-        self.waiting.put(reply)
-        if self.notify is not None and (last or not self.notified):
-            self.notified = True
-            self.notify(last)
+        self.pending.put(reply)
+        if self.listener is not None and (is_last or not self.listener_called):
+            self.listener_called = True
+            self.listener(is_last)
         return True
 
-    def set_listener(self, notify: Callable[[bool], None]) -> None:
+    def set_listener(self, listener: Callable[[bool], None]) -> None:
         """Has a function told of replies, from now on.
 
         Replies may have been put before, even the last one, so the function
         is told of it at once.
         """
-        self.notify = notify
-        notify(True)
+        self.listener = listener
+        listener(True)
 
     def get_all(self, timeout: float) -> list[Reply]:
         """Waits for replies and takes all that there are.
@@ -100,49 +100,49 @@
             there; nothing if nothing came in time.
         """
         try:
-            first = self.waiting.get(timeout=timeout)
+            first = self.pending.get(timeout=timeout)
         except queue.Empty:
             return []
-        return self._taken([first])
+        return self._collect([first])
 
-    def take_ready(self) -> list[Reply]:
+    def get_ready(self) -> list[Reply]:
         """Takes all that is there, as `get_all` does, without waiting."""
         # Cleared first: what is put behind this line is notified again.
-        self.notified = False
-        return self._taken([])
-
-    def _taken(self, ready: list[Reply]) -> list[Reply]:
-        for _ in range(self.waiting.qsize()):
-            ready.append(self.waiting.get())
-        if self.overrun and ready:
-            return [self._last(ready[-1])]
-        if len(ready) == 1:
-            if type(ready[0]) is actions.ReplyText:
-                self.taken_bytes += len(ready[0].text)
-            return ready
-        return self._coalesced(ready)
-
-    def _last(self, reply: Reply) -> Reply:
+        self.listener_called = False
+        return self._collect([])
+
+    def _collect(self, collected: list[Reply]) -> list[Reply]:
+        for _ in range(self.pending.qsize()):
+            collected.append(self.pending.get())
+        if self.overflowed and collected:
+            return [self._wait_for_error(collected[-1])]
+        if len(collected) == 1:
+            if type(collected[0]) is actions.ReplyText:
+                self.read_bytes += len(collected[0].text)
+            return collected
+        return self._merge_texts(collected)
+
+    def _wait_for_error(self, reply: Reply) -> Reply:
         # `overrun` is set before the error is put, so the error will come.
         while type(reply) is not actions.ReplyError:
-            reply = self.waiting.get()
+            reply = self.pending.get()
         return reply
 
-    def _coalesced(self, ready: list[Reply]) -> list[Reply]:
-        texts = [each for each in ready if type(each) is actions.ReplyText]
-        self.taken_bytes += sum(len(each.text) for each in texts)
+    def _merge_texts(self, collected: list[Reply]) -> list[Reply]:
+        texts = [each for each in collected if type(each) is actions.ReplyText]
+        self.read_bytes += sum(len(each.text) for each in texts)
         if len(texts) < 2:
-            return ready
-        whole = actions.ReplyText(
+            return collected
+        merged = actions.ReplyText(
             request=texts[0].request,
             text="".join(each.text for each in texts),
             tokens=sum(each.tokens for each in texts),
         )
-        return [whole, *ready[len(texts) :]]
-
-    def _overrun(self, request: str) -> None:
-        self.overrun = True
-        error = actions.ReplyError(request=request, error=_TOO_SLOW)
-        self.waiting.put(error)
-        if self.notify is not None:
-            self.notify(True)
+        return [merged, *collected[len(texts) :]]
+
+    def _overflow(self, request_id: str) -> None:
+        self.overflowed = True
+        error = actions.ReplyError(request=request_id, error=_TOO_SLOW_ERROR)
+        self.pending.put(error)
+        if self.listener is not None:
+            self.listener(True)
--- a/pimentoledge/callers/servers.py
+++ b/pimentoledge/callers/servers.py
@@ -17,20 +17,20 @@
 
 # A thread that serves a stream runs a dozen small frames; the default of 8 MiB
 # of address space for each would pass the limits of a small VM.
-STACK_BYTES = 256 * 1024
+THREAD_STACK_BYTES = 256 * 1024
 # Threads beyond those of open requests: for health checks and refusals.
 SPARE_THREADS = 8
 # Longest wait for the next byte from or to a caller.
-SOCKET_SECONDS = 10.0
+SOCKET_TIMEOUT_SECONDS = 10.0
 # Longest time for the whole of a request to arrive.
-READ_SECONDS = 30.0
+REQUEST_READ_SECONDS = 30.0
 # How long a kept connection may stay idle; longer than a balancer keeps one,
 # so that the balancer closes it first and sends nothing into a closing one.
-IDLE_SECONDS = 75.0
-MAX_HEAD_BYTES = 64 * 1024
-_LISTEN_QUEUE = 1024
-_CLOSE_SECONDS = 5.0
-_WATCH_SECONDS = 1.0
+KEEP_ALIVE_SECONDS = 75.0
+MAX_HEADER_BYTES = 64 * 1024
+_LISTEN_BACKLOG = 1024
+_SHUTDOWN_SECONDS = 5.0
+_READ_CHECK_SECONDS = 1.0
 
 _log = logbook.Logger("callers")
 
@@ -38,28 +38,28 @@
 class _Connection(server.HTTPConnection):
     """A caller's connection, watched while a request is read from it."""
 
-    seen = False
+    waited_for_data = False
 
     def communicate(self) -> bool:
-        self.socket.settimeout(SOCKET_SECONDS)
-        self.server.owner.reading[self] = time.monotonic()
+        self.socket.settimeout(SOCKET_TIMEOUT_SECONDS)
+        self.server.caller_server.read_started_at[self] = time.monotonic()
         try:
             return super().communicate()
         finally:
-            self.server.owner.reading_done(self)
+            self.server.caller_server.on_request_read(self)
 
 
 class _Server(server.HTTPServer):
     """The HTTP library's server with the limits that callers meet."""
 
     ConnectionClass = _Connection
-    max_request_header_size = MAX_HEAD_BYTES
-    request_queue_size = _LISTEN_QUEUE
-    timeout = IDLE_SECONDS
-    shutdown_timeout = _CLOSE_SECONDS
+    max_request_header_size = MAX_HEADER_BYTES
+    request_queue_size = _LISTEN_BACKLOG
+    timeout = KEEP_ALIVE_SECONDS
+    shutdown_timeout = _SHUTDOWN_SECONDS
 
-    def __init__(self, *, owner: "CallerServer", bind: tuple[str, int]):
-        threads = owner.threads + SPARE_THREADS
+    def __init__(self, *, caller_server: "CallerServer", bind: tuple[str, int]):
+        threads = caller_server.max_open_requests + SPARE_THREADS
         super().__init__(
             bind,
             gateways.CallerGateway,
@@ -67,7 +67,7 @@
             maxthreads=threads,
             server_name="pimentoledge",
         )
-        self.owner = owner
+        self.caller_server = caller_server
         self.keep_alive_conn_limit = 2 * threads
 
     def process_conn(self, conn: server.HTTPConnection) -> None:
@@ -76,10 +76,10 @@
         A connection on which nothing is sent would otherwise hold a thread
         until its timeout, and a few hundred of them the whole entry.
         """
-        if getattr(conn, "seen", True):
+        if getattr(conn, "waited_for_data", True):
             super().process_conn(conn)
         else:
-            conn.seen = True
+            conn.waited_for_data = True
             self.put_conn(conn)
 
     def error_log(
@@ -111,47 +111,47 @@
         self,
         *,
         listen: str,
-        threads: int,
+        max_open_requests: int,
         max_body_bytes: int,
-        buffer_bytes: int,
+        send_buffer_bytes: int,
         submit: Callable[[events.CallerRequest], replies.ReplyQueue],
         on_caller_left: Callable[[str], None],
-        models: Callable[[str], list[str] | None],
-        ready: Callable[[], bool],
+        list_models: Callable[[str], list[str] | None],
+        is_ready: Callable[[], bool],
     ):
         self.listen = listen
-        self.threads = threads
+        self.max_open_requests = max_open_requests
         self.max_body_bytes = max_body_bytes
-        self.buffer_bytes = buffer_bytes
+        self.send_buffer_bytes = send_buffer_bytes
         self.submit = submit
         self.on_caller_left = on_caller_left
-        self.models = models
-        self.ready = ready
-        self.reading: dict[server.HTTPConnection, float] = {}
+        self.list_models = list_models
+        self.is_ready = is_ready
+        self.read_started_at: dict[server.HTTPConnection, float] = {}
         self.address = ""
-        self._prefix = secrets.token_hex(8)
-        self._numbers = itertools.count(1)
-        self._open = threading.Semaphore(threads)
+        self._id_prefix = secrets.token_hex(8)
+        self._request_numbers = itertools.count(1)
+        self._request_slots = threading.Semaphore(max_open_requests)
         self._closing = threading.Event()
         self.writer = writers.StreamWriter()
         self._server: _Server | None = None
-        self._tasks: list[threading.Thread] = []
+        self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
         """Binds the address and serves from threads of its own."""
         self.writer.start()
         host, _, port = self.listen.rpartition(":")
-        self._server = _Server(owner=self, bind=(host, int(port)))
-        before = threading.stack_size(STACK_BYTES)
+        self._server = _Server(caller_server=self, bind=(host, int(port)))
+        previous_stack_bytes = threading.stack_size(THREAD_STACK_BYTES)
         try:
             self._server.prepare()
-            self._start_tasks()
+            self._start_threads()
         finally:
-            threading.stack_size(before)
+            threading.stack_size(previous_stack_bytes)
         # Accepted sockets inherit it. Left to itself, the kernel would keep
         # some megabytes for each caller that doesn't read.
         self._server.socket.setsockopt(
-            socket.SOL_SOCKET, socket.SO_SNDBUF, self.buffer_bytes // 2
+            socket.SOL_SOCKET, socket.SO_SNDBUF, self.send_buffer_bytes // 2
         )
         host, port = self._server.bind_addr
         self.address = f"{host}:{port}"
@@ -162,45 +162,48 @@
         if self._server is not None:
             self._server.stop()
         self.writer.close()
-        for task in self._tasks:
-            task.join()
-        self._tasks.clear()
+        for thread in self._threads:
+            thread.join()
+        self._threads.clear()
 
     def open_request(self) -> bool:
         """Returns whether one more request may be served now."""
-        return self._open.acquire(blocking=False)
+        return self._request_slots.acquire(blocking=False)
 
     def close_request(self) -> None:
         """Says that a request admitted by open_request has ended."""
-        self._open.release()
+        self._request_slots.release()
 
-    def reading_done(self, conn: server.HTTPConnection) -> None:
+    def on_request_read(self, conn: server.HTTPConnection) -> None:
         """Says that a whole request was read from a connection."""
-        self.reading.pop(conn, None)
+        self.read_started_at.pop(conn, None)
 
     def new_request_id(self) -> str:
         """Returns an id that no entry has used or will use."""
-        return f"{self._prefix}-{next(self._numbers)}"
+        return f"{self._id_prefix}-{next(self._request_numbers)}"
 
-    def _start_tasks(self) -> None:
+    def _start_threads(self) -> None:
         for target in (self._server.serve, self._watch):
-            task = threading.Thread(target=target, name=target.__name__)
-            task.start()
-            self._tasks.append(task)
+            thread = threading.Thread(target=target, name=target.__name__)
+            thread.start()
+            self._threads.append(thread)
 
     def _watch(self) -> None:
-        while not self._closing.wait(_WATCH_SECONDS):
-            self._end_late(time.monotonic() - READ_SECONDS)
+        while not self._closing.wait(_READ_CHECK_SECONDS):
+            self._end_slow_requests(time.monotonic() - REQUEST_READ_SECONDS)
 
-    def _end_late(self, before: float) -> None:
+    def _end_slow_requests(self, latest_start: float) -> None:
         """Ends requests that began to arrive too long ago.
 
         A caller that sends a byte now and then never meets the timeout of
         its socket, and would hold a thread for hours. The reading thread
         then sees the end of the connection and answers that.
         """
-        for conn, since in list(self.reading.items()):
-            if since < before and self.reading.pop(conn, None) is not None:
+        for conn, started_at in list(self.read_started_at.items()):
+            if (
+                started_at < latest_start
+                and self.read_started_at.pop(conn, None) is not None
+            ):
                 try:
                     conn.socket.shutdown(socket.SHUT_RD)
                 except OSError:
--- a/pimentoledge/callers/service_calls.py
+++ b/pimentoledge/callers/service_calls.py
@@ -8,7 +8,7 @@
 
 # Headers that belong to one connection, and those that the sender's HTTP
 # library sets by itself.
-_HOP_BY_HOP = frozenset(
+_HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "content-length",
@@ -25,7 +25,7 @@
     )
 )
 # Headers that speak to this system only. The API key must not leave it.
-_OWN = frozenset(
+_INTERNAL_HEADERS = frozenset(
     ("authorization", "x-priority", "x-request-timeout", "traceparent")
 )
 
@@ -53,31 +53,33 @@
         method=method,
         path="/" + rest,
         query=query,
-        headers=remove_headers(headers, _HOP_BY_HOP | _OWN),
+        headers=remove_headers(
+            headers, _HOP_BY_HOP_HEADERS | _INTERNAL_HEADERS
+        ),
         body=body,
     )
 
 
-def answer_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
+def response_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
     """Returns the headers of a service's answer that go to the caller."""
-    return remove_headers(headers, _HOP_BY_HOP)
+    return remove_headers(headers, _HOP_BY_HOP_HEADERS)
 
 
 def remove_headers(
     headers: list[tuple[str, str]], names: frozenset[str]
 ) -> list[tuple[str, str]]:
     """Returns headers without those named, or named by Connection."""
-    dropped = set(names)
+    removed = set(names)
     for name, value in headers:
         if name.lower() == "connection":
-            dropped.update(each.strip().lower() for each in value.split(","))
+            removed.update(each.strip().lower() for each in value.split(","))
     return [
         (name, value)
         for name, value in headers
-        if name.lower() not in dropped and _is_plain(name + value)
+        if name.lower() not in removed and _is_single_line(name + value)
     ]
 
 
-def _is_plain(text: str) -> bool:
+def _is_single_line(text: str) -> bool:
     # A line break within a header would begin another one at the receiver.
     return "\r" not in text and "\n" not in text
--- a/pimentoledge/callers/writers.py
+++ b/pimentoledge/callers/writers.py
@@ -23,10 +23,10 @@
 from pimentoledge.decisions import actions
 
 # A stream whose caller takes nothing for so long is given up.
-STUCK_SECONDS = 10.0
-_CHECK_SECONDS = 1.0
-_WATCHED = select.EPOLLRDHUP
-_CLOSED = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
+STALL_TIMEOUT_SECONDS = 10.0
+_STALL_CHECK_SECONDS = 1.0
+_WATCHED_EVENTS = select.EPOLLRDHUP
+_CLOSED_EVENTS = select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR
 
 _log = logbook.Logger("writers")
 
@@ -34,9 +34,9 @@
 class StreamEnd(enum.Enum):
     """How the sending of a stream ended."""
 
-    WHOLE = "whole"
-    CUT = "cut"
-    GONE = "gone"
+    COMPLETE = "whole"
+    FAILED = "cut"
+    CALLER_GONE = "gone"
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -54,14 +54,14 @@
         over: set when the writer is done with it.
     """
 
-    replies: replies.ReplyQueue
+    reply_queue: replies.ReplyQueue
     encoder: answers.CompletionEncoder
     sock: socket.socket
     chunked: bool
     unsent: bytes = b""
     stalled_since: float = 0.0
     end: StreamEnd | None = None
-    over: threading.Event = attrs.field(factory=threading.Event)
+    finished: threading.Event = attrs.field(factory=threading.Event)
 
 
 class StreamWriter:
@@ -77,21 +77,21 @@
 
     def __init__(self):
         self.streams: dict[int, OutgoingStream] = {}
-        self.ready: collections.deque[OutgoingStream | None] = (
+        self.ready_streams: collections.deque[OutgoingStream | None] = (
             collections.deque()
         )
         self.sleeping = False
-        self.blocked: set[int] = set()
+        self.blocked_files: set[int] = set()
         self.closing = False
         self.epoll: select.epoll | None = None
-        self.alarm = -1
+        self.wakeup_fd = -1
         self.thread = threading.Thread(target=self.run, name="writer")
 
     def start(self) -> None:
         """Starts the thread."""
         self.epoll = select.epoll()
-        self.alarm = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
-        self.epoll.register(self.alarm, select.EPOLLIN)
+        self.wakeup_fd = os.eventfd(0, os.EFD_NONBLOCK | os.EFD_CLOEXEC)
+        self.epoll.register(self.wakeup_fd, select.EPOLLIN)
         self.thread.start()
 
     def close(self) -> None:
@@ -102,23 +102,23 @@
         self.notify(None, True)
         self.thread.join()
         self.epoll.close()
-        os.close(self.alarm)
+        os.close(self.wakeup_fd)
 
     def write(self, stream: OutgoingStream) -> StreamEnd:
         """Sends a stream to its end; called by the caller's thread."""
-        stream.replies.set_listener(functools.partial(self.notify, stream))
-        while not stream.over.wait(STUCK_SECONDS):
+        stream.reply_queue.set_listener(functools.partial(self.notify, stream))
+        while not stream.finished.wait(STALL_TIMEOUT_SECONDS):
             if not self.thread.is_alive():
-                return StreamEnd.GONE
+                return StreamEnd.CALLER_GONE
         return stream.end
 
     def notify(self, stream: OutgoingStream | None, last: bool) -> None:
         """Says that a stream has replies; any thread may call it."""
         del last  # The writer takes whatever there is.
-        self.ready.append(stream)
+        self.ready_streams.append(stream)
         if self.sleeping:
             self.sleeping = False
-            os.eventfd_write(self.alarm, 1)
+            os.eventfd_write(self.wakeup_fd, 1)
 
     def run(self) -> None:
         """Sends until closed."""
@@ -127,43 +127,43 @@
             self._wait()
             self._send_ready()
             now = time.monotonic()
-            if now - checked > _CHECK_SECONDS:
+            if now - checked > _STALL_CHECK_SECONDS:
                 checked = now
-                self._give_up_stuck(now)
+                self._drop_stalled(now)
         for stream in list(self.streams.values()):
-            self._finish(stream, StreamEnd.GONE)
+            self._finish(stream, StreamEnd.CALLER_GONE)
 
     def _wait(self) -> None:
         # `sleeping` is set before `ready` is looked at: whoever appends after
         # the look sees it set and wakes this thread.
         self.sleeping = True
-        timeout = 0.0 if self.ready else _CHECK_SECONDS
-        found = self.epoll.poll(timeout)
+        timeout = 0.0 if self.ready_streams else _STALL_CHECK_SECONDS
+        polled = self.epoll.poll(timeout)
         self.sleeping = False
-        for fileno, seen in found:
-            if fileno == self.alarm:
-                os.eventfd_read(self.alarm)
+        for fileno, flags in polled:
+            if fileno == self.wakeup_fd:
+                os.eventfd_read(self.wakeup_fd)
             else:
-                self._take_event(fileno, seen)
+                self._handle_event(fileno, flags)
 
-    def _take_event(self, fileno: int, seen: int) -> None:
+    def _handle_event(self, fileno: int, flags: int) -> None:
         stream = self.streams.get(fileno)
         if stream is None:
             return
-        if seen & _CLOSED:
-            self._finish(stream, StreamEnd.GONE)
-        elif seen & select.EPOLLOUT:
+        if flags & _CLOSED_EVENTS:
+            self._finish(stream, StreamEnd.CALLER_GONE)
+        elif flags & select.EPOLLOUT:
             self._send(stream, b"")
 
     def _send_ready(self) -> None:
-        for _ in range(len(self.ready)):
-            stream = self.ready.popleft()
-            if stream is None or stream.over.is_set():
+        for _ in range(len(self.ready_streams)):
+            stream = self.ready_streams.popleft()
+            if stream is None or stream.finished.is_set():
                 continue
             fileno = stream.sock.fileno()
             if fileno not in self.streams:
                 self.streams[fileno] = stream
-                self.epoll.register(fileno, _WATCHED)
+                self.epoll.register(fileno, _WATCHED_EVENTS)
             # While the socket is full, what comes waits in the bounded
             # Replies; there it may end the stream, but it takes no memory.
             if not stream.unsent:
@@ -174,20 +174,20 @@
             self._send_replies(stream)
         except Exception:  # A defect met by one stream must not end them all.
             _log.critical("defect: {}", traceback.format_exc())
-            self._finish(stream, StreamEnd.CUT)
+            self._finish(stream, StreamEnd.FAILED)
 
     def _send_replies(self, stream: OutgoingStream) -> None:
         data = b""
-        for reply in stream.replies.take_ready():
+        for reply in stream.reply_queue.get_ready():
             match reply:
                 case actions.ReplyText():
                     data += stream.encoder.encode_text(reply.text)
                 case actions.ReplyEnd():
                     data += stream.encoder.encode_end(reply)
-                    stream.end = StreamEnd.WHOLE
+                    stream.end = StreamEnd.COMPLETE
                 case actions.ReplyError():
                     data += answers.encode_failure(reply.error)
-                    stream.end = StreamEnd.CUT
+                    stream.end = StreamEnd.FAILED
         if data and stream.chunked:
             data = b"%x\r\n%b\r\n" % (len(data), data)
         if data:
@@ -201,41 +201,43 @@
         except BlockingIOError:
             sent = 0
         except OSError:
-            self._finish(stream, StreamEnd.GONE)
+            self._finish(stream, StreamEnd.CALLER_GONE)
             return
         stream.unsent = data[sent:]
         if stream.unsent:
-            self._block(stream, was_full, sent)
+            self._mark_blocked(stream, was_full, sent)
         elif stream.end is not None:
             self._finish(stream, stream.end)
         elif was_full:
-            self._unblock(stream)
+            self._resume(stream)
 
-    def _block(self, stream: OutgoingStream, was_full: bool, sent: int) -> None:
+    def _mark_blocked(
+        self, stream: OutgoingStream, was_full: bool, sent: int
+    ) -> None:
         if sent or not was_full:
             stream.stalled_since = time.monotonic()
         if not was_full:
             fileno = stream.sock.fileno()
-            self.blocked.add(fileno)
-            self.epoll.modify(fileno, _WATCHED | select.EPOLLOUT)
+            self.blocked_files.add(fileno)
+            self.epoll.modify(fileno, _WATCHED_EVENTS | select.EPOLLOUT)
 
-    def _unblock(self, stream: OutgoingStream) -> None:
+    def _resume(self, stream: OutgoingStream) -> None:
         fileno = stream.sock.fileno()
-        self.blocked.discard(fileno)
-        self.epoll.modify(fileno, _WATCHED)
+        self.blocked_files.discard(fileno)
+        self.epoll.modify(fileno, _WATCHED_EVENTS)
         self._send_or_cut(stream)
 
-    def _give_up_stuck(self, now: float) -> None:
-        for fileno in list(self.blocked):
+    def _drop_stalled(self, now: float) -> None:
+        for fileno in list(self.blocked_files):
             stream = self.streams[fileno]
-            if now - stream.stalled_since > STUCK_SECONDS:
-                self._finish(stream, StreamEnd.GONE)
+            if now - stream.stalled_since > STALL_TIMEOUT_SECONDS:
+                self._finish(stream, StreamEnd.CALLER_GONE)
 
     def _finish(self, stream: OutgoingStream, end: StreamEnd) -> None:
         fileno = stream.sock.fileno()
         if self.streams.pop(fileno, None) is None:
             return
-        self.blocked.discard(fileno)
+        self.blocked_files.discard(fileno)
         self.epoll.unregister(fileno)
         stream.end = end
-        stream.over.set()
+        stream.finished.set()
--- a/pimentoledge/commands/administration.py
+++ b/pimentoledge/commands/administration.py
@@ -67,7 +67,7 @@
         raise NotImplementedError
 
     def show(
-        self, answer: result.Result[clients.ApiAnswer, results.Error]
+        self, answer: result.Result[clients.ApiResponse, results.Error]
     ) -> int:
         """Prints an answer; returns the exit status."""
         match answer:
@@ -76,7 +76,7 @@
                 return REFUSED_EXIT
             case result.Success(got):
                 pass
-        if got.known:
+        if got.from_local_copy:
             self.line_error("the store did not answer; this is what is known")
         text = json.dumps(got.fields, indent=2)
         if got.status >= _HTTP_ERROR:
--- a/pimentoledge/entry.py
+++ b/pimentoledge/entry.py
@@ -87,22 +87,22 @@
             pages={
                 api.API_ROOT: api.AdminApi(submit=self.operate).serve,
                 **pages.daemon_pages(
-                    counted=self.metrics,
-                    alive=self.alive,
-                    ready=self.ready,
-                    refresh=self.refresh_metrics,
+                    daemon_metrics=self.metrics,
+                    is_alive=self.alive,
+                    is_ready=self.ready,
+                    refresh_gauges=self.refresh_metrics,
                 ),
             },
         )
         self.callers = servers.CallerServer(
             listen=chosen.text("listen"),
-            threads=chosen.integer("caller-threads"),
+            max_open_requests=chosen.integer("caller-threads"),
             max_body_bytes=chosen.integer("max-body-bytes"),
-            buffer_bytes=chosen.integer("stream-buffer-bytes"),
+            send_buffer_bytes=chosen.integer("stream-buffer-bytes"),
             submit=self.submit,
             on_caller_left=self.caller_left,
-            models=self.models,
-            ready=self.ready,
+            list_models=self.models,
+            is_ready=self.ready,
         )
         self.replies: dict[str, replies.ReplyQueue] = {}
         self.operators: dict[str, queue.SimpleQueue] = {}
--- a/pimentoledge/operators/clients.py
+++ b/pimentoledge/operators/clients.py
@@ -15,7 +15,7 @@
 
 
 @attrs.define(kw_only=True)
-class ApiAnswer:
+class ApiResponse:
     """An answer of the administration API.
 
     Attributes:
@@ -28,7 +28,7 @@
     status: int
     fields: dict[str, object]
     version: int = 0
-    known: bool = False
+    from_local_copy: bool = False
 
 
 class AdminClient:
@@ -55,7 +55,7 @@
 
     def read(
         self, path: str, **query: object
-    ) -> result.Result[ApiAnswer, results.Error]:
+    ) -> result.Result[ApiResponse, results.Error]:
         """Reads a path below the API's root, as "contracts/acme"."""
         return self._call("GET", path, query=query)
 
@@ -63,11 +63,11 @@
         """Reads all pages of a list, one after the other."""
         cursor = ""
         while cursor is not None:
-            answer = self.read(kind, limit=limit, cursor=cursor)
-            yield answer
+            page = self.read(kind, limit=limit, cursor=cursor)
+            yield page
             cursor = None
-            if isinstance(answer, result.Success):
-                cursor = answer.unwrap().fields.get("cursor")
+            if isinstance(page, result.Success):
+                cursor = page.unwrap().fields.get("cursor")
 
     def write(
         self,
@@ -77,7 +77,7 @@
         fields: dict[str, object] | None = None,
         expected: int,
         dry_run: bool = False,
-    ) -> result.Result[ApiAnswer, results.Error]:
+    ) -> result.Result[ApiResponse, results.Error]:
         """Changes an object on condition of its version.
 
         Args:
@@ -103,13 +103,13 @@
         query: dict[str, object],
         headers: dict[str, str] | None = None,
         fields: dict[str, object] | None = None,
-    ) -> result.Result[ApiAnswer, results.Error]:
-        address = f"{self.url}{api.API_ROOT}{path}?"
-        address += urllib.parse.urlencode(query)
+    ) -> result.Result[ApiResponse, results.Error]:
+        url = f"{self.url}{api.API_ROOT}{path}?"
+        url += urllib.parse.urlencode(query)
         try:
             response = self._pool.request(
                 method,
-                address,
+                url,
                 headers={
                     "Authorization": f"Bearer {self.key}",
                     **(headers or {}),
@@ -125,10 +125,10 @@
             text = f"no answer of {self.url}: {error}"
             return result.Failure(results.Error(code=code, text=text, ran=ran))
         version = response.headers.get("ETag", '"0"').strip('"')
-        answer = ApiAnswer(
+        api_response = ApiResponse(
             status=response.status,
             fields=body,
             version=int(version),
-            known=api.KNOWN_HEADER in response.headers,
+            from_local_copy=api.SOURCE_HEADER in response.headers,
         )
-        return result.Success(answer)
+        return result.Success(api_response)
--- a/pimentoledge/operators/servers.py
+++ b/pimentoledge/operators/servers.py
@@ -14,11 +14,11 @@
 
 THREADS = 8
 MAX_BODY_BYTES = 1024 * 1024
-MAX_HEAD_BYTES = 16 * 1024
-SOCKET_SECONDS = 10.0
-CLOSE_SECONDS = 2.0
-JSON = "application/json"
-_REASONS = {
+MAX_HEADER_BYTES = 16 * 1024
+SOCKET_TIMEOUT_SECONDS = 10.0
+SHUTDOWN_SECONDS = 2.0
+JSON_TYPE = "application/json"
+_REASON_PHRASES = {
     200: "OK",
     201: "Created",
     400: "Bad Request",
@@ -67,7 +67,7 @@
 
     status: int = 200
     body: bytes = b""
-    content_type: str = JSON
+    content_type: str = JSON_TYPE
     headers: list[tuple[str, str]] = attrs.field(factory=list)
 
 
@@ -98,11 +98,11 @@
             self.serve,
             numthreads=THREADS,
             max=THREADS,
-            timeout=SOCKET_SECONDS,
-            shutdown_timeout=CLOSE_SECONDS,
+            timeout=SOCKET_TIMEOUT_SECONDS,
+            shutdown_timeout=SHUTDOWN_SECONDS,
         )
         self._server.max_request_body_size = MAX_BODY_BYTES
-        self._server.max_request_header_size = MAX_HEAD_BYTES
+        self._server.max_request_header_size = MAX_HEADER_BYTES
         self._server.prepare()
         host, port = self._server.bind_addr[:2]
         self.address = f"{host}:{port}"
@@ -127,7 +127,7 @@
         except Exception:  # A defect of a page must not end the thread.
             logger.error("defect in a page: {}", traceback.format_exc())
             response = PageResponse(status=500)
-        reason = _REASONS.get(response.status, "Other")
+        reason = _REASON_PHRASES.get(response.status, "Other")
         headers = [
             ("Content-Type", response.content_type),
             ("Content-Length", str(len(response.body))),
@@ -137,22 +137,22 @@
         return [] if environ["REQUEST_METHOD"] == "HEAD" else [response.body]
 
     def _respond(self, environ: dict[str, object]) -> PageResponse:
-        request = _request(environ)
-        page = self._page(request.path)
+        request = _build_request(environ)
+        page = self._find_page(request.path)
         return PageResponse(status=404) if page is None else page(request)
 
-    def _page(self, path: str) -> Page | None:
+    def _find_page(self, path: str) -> Page | None:
         if path in self.pages:
             return self.pages[path]
-        fitting = [
+        prefixes = [
             each
             for each in self.pages
             if each.endswith("/") and path.startswith(each)
         ]
-        return self.pages[max(fitting, key=len)] if fitting else None
+        return self.pages[max(prefixes, key=len)] if prefixes else None
 
 
-def _request(environ: dict[str, object]) -> PageRequest:
+def _build_request(environ: dict[str, object]) -> PageRequest:
     length = int(environ.get("CONTENT_LENGTH") or 0)
     if length > MAX_BODY_BYTES:
         raise server.MaxSizeExceeded()
--- a/pimentoledge/services/clients.py
+++ b/pimentoledge/services/clients.py
@@ -11,11 +11,11 @@
 from pimentoledge.decisions import events
 
 KEY_HEADER = "Idempotency-Key"
-CONNECT_SECONDS = 2.0
+CONNECT_TIMEOUT_SECONDS = 2.0
 POOL_SIZE = 64
-READ_BYTES = 65536
+READ_CHUNK_BYTES = 65536
 # Headers that belong to one connection, and those that are set anew here.
-OWN_HEADERS = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -55,7 +55,7 @@
             self.pool.cut()
 
     def run(
-        self, run: actions.RunCall
+        self, action: actions.RunCall
     ) -> events.ServiceDone | events.EngineBroken:
         """Passes a call on and waits for its answer.
 
@@ -63,49 +63,50 @@
         one, "not_run" means that no connection came about; after that the
         service may have run the call, so the outcome is unknown.
         """
-        until = time.monotonic() + run.seconds
+        deadline = time.monotonic() + action.seconds
         try:
-            answer = self._send(run)
+            response = self._send(action)
         except urllib3.exceptions.HTTPError as error:
             not_run = http_faults.never_sent(error)
             ran = results.Ran.NOT_RUN if not_run else results.Ran.UNKNOWN
-            return _broken(run, ran, str(error))
+            return _failure(action, ran, str(error))
         except ValueError as error:
             # The HTTP library refuses a header that it can't write, such as
             # one with a line break or a letter beyond Latin-1. It looks at
             # all of them before it sends anything.
-            return _broken(run, results.Ran.NOT_RUN, str(error))
+            return _failure(action, results.Ran.NOT_RUN, str(error))
         try:
-            body = _body(answer, until)
+            body = _read_body(response, deadline)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            answer.close()
-            return _broken(run, results.Ran.UNKNOWN, str(error))
+            response.close()
+            return _failure(action, results.Ran.UNKNOWN, str(error))
         return events.ServiceDone(
-            request=run.request,
-            attempt=run.attempt,
-            status=answer.status,
-            headers=_passed(list(answer.headers.iteritems())),
+            request=action.request,
+            attempt=action.attempt,
+            status=response.status,
+            headers=_forwarded_headers(list(response.headers.iteritems())),
             body=body,
         )
 
-    def _send(self, run: actions.RunCall) -> urllib3.BaseHTTPResponse:
-        call = run.call
+    def _send(self, action: actions.RunCall) -> urllib3.BaseHTTPResponse:
+        call = action.call
         query = "?" + call.query if call.query else ""
         timeout = urllib3.Timeout(
-            connect=min(CONNECT_SECONDS, run.seconds), read=run.seconds
+            connect=min(CONNECT_TIMEOUT_SECONDS, action.seconds),
+            read=action.seconds,
         )
         return self.pool.request(
             call.method,
             f"{self.url}/{call.path.lstrip('/')}{query}",
             body=call.body or None,
-            headers=_headers(run),
+            headers=_request_headers(action),
             timeout=timeout,
             redirect=False,
             preload_content=False,
         )
 
 
-def _body(answer: urllib3.BaseHTTPResponse, until: float) -> bytes:
+def _read_body(response: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
     """Returns the whole body, as it came.
 
     The timeout bounds each wait for bytes, and a service that sends one byte
@@ -115,29 +116,31 @@
         TimeoutError: it was not complete in time.
     """
     pieces = []
-    while piece := answer.read1(READ_BYTES, decode_content=False):
+    while piece := response.read1(READ_CHUNK_BYTES, decode_content=False):
         pieces.append(piece)
-        if time.monotonic() > until:
+        if time.monotonic() > deadline:
             raise TimeoutError("the answer was not complete in time")
     return b"".join(pieces)
 
 
-def _broken(
-    run: actions.RunCall, ran: results.Ran, text: str
+def _failure(
+    action: actions.RunCall, ran: results.Ran, text: str
 ) -> events.EngineBroken:
     return events.EngineBroken(
-        request=run.request, attempt=run.attempt, ran=str(ran), text=text
+        request=action.request, attempt=action.attempt, ran=str(ran), text=text
     )
 
 
-def _passed(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    return [each for each in headers if each[0].lower() not in OWN_HEADERS]
+def _forwarded_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
+    return [
+        each for each in headers if each[0].lower() not in NOT_FORWARDED_HEADERS
+    ]
 
 
-def _headers(run: actions.RunCall) -> urllib3.HTTPHeaderDict:
-    headers = urllib3.HTTPHeaderDict(_passed(run.call.headers))
-    if run.key:
-        headers.add(KEY_HEADER, run.key)
-    if run.trace:
-        headers.add("traceparent", run.trace)
+def _request_headers(action: actions.RunCall) -> urllib3.HTTPHeaderDict:
+    headers = urllib3.HTTPHeaderDict(_forwarded_headers(action.call.headers))
+    if action.key:
+        headers.add(KEY_HEADER, action.key)
+    if action.trace:
+        headers.add("traceparent", action.trace)
     return headers
--- a/pimentoledge/services/fake_services.py
+++ b/pimentoledge/services/fake_services.py
@@ -34,7 +34,7 @@
 
 
 @attrs.define(kw_only=True)
-class FakeAnswer:
+class FakeResponse:
     """The service's answer."""
 
     status: int
@@ -77,7 +77,7 @@
         self.crashes = 0
         self.lock = threading.Lock()
 
-    def call(self, call: ReceivedCall) -> FakeAnswer | None:
+    def call(self, call: ReceivedCall) -> FakeResponse | None:
         """Runs a call; None when it gives no answer."""
         with self.lock:
             if self.down:
@@ -85,7 +85,7 @@
             if self.lose_requests > 0:
                 self.lose_requests -= 1
                 return None
-            self._count(call)
+            self._record(call)
             if self.crash_on and self.crash_on in call.body:
                 self.crashes += 1
                 self.down = True
@@ -93,14 +93,17 @@
             if self.lose_answers > 0:
                 self.lose_answers -= 1
                 return None
-            number = len(self.calls)
-        return FakeAnswer(
+            run_number = len(self.calls)
+        return FakeResponse(
             status=self.status,
-            headers=[("Content-Type", "text/plain"), ("X-Run", str(number))],
-            body=b"run %d of %s" % (number, call.body),
+            headers=[
+                ("Content-Type", "text/plain"),
+                ("X-Run", str(run_number)),
+            ],
+            body=b"run %d of %s" % (run_number, call.body),
         )
 
-    def _count(self, call: ReceivedCall) -> None:
+    def _record(self, call: ReceivedCall) -> None:
         key = call.headers.get(KEY_HEADER.lower(), "")
         if key:
             self.runs_by_key[key] += 1
@@ -146,20 +149,20 @@
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
         """Answers one request, or cuts its connection."""
-        call = _call_of(request)
+        call = _parse_call(request)
         if self.service.latency > 0:
             time.sleep(self.service.latency)
-        answer = self.service.call(call)
-        if answer is None:
+        response = self.service.call(call)
+        if response is None:
             fake_http.cut_connection(request)
             return
-        headers = [(n.encode(), v.encode()) for n, v in answer.headers]
+        headers = [(n.encode(), v.encode()) for n, v in response.headers]
         fake_http.send_response(
-            request, answer.body, status=answer.status, headers=headers
+            request, response.body, status=response.status, headers=headers
         )
 
 
-def _call_of(request: cheroot.server.HTTPRequest) -> ReceivedCall:
+def _parse_call(request: cheroot.server.HTTPRequest) -> ReceivedCall:
     headers = {
         name.decode("latin-1").lower(): value.decode("latin-1")
         for name, value in request.inheaders.items()
--- a/pimentoledge/tests/test_admin_api.py
+++ b/pimentoledge/tests/test_admin_api.py
@@ -82,7 +82,7 @@
     client.write("PUT", "models/m", fields={"weights": "v1"}, expected=0)
     served.harness.store.down = True
     answer = client.read("models/m").unwrap()
-    assert answer.known and answer.fields["weights"] == "v1"
+    assert answer.from_local_copy and answer.fields["weights"] == "v1"
     refused = client.write(
         "PUT", "models/m", fields={"weights": "v2"}, expected=answer.version
     )
--- a/pimentoledge/tests/test_callers.py
+++ b/pimentoledge/tests/test_callers.py
@@ -16,45 +16,45 @@
 from pimentoledge.callers import servers
 from pimentoledge.decisions import actions
 
-WAIT = 20.0
-KEY = {"Authorization": "Bearer sesame"}
-CHAT = {"model": "m:a", "messages": [{"role": "user", "content": "hi"}]}
-LIMIT = 64 * 1024
+WAIT_SECONDS = 20.0
+KEY_HEADERS = {"Authorization": "Bearer sesame"}
+CHAT_BODY = {"model": "m:a", "messages": [{"role": "user", "content": "hi"}]}
+MAX_BYTES = 64 * 1024
 
 
-class Core:
-    """Stands for an entry's core: each request gets a scripted reply.
+class ScriptedCore:
+    """Replaces an entry's core and answers each request from a script.
 
     Attributes:
-        script: called with (request, waiting) for every request.
-        asked: the requests that came.
-        left: ids of requests whose callers went away.
+        script: called with (request, reply_queue) for each request.
+        requests: the received requests.
+        abandoned: ids of requests whose callers disconnected.
     """
 
     def __init__(self):
         self.script = answer_hello
-        self.asked = queue.Queue()
-        self.left = queue.Queue()
+        self.requests = queue.Queue()
+        self.abandoned = queue.Queue()
         self.is_ready = True
         self.server = servers.CallerServer(
             listen="127.0.0.1:0",
-            threads=4,
-            max_body_bytes=LIMIT,
-            buffer_bytes=16 * 1024,
+            max_open_requests=4,
+            max_body_bytes=MAX_BYTES,
+            send_buffer_bytes=16 * 1024,
             submit=self.submit,
-            on_caller_left=self.left.put,
-            models=lambda key: ["m"] if key == DIGEST else None,
-            ready=lambda: self.is_ready,
+            on_caller_left=self.abandoned.put,
+            list_models=lambda key: ["m"] if key == KEY_DIGEST else None,
+            is_ready=lambda: self.is_ready,
         )
-        self.pool = urllib3.PoolManager(retries=False, timeout=WAIT)
+        self.pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
 
     def submit(self, request):
-        waiting = replies.ReplyQueue(limit_bytes=LIMIT)
-        self.asked.put(request)
-        self.script(request, waiting)
-        return waiting
+        reply_queue = replies.ReplyQueue(limit_bytes=MAX_BYTES)
+        self.requests.put(request)
+        self.script(request, reply_queue)
+        return reply_queue
 
-    def call(self, method, path, body=None, headers=KEY, **options):
+    def call(self, method, path, body=None, headers=KEY_HEADERS, **options):
         if isinstance(body, dict):
             body = json.dumps(body).encode()
         url = f"http://{self.server.address}{path}"
@@ -62,22 +62,24 @@
             method, url, body=body, headers=headers, **options
         )
 
-    def has_room(self):
-        free = self.server.open_request()
-        if free:
+    def has_free_slot(self):
+        admitted = self.server.open_request()
+        if admitted:
             self.server.close_request()
-        return free
+        return admitted
 
     def chat(self, **fields):
-        return self.call("POST", "/v1/chat/completions", {**CHAT, **fields})
+        return self.call(
+            "POST", "/v1/chat/completions", {**CHAT_BODY, **fields}
+        )
 
 
-DIGEST = gateways.digest_key("sesame")
+KEY_DIGEST = gateways.digest_key("sesame")
 
 
 @pytest.fixture(name="running", scope="module")
 def start_core():
-    core = Core()
+    core = ScriptedCore()
     core.server.start()
     yield core
     core.pool.clear()
@@ -88,17 +90,17 @@
 def fresh_core(running):
     running.script = answer_hello
     running.is_ready = True
-    running.asked = queue.Queue()
-    running.left = queue.Queue()
-    running.server.on_caller_left = running.left.put
+    running.requests = queue.Queue()
+    running.abandoned = queue.Queue()
+    running.server.on_caller_left = running.abandoned.put
     return running
 
 
-def text(request, piece, tokens=1):
+def reply_text(request, piece, tokens=1):
     return actions.ReplyText(request=request.request, text=piece, tokens=tokens)
 
 
-def end(request, tokens=2):
+def reply_end(request, tokens=2):
     return actions.ReplyEnd(
         request=request.request,
         reason="stop",
@@ -108,38 +110,40 @@
     )
 
 
-def answer_hello(request, waiting):
-    waiting.put(text(request, "hel"))
-    waiting.put(text(request, "lo\n"))
-    waiting.put(end(request))
+def answer_hello(request, reply_queue):
+    reply_queue.put(reply_text(request, "hel"))
+    reply_queue.put(reply_text(request, "lo\n"))
+    reply_queue.put(reply_end(request))
 
 
-def fail_with(code, after="", **fields):
-    def script(request, waiting):
-        if after:
-            waiting.put(text(request, after))
+def reply_error(code, first_text="", **fields):
+    def script(request, reply_queue):
+        if first_text:
+            reply_queue.put(reply_text(request, first_text))
         error = results.Error(code=code, **fields)
-        waiting.put(actions.ReplyError(request=request.request, error=error))
+        reply_queue.put(
+            actions.ReplyError(request=request.request, error=error)
+        )
 
     return script
 
 
-def events_of(body):
+def parse_events(body):
     lines = [each for each in body.decode().split("\n\n") if each]
     assert all(each.startswith("data: ") for each in lines)
     return [each.removeprefix("data: ") for each in lines]
 
 
-def error_of(answer):
+def parse_error(answer):
     return answer.json()["error"]
 
 
-def raw(core):
+def connect(core):
     host, _, port = core.server.address.partition(":")
-    return socket.create_connection((host, int(port)), timeout=WAIT)
+    return socket.create_connection((host, int(port)), timeout=WAIT_SECONDS)
 
 
-def head(length, path="/v1/chat/completions"):
+def request_head(length, path="/v1/chat/completions"):
     return (
         f"POST {path} HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer sesame\r\n"
         f"Content-Length: {length}\r\n\r\n"
@@ -147,39 +151,39 @@
 
 
 def wait_until(condition):
-    end = time.monotonic() + WAIT
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < end
+        assert time.monotonic() < deadline
         time.sleep(0.01)
 
 
-def read_all(sock):
-    found = b""
+def read_to_end(sock):
+    received = b""
     with contextlib.suppress(ConnectionError):
         while piece := sock.recv(65536):
-            found += piece
-    return found
+            received += piece
+    return received
 
 
-def test_an_answer_that_is_not_streamed(core):
+def test_unstreamed_completion(core):
     answer = core.chat(max_tokens=7, temperature=0.5, timeout=9)
     assert answer.status == 200
-    whole = answer.json()
-    assert whole["choices"][0]["message"]["content"] == "hello\n"
-    assert whole["choices"][0]["finish_reason"] == "stop"
-    assert whole["usage"]["prompt_tokens_details"] == {"cached_tokens": 4}
-    asked = core.asked.get(timeout=WAIT)
-    assert asked.key_digest == DIGEST
-    assert asked.seconds == 9
-    assert asked.completion.model == "m"
-    assert asked.completion.adapter == "a"
-    assert asked.completion.max_tokens == 7
-    assert json.loads(asked.completion.parameters) == {"temperature": 0.5}
-
-
-def test_a_streamed_answer(core):
+    completion = answer.json()
+    assert completion["choices"][0]["message"]["content"] == "hello\n"
+    assert completion["choices"][0]["finish_reason"] == "stop"
+    assert completion["usage"]["prompt_tokens_details"] == {"cached_tokens": 4}
+    request = core.requests.get(timeout=WAIT_SECONDS)
+    assert request.key_digest == KEY_DIGEST
+    assert request.seconds == 9
+    assert request.completion.model == "m"
+    assert request.completion.adapter == "a"
+    assert request.completion.max_tokens == 7
+    assert json.loads(request.completion.parameters) == {"temperature": 0.5}
+
+
+def test_streamed_completion(core):
     answer = core.chat(stream=True, stream_options={"include_usage": True})
-    events = events_of(answer.data)
+    events = parse_events(answer.data)
     assert events[-1] == "[DONE]"
     parsed = [json.loads(each) for each in events[:-1]]
     assert parsed[0]["choices"][0]["delta"]["role"] == "assistant"
@@ -192,9 +196,9 @@
     assert parsed[-1]["usage"]["completion_tokens"] == 2
 
 
-def test_headers_of_the_caller_reach_the_core(core):
+def test_request_headers_reach_the_core(core):
     headers = {
-        **KEY,
+        **KEY_HEADERS,
         "Idempotency-Key": "job-7",
         "Traceparent": "00-aa-bb-01",
         "X-Request-Timeout": "2.5",
@@ -203,17 +207,17 @@
     body = {"model": "m", "prompt": "hi", "stop": ["x"]}
     answer = core.call("POST", "/v1/completions", body, headers)
     assert answer.json()["choices"][0]["text"] == "hello\n"
-    asked = core.asked.get(timeout=WAIT)
-    assert asked.idempotency_key == ""
-    assert asked.trace == "00-aa-bb-01"
-    assert asked.seconds == 2.5
-    assert asked.batch
-    assert asked.completion.prompt == "hi"
+    request = core.requests.get(timeout=WAIT_SECONDS)
+    assert request.idempotency_key == ""
+    assert request.trace == "00-aa-bb-01"
+    assert request.seconds == 2.5
+    assert request.batch
+    assert request.completion.prompt == "hi"
 
 
-def test_a_service_call_is_passed_on_whole(core):
-    def script(request, waiting):
-        waiting.put(
+def test_service_call_is_forwarded_unchanged(core):
+    def script(request, reply_queue):
+        reply_queue.put(
             actions.ReplyAnswer(
                 request=request.request,
                 status=201,
@@ -225,7 +229,7 @@
 
     core.script = script
     headers = {
-        **KEY,
+        **KEY_HEADERS,
         "X-Shop": "south",
         "Connection": "x-hop",
         "X-Hop": "1",
@@ -236,9 +240,9 @@
     assert (answer.status, answer.data) == (201, b"made")
     assert answer.headers["X-Card"] == "7"
     assert answer.headers["Idempotent-Replayed"] == "true"
-    asked = core.asked.get(timeout=WAIT)
-    assert asked.idempotency_key == "card-7"
-    call = asked.call
+    received = core.requests.get(timeout=WAIT_SECONDS)
+    assert received.idempotency_key == "card-7"
+    call = received.call
     assert (call.service, call.method) == ("job-cards", "PUT")
     assert (call.path, call.query) == ("/a%2Fb/c", "d=%20e")
     assert call.body == b"\x00card"
@@ -257,35 +261,39 @@
             results.Code.BAD_JSON,
         ),
         ("/v1/chat/completions", b"\xff", results.Code.BAD_JSON),
-        ("/v1/chat/completions", {**CHAT, "n": 2}, results.Code.BAD_FIELD),
+        ("/v1/chat/completions", {**CHAT_BODY, "n": 2}, results.Code.BAD_FIELD),
         ("/v1/chat/completions", {"model": "m"}, results.Code.BAD_FIELD),
         (
             "/v1/chat/completions",
-            {**CHAT, "tools": [{}]},
+            {**CHAT_BODY, "tools": [{}]},
             results.Code.BAD_FIELD,
         ),
-        ("/v1/completions", b"x" * (LIMIT + 1), results.Code.BODY_TOO_LARGE),
+        (
+            "/v1/completions",
+            b"x" * (MAX_BYTES + 1),
+            results.Code.BODY_TOO_LARGE,
+        ),
         ("/v1/nothing", b"{}", results.Code.NOT_FOUND),
         ("/v1/models", b"{}", results.Code.METHOD_NOT_ALLOWED),
         ("/services/", b"{}", results.Code.NOT_FOUND),
     ],
 )
-def test_a_request_that_cannot_be_taken(core, path, body, code):
+def test_invalid_request_is_rejected(core, path, body, code):
     answer = core.call("POST", path, body)
     assert answer.status == results.MEANINGS[code].status
-    error = error_of(answer)
+    error = parse_error(answer)
     assert (error["code"], error["number"]) == (code.name, int(code))
     assert error["outcome"] == "not_run"
-    assert core.asked.empty()
+    assert core.requests.empty()
     assert core.chat().status == 200
 
 
-def test_a_field_at_fault_is_named(core):
+def test_error_names_the_invalid_field(core):
     answer = core.chat(temperature=9)
-    assert error_of(answer)["param"] == "temperature"
+    assert parse_error(answer)["param"] == "temperature"
 
 
-def test_keys(core):
+def test_api_keys(core):
     assert core.call("GET", "/v1/models").json()["data"][0]["id"] == "m"
     wrong = core.call(
         "GET", "/v1/models", headers={"Authorization": "Bearer x"}
@@ -293,69 +301,71 @@
     assert wrong.status == 401
     none = core.call("POST", "/v1/completions", {}, headers={})
     assert none.status == 401
-    assert error_of(none)["code"] == "BAD_KEY"
+    assert parse_error(none)["code"] == "BAD_KEY"
 
 
-def test_an_error_before_the_first_byte_has_its_status(core):
-    core.script = fail_with(results.Code.RATE_LIMITED, retry_after=1.2)
+def test_error_before_the_first_byte_sets_the_status(core):
+    core.script = reply_error(results.Code.RATE_LIMITED, retry_after=1.2)
     answer = core.chat(stream=True)
     assert answer.status == 429
     assert answer.headers["Retry-After"] == "2"
-    assert error_of(answer)["retry_after"] == 1.2
+    assert parse_error(answer)["retry_after"] == 1.2
 
 
-def test_an_error_inside_a_stream_ends_the_connection_without_done(core):
+def test_error_within_a_stream_closes_the_connection_without_done(core):
     """A caller takes half an answer for a whole one.
 
     The engine dies in the middle of a stream and no other can go on; a client
     that only looks for the end of the body sees a proper one.
     """
-    core.script = fail_with(results.Code.ENGINE_DIED, after="half")
+    core.script = reply_error(results.Code.ENGINE_DIED, first_text="half")
     answer = core.call(
         "POST",
         "/v1/chat/completions",
-        {**CHAT, "stream": True},
+        {**CHAT_BODY, "stream": True},
         preload_content=False,
     )
     body = b""
     with pytest.raises(urllib3.exceptions.ProtocolError):
         for piece in answer.stream():
             body += piece
-    events = events_of(body)
+    events = parse_events(body)
     assert "half" in events[1]
     assert json.loads(events[-1])["error"]["code"] == "ENGINE_DIED"
     assert json.loads(events[-1])["error"]["outcome"] == "ran"
 
 
-def test_a_caller_that_goes_away_before_the_first_token_is_noticed(core):
+def test_disconnect_before_the_first_token_is_detected(core):
     """A runner generates an answer that nobody waits for.
 
     The caller hangs up while its prompt is computed: nothing is written to
     it then, so no write can fail.
     """
-    core.script = lambda request, waiting: None
-    body = json.dumps(CHAT).encode()
-    with raw(core) as sock:
-        sock.sendall(head(len(body)) + body)
-        asked = core.asked.get(timeout=WAIT)
-    assert core.left.get(timeout=WAIT) == asked.request
+    core.script = lambda request, reply_queue: None
+    body = json.dumps(CHAT_BODY).encode()
+    with connect(core) as sock:
+        sock.sendall(request_head(len(body)) + body)
+        received = core.requests.get(timeout=WAIT_SECONDS)
+    assert core.abandoned.get(timeout=WAIT_SECONDS) == received.request
 
 
-def test_a_caller_that_goes_away_mid_stream_is_noticed(core):
+def test_disconnect_within_a_stream_is_detected(core):
     """A runner goes on generating for a caller that closed its page.
 
     The caller hangs up between two tokens that are far apart.
     """
-    core.script = lambda request, waiting: waiting.put(text(request, "one"))
-    body = json.dumps({**CHAT, "stream": True}).encode()
-    with raw(core) as sock:
-        sock.sendall(head(len(body)) + body)
-        asked = core.asked.get(timeout=WAIT)
+    core.script = lambda request, reply_queue: reply_queue.put(
+        reply_text(request, "one")
+    )
+    body = json.dumps({**CHAT_BODY, "stream": True}).encode()
+    with connect(core) as sock:
+        sock.sendall(request_head(len(body)) + body)
+        received = core.requests.get(timeout=WAIT_SECONDS)
         assert sock.recv(100)
-    assert core.left.get(timeout=WAIT) == asked.request
+    assert core.abandoned.get(timeout=WAIT_SECONDS) == received.request
 
 
-def test_a_stream_that_trickles_comes_whole_and_in_order(core):
+def test_slowly_produced_stream_is_complete_and_in_order(core):
     """Words are missing or doubled where one thread hands over to another.
 
     The first piece is sent by the caller's thread and the rest by the
@@ -363,59 +373,61 @@
     """
     words = [f"w{number} " for number in range(400)]
 
-    def pour(request, waiting):
+    def put_words(request, reply_queue):
         for word in words:
-            waiting.put(text(request, word))
-        waiting.put(end(request, len(words)))
+            reply_queue.put(reply_text(request, word))
+        reply_queue.put(reply_end(request, len(words)))
 
-    def script(request, waiting):
-        threading.Thread(target=pour, args=(request, waiting)).start()
+    def script(request, reply_queue):
+        threading.Thread(target=put_words, args=(request, reply_queue)).start()
 
     core.script = script
     for _ in range(5):
-        events = events_of(core.chat(stream=True).data)
+        events = parse_events(core.chat(stream=True).data)
         assert events[-1] == "[DONE]"
         choices = [json.loads(each)["choices"][0] for each in events[:-1]]
         pieces = [each["delta"].get("content", "") for each in choices]
         assert "".join(pieces) == "".join(words)
 
 
-def test_a_slow_caller_holds_back_only_its_own_stream(core):
+def test_slow_reader_ends_only_its_own_stream(core):
     """One caller on a bad line makes the entry's memory grow, or all wait.
 
     It stops reading in the middle of a long answer while the engine goes on.
     """
-    kept = []
-    begun = threading.Event()
-    done = threading.Event()
-
-    def pour(request, waiting):
-        piece = text(request, "x" * 1000)
-        waiting.put(piece)
-        begun.wait(WAIT)
-        while waiting.put(piece):
-            kept.append(waiting.put_bytes - waiting.taken_bytes)
-        done.set()
-
-    def script(request, waiting):
-        threading.Thread(target=pour, args=(request, waiting)).start()
+    buffered = []
+    stopped_reading = threading.Event()
+    overflowed = threading.Event()
+
+    def put_until_overflow(request, reply_queue):
+        piece = reply_text(request, "x" * 1000)
+        reply_queue.put(piece)
+        stopped_reading.wait(WAIT_SECONDS)
+        while reply_queue.put(piece):
+            buffered.append(reply_queue.put_bytes - reply_queue.read_bytes)
+        overflowed.set()
+
+    def script(request, reply_queue):
+        threading.Thread(
+            target=put_until_overflow, args=(request, reply_queue)
+        ).start()
 
     core.script = script
-    body = json.dumps({**CHAT, "stream": True}).encode()
-    with raw(core) as sock:
-        sock.sendall(head(len(body)) + body)
+    body = json.dumps({**CHAT_BODY, "stream": True}).encode()
+    with connect(core) as sock:
+        sock.sendall(request_head(len(body)) + body)
         assert sock.recv(100)
-        begun.set()
-        assert done.wait(WAIT)
-        assert max(kept) <= LIMIT
+        stopped_reading.set()
+        assert overflowed.wait(WAIT_SECONDS)
+        assert max(buffered) <= MAX_BYTES
         core.script = answer_hello
         assert core.chat().status == 200
-        answer = read_all(sock)
+        answer = read_to_end(sock)
     assert b"[DONE]" not in answer
     assert b"CALLER_GONE" in answer[-1000:]
 
 
-def test_half_sent_requests_harm_no_other(core):
+def test_incomplete_requests_do_not_block_others(core):
     """Nobody is served because a few callers never finish their requests.
 
     More connections than threads are opened: some silent, some with half a
@@ -423,56 +435,57 @@
     """
     with contextlib.ExitStack() as stack:
         for _ in range(20):
-            stack.enter_context(raw(core))
-        for part in (b"POST /v1", head(100), head(100) + b"{"):
-            stack.enter_context(raw(core)).sendall(part)
+            stack.enter_context(connect(core))
+        for part in (b"POST /v1", request_head(100), request_head(100) + b"{"):
+            stack.enter_context(connect(core)).sendall(part)
         assert core.chat().status == 200
         assert core.call("GET", "/healthz").status == 200
 
 
-def test_a_request_that_arrives_too_slowly_is_ended(core):
-    with raw(core) as sock:
-        mine = sock.getsockname()[1]
-        sock.sendall(head(100) + b"{")
+def test_slowly_arriving_request_is_ended(core):
+    with connect(core) as sock:
+        port = sock.getsockname()[1]
+        sock.sendall(request_head(100) + b"{")
         wait_until(
-            lambda: mine in {c.remote_port for c in list(core.server.reading)}
+            lambda: port
+            in {c.remote_port for c in list(core.server.read_started_at)}
         )
-        core.server._end_late(float("inf"))
-        answer = read_all(sock)
+        core.server._end_slow_requests(float("inf"))
+        answer = read_to_end(sock)
     assert b"400 Bad Request" in answer
     assert b"shorter than declared" in answer
 
 
-def test_a_chunk_larger_than_the_limit_is_refused_unread(core):
-    chunked = head(0).replace(
+def test_chunk_above_the_limit_is_rejected_unread(core):
+    chunked = request_head(0).replace(
         b"Content-Length: 0", b"Transfer-Encoding: chunked"
     )
-    with raw(core) as sock:
+    with connect(core) as sock:
         sock.sendall(chunked + b"7fffffff\r\nxx")
-        answer = read_all(sock)
+        answer = read_to_end(sock)
     assert b"413" in answer.split(b"\r\n")[0]
     assert b"BODY_TOO_LARGE" in answer
 
 
-def test_a_full_entry_refuses_at_once_and_stays_healthy(core):
-    core.script = lambda request, waiting: None
-    body = json.dumps(CHAT).encode()
+def test_full_entry_rejects_at_once_and_stays_healthy(core):
+    core.script = lambda request, reply_queue: None
+    body = json.dumps(CHAT_BODY).encode()
     with contextlib.ExitStack() as stack:
         for _ in range(4):
-            sock = stack.enter_context(raw(core))
-            sock.sendall(head(len(body)) + body)
-            core.asked.get(timeout=WAIT)
+            sock = stack.enter_context(connect(core))
+            sock.sendall(request_head(len(body)) + body)
+            core.requests.get(timeout=WAIT_SECONDS)
         answer = core.chat()
         assert answer.status == 503
-        assert error_of(answer)["code"] == "OVERLOADED"
+        assert parse_error(answer)["code"] == "OVERLOADED"
         assert answer.headers["Retry-After"] == "1"
         assert core.call("GET", "/healthz").status == 200
     for _ in range(4):
-        core.left.get(timeout=WAIT)
-    wait_until(core.has_room)
+        core.abandoned.get(timeout=WAIT_SECONDS)
+    wait_until(core.has_free_slot)
 
 
-def test_an_entry_that_drains_serves_on_but_is_not_ready(core):
+def test_draining_entry_serves_but_is_not_ready(core):
     assert core.call("GET", "/readyz").status == 200
     core.is_ready = False
     assert core.call("GET", "/readyz").status == 503
@@ -484,20 +497,20 @@
 def test_request_ids_differ_between_servers(core):
     core.chat()
     core.chat()
-    first = core.asked.get(timeout=WAIT).request
-    second = core.asked.get(timeout=WAIT).request
-    other = Core().server.new_request_id()
+    first = core.requests.get(timeout=WAIT_SECONDS).request
+    second = core.requests.get(timeout=WAIT_SECONDS).request
+    other = ScriptedCore().server.new_request_id()
     assert len({first, second, other}) == 3
     assert first.partition("-")[0] != other.partition("-")[0]
 
 
-def test_close_leaves_no_thread():
+def test_close_ends_all_threads():
     before = set(threading.enumerate())
-    core = Core()
+    core = ScriptedCore()
     core.server.start()
     assert core.chat().status == 200
     core.pool.clear()
     core.server.close()
     for thread in set(threading.enumerate()) - before:
-        thread.join(WAIT)
+        thread.join(WAIT_SECONDS)
         assert not thread.is_alive()
--- a/pimentoledge/tests/test_configured_path.py
+++ b/pimentoledge/tests/test_configured_path.py
@@ -66,5 +66,5 @@
     client = client_of(first)
     refused = client.write("DELETE", "contracts/o", expected=1).unwrap()
     assert refused.fields["error"]["number"] in (6003, 6008)
-    assert client.read("contracts/o").unwrap().known
+    assert client.read("contracts/o").unwrap().from_local_copy
     client.close()
--- a/pimentoledge/tests/test_fake_services.py
+++ b/pimentoledge/tests/test_fake_services.py
@@ -10,7 +10,7 @@
 from pimentoledge.tests import raw_servers
 
 
-def run_of(*, seconds=5.0, key="k", body=b"wheel", headers=()):
+def create_action(*, seconds=5.0, key="k", body=b"wheel", headers=()):
     call = messages.ServiceCall(
         service="s",
         method="POST",
@@ -41,7 +41,7 @@
     server.close()
 
 
-def test_call_is_passed_whole(pair):
+def test_call_is_forwarded_unchanged(pair):
     service, _, client = pair
     service.status = 503
     headers = [
@@ -49,7 +49,7 @@
         ("Connection", "x"),
         ("Idempotency-Key", "forged"),
     ]
-    done = client.run(run_of(headers=headers))
+    done = client.run(create_action(headers=headers))
     assert isinstance(done, events.ServiceDone)
     assert (done.status, done.body) == (503, b"run 1 of wheel")
     assert ("X-Run", "1") in done.headers
@@ -67,7 +67,7 @@
     assert service.runs_by_body == {fake_services.body_digest(b"wheel"): 1}
 
 
-def test_lost_request_and_lost_answer_look_alike(pair):
+def test_lost_request_and_lost_response_are_both_unknown(pair):
     """A job card is sent, and no answer comes.
 
     Once the service ran it and once it did not; the client can't tell, so
@@ -75,14 +75,14 @@
     """
     service, _, client = pair
     service.lose_answers = 1
-    assert client.run(run_of()).ran == "outcome_unknown"
+    assert client.run(create_action()).ran == "outcome_unknown"
     assert service.runs_by_key["k"] == 1
     service.lose_requests = 1
-    assert client.run(run_of()).ran == "outcome_unknown"
+    assert client.run(create_action()).ran == "outcome_unknown"
     assert service.runs_by_key["k"] == 1
 
 
-def test_crash_and_outage(pair):
+def test_outcomes_around_a_crash(pair):
     """A call crashes the service, and its port closes only later.
 
     The crashing call ran. While the port is still open nothing is certain;
@@ -90,35 +90,35 @@
     """
     service, server, client = pair
     service.crash_on = b"bad"
-    assert client.run(run_of(body=b"bad")).ran == "outcome_unknown"
+    assert client.run(create_action(body=b"bad")).ran == "outcome_unknown"
     assert (service.crashes, service.runs_by_key["k"]) == (1, 1)
-    assert client.run(run_of()).ran == "outcome_unknown"
+    assert client.run(create_action()).ran == "outcome_unknown"
     server.close()
-    assert client.run(run_of()).ran == "not_run"
+    assert client.run(create_action()).ran == "not_run"
     service.down = False
     server.start()
-    assert client.run(run_of()).status == 200
+    assert client.run(create_action()).status == 200
     assert service.runs_by_key["k"] == 2
 
 
-def test_slow_service_leaves_the_outcome_open(pair):
+def test_timeout_leaves_the_outcome_unknown(pair):
     service, _, client = pair
     service.latency = 0.3
-    assert client.run(run_of(seconds=0.05)).ran == "outcome_unknown"
+    assert client.run(create_action(seconds=0.05)).ran == "outcome_unknown"
 
 
 @pytest.mark.parametrize(
     "reply", [b"", raw_servers.http_reply(b"half", length=9)]
 )
-def test_cut_answer_is_no_answer(reply):
+def test_truncated_response_is_not_accepted(reply):
     with raw_servers.raw_server(reply) as url:
         client = clients.ServiceClient(url=url)
         client.start()
-        assert client.run(run_of()).ran == "outcome_unknown"
+        assert client.run(create_action()).ran == "outcome_unknown"
         client.close()
 
 
-def test_dripping_answer_ends_at_the_deadline():
+def test_trickling_response_ends_at_the_deadline():
     """A sick service sends a byte now and then, and never stops.
 
     No single wait exceeds the timeout, so the call would hold its thread for
@@ -128,7 +128,7 @@
     with raw_servers.raw_server(reply, pause=0.002) as url:
         client = clients.ServiceClient(url=url)
         client.start()
-        broken = client.run(run_of(seconds=0.3))
+        broken = client.run(create_action(seconds=0.3))
         assert (broken.ran, "in time" in broken.text) == (
             "outcome_unknown",
             True,
@@ -137,13 +137,13 @@
 
 
 @pytest.mark.parametrize("value", ["a\nb: c", "\u20ac"])
-def test_header_that_cannot_be_written_is_not_run(pair, value):
+def test_unencodable_header_is_not_run(pair, value):
     """A caller's header holds a line break or a letter beyond Latin-1.
 
     The HTTP library raises an error of its own kind; unnoticed, it would
     leave the caller without any answer.
     """
     service, _, client = pair
-    broken = client.run(run_of(headers=[("X-Shop", value)]))
+    broken = client.run(create_action(headers=[("X-Shop", value)]))
     assert broken.ran == "not_run"
     assert service.calls == []
--- a/pimentoledge/tests/test_openai_client.py
+++ b/pimentoledge/tests/test_openai_client.py
@@ -10,15 +10,15 @@
 from pimentoledge.decisions import declarations
 from pimentoledge.runners import fake_engines
 
-WAIT = 20.0
+WAIT_SECONDS = 20.0
 KEY = "openai-key"
 PROMPT = "Which bracket fits this frame? " * 20
 
 
-def until(condition):
-    end = time.monotonic() + WAIT
+def wait_until(condition):
+    deadline = time.monotonic() + WAIT_SECONDS
     while not condition():
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < deadline, "waited in vain"
         time.sleep(0.01)
 
 
@@ -43,8 +43,8 @@
     emulator.add_runner("r2", "m", step_seconds=0.005)
     emulator.add_service("c1", "cards")
     entry = emulator.add_entry("entry")
-    until(entry.ready)
-    until(
+    wait_until(entry.ready)
+    wait_until(
         lambda: entry.loop.query(
             lambda core: len(core.configuration.servers("runner", "m")) == 2
             and len(core.configuration.servers("service", "cards")) == 1
@@ -54,13 +54,13 @@
     emulator.close()
 
 
-def client_of(emulator, key=KEY):
+def create_client(emulator, key=KEY):
     address = emulator.entries[0].callers.address
     return openai.OpenAI(
         api_key=key,
         base_url=f"http://{address}/v1",
         max_retries=0,
-        timeout=WAIT,
+        timeout=WAIT_SECONDS,
     )
 
 
@@ -75,7 +75,7 @@
     )
 
 
-def running(emulator):
+def running_streams(emulator):
     return [
         key
         for runner in emulator.runners.values()
@@ -83,11 +83,11 @@
     ]
 
 
-def test_streamed_and_not_streamed_answers_are_the_same(emulator):
-    client = client_of(emulator)
-    whole = chat(client)
-    assert whole.choices[0].finish_reason == "length"
-    assert whole.usage.completion_tokens == 12
+def test_streamed_and_unstreamed_completions_are_equal(emulator):
+    client = create_client(emulator)
+    completion = chat(client)
+    assert completion.choices[0].finish_reason == "length"
+    assert completion.usage.completion_tokens == 12
     stream = chat(client, stream=True, stream_options={"include_usage": True})
     chunks = list(stream)
     assert chunks[0].choices[0].delta.role == "assistant"
@@ -96,33 +96,33 @@
         for chunk in chunks
         for choice in chunk.choices
     )
-    assert text == whole.choices[0].message.content
+    assert text == completion.choices[0].message.content
     assert chunks[-1].usage.prompt_tokens_details.cached_tokens > 0
 
 
-def test_a_plain_completion(emulator):
-    answer = client_of(emulator).completions.create(
+def test_text_completion(emulator):
+    answer = create_client(emulator).completions.create(
         model="m", prompt=PROMPT, max_tokens=9
     )
     expected = fake_engines.expected_text(PROMPT, 0, 9)
     assert answer.choices[0].text == expected
 
 
-def test_models(emulator):
-    names = [each.id for each in client_of(emulator).models.list()]
+def test_models_are_listed(emulator):
+    names = [each.id for each in create_client(emulator).models.list()]
     assert names == ["m"]
 
 
-def test_a_cancelled_stream_ends_at_the_engine(emulator):
+def test_closed_stream_is_cancelled_at_the_engine(emulator):
     """A mechanic closes the page; the engine works on for nobody."""
-    stream = chat(client_of(emulator), stream=True, max_tokens=5000)
+    stream = chat(create_client(emulator), stream=True, max_tokens=5000)
     next(iter(stream))
-    until(lambda: running(emulator))
+    wait_until(lambda: running_streams(emulator))
     stream.close()
-    until(lambda: not running(emulator))
+    wait_until(lambda: not running_streams(emulator))
 
 
-def test_a_caller_that_leaves_before_the_first_token_leaves_nothing(emulator):
+def test_disconnect_before_the_first_token_releases_all_state(emulator):
     """An entry's memory grows for weeks until it is killed.
 
     Each caller that hung up before its first token left its time of arrival
@@ -130,15 +130,15 @@
     """
     entry = emulator.entries[0]
     prompt = "a long dossier " * 20000
-    impatient = client_of(emulator).with_options(timeout=0.2)
+    client = create_client(emulator).with_options(timeout=0.2)
     with pytest.raises(openai.APITimeoutError):
-        impatient.completions.create(model="m", prompt=prompt)
-    until(lambda: not entry.metrics.arrivals and not entry.replies)
-    counted = entry.metrics.registry.get_sample_value(
+        client.completions.create(model="m", prompt=prompt)
+    wait_until(lambda: not entry.metrics.arrivals and not entry.replies)
+    disconnects = entry.metrics.registry.get_sample_value(
         "pimentoledge_requests_total", {"code": "CALLER_GONE"}
     )
-    assert counted >= 1
-    until(lambda: not running(emulator))
+    assert disconnects >= 1
+    wait_until(lambda: not running_streams(emulator))
 
 
 @pytest.mark.parametrize(
@@ -149,36 +149,36 @@
         ({"temperature": 7.0}, openai.BadRequestError, "BAD_FIELD"),
     ],
 )
-def test_a_refusal_raises_the_library_s_own_error(
+def test_rejection_raises_the_matching_library_error(
     emulator, fields, error, code
 ):
     with pytest.raises(error) as raised:
-        chat(client_of(emulator), **fields)
+        chat(create_client(emulator), **fields)
     assert raised.value.code == code
     assert raised.value.body["outcome"] == "not_run"
 
 
-def test_a_wrong_key(emulator):
+def test_unknown_key_is_rejected(emulator):
     with pytest.raises(openai.AuthenticationError):
-        chat(client_of(emulator, key="wrong"))
+        chat(create_client(emulator, key="wrong"))
 
 
-def test_a_contract_that_is_full_refuses_and_recovers(emulator):
+def test_contract_at_its_concurrency_limit_rejects_and_recovers(emulator):
     """One organisation's open stream uses up its only place."""
-    client = client_of(emulator, key="narrow-key")
+    client = create_client(emulator, key="narrow-key")
     stream = chat(client, stream=True, max_tokens=5000)
     next(iter(stream))
     with pytest.raises(openai.RateLimitError) as raised:
         chat(client)
     assert raised.value.code == "CONCURRENCY_LIMITED"
     stream.close()
-    until(lambda: not running(emulator))
+    wait_until(lambda: not running_streams(emulator))
     assert chat(client).usage.completion_tokens == 12
 
 
-def test_an_order_sent_again_runs_once(emulator):
+def test_resent_service_call_runs_once(emulator):
     """A booking page gets no answer in time and posts its card again."""
-    client = client_of(emulator)
+    client = create_client(emulator)
     path = f"http://{emulator.entries[0].callers.address}/services/cards/new"
     answers = [
         client.post(
@@ -194,38 +194,38 @@
     assert service.runs_by_key["card-1"] == 1
 
 
-def test_a_completion_sent_again_with_its_key_is_answered_again(emulator):
+def test_resent_completion_with_a_key_runs_again(emulator):
     """A caller's resend of a question is refused as running, for an hour.
 
     The first answer came whole; its key had been claimed as if the question
     were an order, and nothing ever released the claim.
     """
-    client = client_of(emulator)
+    client = create_client(emulator)
     headers = {"Idempotency-Key": "question-1"}
     answers = [chat(client, extra_headers=headers) for _ in range(2)]
     texts = [each.choices[0].message.content for each in answers]
     assert texts[0] == texts[1]
 
 
-def test_an_engine_that_dies_is_continued_or_raises(emulator):
+def test_engine_crash_within_a_stream_raises(emulator):
     """A caller reads half an answer, and its page shows it as the whole.
 
     Both runners die in the middle of the stream, so that nothing can go on
     with it; the client library must raise instead of ending its loop.
     """
-    stream = chat(client_of(emulator), stream=True, max_tokens=5000)
-    read = [next(iter(stream))]
-    until(lambda: running(emulator))
+    stream = chat(create_client(emulator), stream=True, max_tokens=5000)
+    chunks = [next(iter(stream))]
+    wait_until(lambda: running_streams(emulator))
 
-    def crash():
+    def crash_engines():
         for runner in emulator.runners.values():
             runner.server.crash()
 
-    crasher = threading.Thread(target=crash)
-    crasher.start()
+    crash_thread = threading.Thread(target=crash_engines)
+    crash_thread.start()
     with pytest.raises(openai.APIError) as raised:
-        read += list(stream)
-    crasher.join(WAIT)
+        chunks += list(stream)
+    crash_thread.join(WAIT_SECONDS)
     assert raised.value.body["outcome"] == "ran"
     assert raised.value.body["number"] > 0
     for runner in emulator.runners.values():
