--- a/pimentoledge/callers/answers.py
+++ b/pimentoledge/callers/answers.py
@@ -1,7 +1,7 @@
-"""Answers to completions, in the JSON forms of the OpenAI API.
+"""Encodes responses to completions in the JSON formats of the OpenAI API.
 
-A stream's events differ only in their text: what stands before and behind it
-is encoded once for each request, since the cost of one token counts.
+The events of a stream differ only in their text. The bytes before and after
+the text are encoded once per request, to keep the cost of each token low.
 """
 
 import time
@@ -16,7 +16,7 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 
 _encode = msgspec.json.Encoder().encode
-# Stands for the text while a template is encoded; cut out again afterwards.
+# Placeholder for the text while the event template is encoded.
 _PLACEHOLDER = "\x00text\x00"
 _ENCODED_PLACEHOLDER = _encode(_PLACEHOLDER)
 
@@ -35,13 +35,13 @@
 
 
 class CompletionEncoder:
-    """Builds the answer to one completion.
+    """Builds the response to one completion.
 
     Attributes:
-        asked: what was asked for.
-        common: fields that every object of the answer has.
-        before: what stands before the text of an event.
-        behind: what stands behind it.
+        completion_request: the parsed request.
+        common_fields: fields of every object in the response.
+        event_prefix: bytes of an event before its text.
+        event_suffix: bytes of an event after its text.
     """
 
     __slots__ = (
@@ -66,13 +66,13 @@
             "model": completion_request.model_name,
         }
         template = _event(self._chunk([self._choice(_PLACEHOLDER, None)]))
-        # The last mark is the text; a model's name could hold another.
+        # The last placeholder is the text; a model's name could contain one.
         self.event_prefix, _, self.event_suffix = template.rpartition(
             _ENCODED_PLACEHOLDER
         )
 
     def encode_start(self) -> bytes:
-        """Returns what a stream begins with: the role, in a chat."""
+        """Returns the start of a stream: the role event of a chat, if any."""
         if not self.completion_request.chat:
             return b""
         delta = {"role": "assistant", "content": ""}
@@ -80,18 +80,18 @@
         return _event(self._chunk([choice]))
 
     def encode_text(self, text: str) -> bytes:
-        """Returns the event of one piece of text."""
+        """Returns the event for one piece of text."""
         return self.event_prefix + _encode(text) + self.event_suffix
 
     def encode_end(self, end: actions.ReplyEnd) -> bytes:
-        """Returns what a complete stream ends with."""
+        """Returns the final events of a complete stream."""
         events = _event(self._chunk([self._last_choice(end.reason)]))
         if self.completion_request.include_usage:
             events += _event({**self._chunk([]), "usage": _usage(end)})
         return events + DONE_EVENT
 
     def encode_response(self, text: str, end: actions.ReplyEnd) -> bytes:
-        """Returns an answer that isn't streamed."""
+        """Returns the body of a response that isn't streamed."""
         choice = {"index": 0, "logprobs": None, "finish_reason": end.reason}
         if self.completion_request.chat:
             choice["message"] = {"role": "assistant", "content": text}
@@ -130,12 +130,12 @@
 
 
 def encode_failure(error: results.Error) -> bytes:
-    """Returns the event that ends a stream that can't be completed."""
+    """Returns the error event that ends an incomplete stream."""
     return b"data: " + faults.error_body(error) + b"\n\n"
 
 
 def encode_models(names: list[str]) -> bytes:
-    """Returns the answer to GET /v1/models."""
+    """Returns the response body of GET /v1/models."""
     models = [
         {
             "id": each,
--- a/pimentoledge/callers/completions.py
+++ b/pimentoledge/callers/completions.py
@@ -1,4 +1,4 @@
-"""Completions as callers send them: checked, and turned into messages."""
+"""Validates the bodies of completions and converts them to messages."""
 
 import re
 from typing import Annotated
@@ -15,7 +15,7 @@
 _MAX_TOKENS = 1 << 20
 _MAX_TIMEOUT_SECONDS = 86400
 
-# Fields read here; every other field goes to the engine unread.
+# Fields that are parsed here; all others are passed to the engine unchanged.
 _PARSED_FIELDS = (
     "model",
     "adapter",
@@ -29,8 +29,8 @@
     "best_of",
     "timeout",
 )
-# Fields whose meaning needs more than text from the engine. Ignoring them
-# would give an answer that isn't what was asked for.
+# Fields that require more than text from the engine. Ignoring them would
+# return a response that doesn't match the request.
 _UNSUPPORTED_FIELDS = (
     "tools",
     "functions",
@@ -43,7 +43,7 @@
 )
 _EMPTY_VALUES = (b"null", b"false", b"[]", b"0", b'["text"]')
 
-# Where msgspec's messages name the field: "... - at `$.messages[0].role`",
+# Finds the field in msgspec's error messages: "... - at `$.messages[0].role`",
 # "Object missing required field `messages`".
 _FIELD_PATH_PATTERN = re.compile(r"`(?:\$\.)?([a-z][\w.\[\]]*)`$")
 
@@ -79,9 +79,9 @@
 
 @attrs.define(kw_only=True)
 class _Body:
-    """The fields that both kinds of completion have.
+    """Fields common to chat and text completions.
 
-    The sampling parameters are checked and then passed on as they came.
+    The sampling parameters are validated and passed on unchanged.
     """
 
     model: _ModelName
@@ -117,15 +117,15 @@
 
 @attrs.frozen(kw_only=True)
 class CompletionRequest:
-    """A completion that a caller asked for.
+    """A parsed completion request.
 
     Attributes:
-        completion: what goes to the engine.
-        name: the model as the caller named it.
-        chat: whether the answer has the form of a chat.
-        stream: whether the answer is streamed.
+        completion: the message for the engine.
+        model_name: the model as given by the caller.
+        chat: whether the response has the chat format.
+        stream: whether the response is streamed.
         include_usage: whether a stream ends with the token counts.
-        seconds: time allowed in the body; 0 when it named none.
+        timeout_seconds: timeout given in the body; 0 for none.
     """
 
     completion: messages.Completion
@@ -138,11 +138,11 @@
 
 @attrs.frozen(kw_only=True)
 class BodyError:
-    """A body that can't be taken.
+    """An error in the body of a request.
 
     Attributes:
-        error: what is wrong.
-        param: the field at fault; None when no single one is.
+        error: the error.
+        param: the invalid field; None if there is no single one.
     """
 
     error: results.Error
@@ -158,14 +158,14 @@
 def parse(
     body: bytes, *, chat: bool
 ) -> result.Result[CompletionRequest, BodyError]:
-    """Reads the body of a completion.
+    """Parses the body of a completion.
 
     Args:
-        body: JSON as it came.
-        chat: whether it came to /v1/chat/completions.
+        body: the raw JSON.
+        chat: whether it was sent to /v1/chat/completions.
 
     Returns:
-        What was asked for, or the BodyError that makes the body unusable.
+        The parsed request, or the BodyError of an invalid body.
     """
     try:
         fields = _decode_fields(body)
@@ -176,7 +176,7 @@
     except msgspec.ValidationError as error:
         return result.Failure(_validation_error(str(error)))
     except (msgspec.DecodeError, RecursionError) as error:
-        # A body nested some thousand levels deep ends in RecursionError.
+        # A body nested some thousand levels deep raises RecursionError.
         return result.Failure(_json_error(str(error)))
     return result.Success(_build_request(decoded, fields, chat))
 
@@ -244,7 +244,7 @@
     content = message.content
     if not isinstance(content, str):
         content = "".join(each.text for each in content)
-    # Text that holds a role's marker would begin a message of that role; an
-    # inserted space keeps it text.
+    # A role marker within the text would start a message of that role; an
+    # inserted space prevents this.
     content = content.replace("<|", "< |")
     return f"<|{message.role}|>\n{content}\n"
--- a/pimentoledge/callers/faults.py
+++ b/pimentoledge/callers/faults.py
@@ -1,4 +1,4 @@
-"""Errors as callers see them: the OpenAI error object and its headers."""
+"""Builds error responses: the OpenAI error object and its headers."""
 
 import math
 
@@ -13,21 +13,21 @@
     """Returns the error object as JSON.
 
     Args:
-        error: what went wrong.
-        param: the field at fault, if one is.
+        error: the error.
+        param: the invalid field, if any.
     """
     return _encode({"error": error.fields(param)})
 
 
 def error_headers(error: results.Error) -> list[tuple[str, str]]:
-    """Returns the headers that go with an error."""
+    """Returns the headers of an error response."""
     headers = [("Content-Type", "application/json")]
     if error.retry_after > 0:
         headers.append(("Retry-After", str(math.ceil(error.retry_after))))
     if error.status() == 401:
         headers.append(("WWW-Authenticate", "Bearer"))
     if error.outcome() == results.Ran.UNKNOWN:
-        # OpenAI's client libraries send a failed call again by themselves;
-        # of a call that may have run, only its caller can decide that.
+        # OpenAI's client libraries retry failed calls automatically. Whether
+        # to retry a call that may have run is up to its caller.
         headers.append(("X-Should-Retry", "false"))
     return headers
--- a/pimentoledge/callers/gateways.py
+++ b/pimentoledge/callers/gateways.py
@@ -1,7 +1,7 @@
-"""One caller's request, from its head to the last byte of its answer.
+"""Handles one HTTP request of a caller, from its headers to the response.
 
-Runs on one of the server's threads, which does nothing else meanwhile. Only
-the rest of a stream, behind its first piece, is sent by the writer's thread.
+Each request occupies one of the server's threads until it ends. Only the part
+of a stream after its first piece is sent by the writer's thread.
 """
 
 from collections.abc import Iterator
@@ -30,9 +30,9 @@
 from pimentoledge.decisions import actions
 from pimentoledge.decisions import events
 
-# How often a thread that waits looks whether its caller is still there.
+# Interval at which a waiting thread checks that its caller is connected.
 CALLER_CHECK_SECONDS = 0.5
-# Comes with an answer that a service gave to an earlier, identical call.
+# Marks a stored response, which a service gave to an earlier identical call.
 REPLAYED_HEADER = ("Idempotent-Replayed", "true")
 
 _LINGER_SECONDS = 2.0
@@ -52,23 +52,23 @@
 
 
 class _CallerGoneError(Exception):
-    """The caller went away."""
+    """The caller disconnected."""
 
 
 class _StreamFailedError(Exception):
-    """A stream ended with an error, and the connection must end with it."""
+    """A stream ended with an error, so its connection must be closed."""
 
 
 @attrs.define(kw_only=True)
 class _ParsedHeaders:
-    """What the head of a request says to this system.
+    """Headers of a request that this system interprets.
 
     Attributes:
-        key_digest: digest of the API key; empty when there is none.
-        seconds: time allowed; 0 when none is named.
-        batch: whether batch priority is asked for.
-        idempotency_key: as given.
-        trace: traceparent.
+        key_digest: digest of the API key; empty if there is none.
+        timeout_seconds: X-Request-Timeout; 0 for none.
+        batch: whether batch priority is requested.
+        idempotency_key: Idempotency-Key, unchanged.
+        traceparent: Traceparent, unchanged.
     """
 
     key_digest: str
@@ -84,14 +84,14 @@
 
 
 class CallerGateway(server.Gateway):
-    """Answers one request.
+    """Handles one request.
 
     Attributes:
-        req: the request as the HTTP library read it.
-        owner: the servers.CallerServer.
-        path: path as it came, not unquoted.
-        length: declared length of the body, in bytes.
-        unread: whether a part of the body may not have been read.
+        req: the request as parsed by the HTTP library.
+        caller_server: the servers.CallerServer.
+        path: the raw path, not unquoted.
+        content_length: declared length of the body, in bytes.
+        body_unread: whether part of the body may still be unread.
     """
 
     def __init__(self, req: server.HTTPRequest):
@@ -102,10 +102,10 @@
         self.body_unread = req.chunked_read or self.content_length != 0
 
     def respond(self) -> None:
-        """Reads the body, has the request served and writes the answer."""
+        """Reads the request, serves it and writes the response."""
         if not self.caller_server.is_ready():
-            # Callers with a kept connection must find another entry before
-            # this one closes its socket.
+            # Callers with a persistent connection must switch to another entry
+            # before this one closes its socket.
             self.req.close_connection = True
         try:
             self._route()
@@ -162,8 +162,8 @@
         if methods is not None and self._request_method() not in methods:
             return self._send_wrong_method(methods)
         if not self.caller_server.open_request():
-            # The last threads stay free for health checks and refusals, so
-            # that a full entry still says so at once.
+            # The spare threads are reserved for health checks and rejections,
+            # so that a full entry still responds at once.
             error = results.Error(
                 code=results.Code.OVERLOADED,
                 text="this entry serves as many callers as it can",
@@ -196,9 +196,9 @@
             case result.Success(completion_request):
                 pass
         event = self._build_event(parsed, completion_request.timeout_seconds)
-        # A completion changes nothing and may run again. With a key it would
-        # be claimed as a call that may not, and the claim, which keeps whole
-        # answers of services only, would refuse each resend as running.
+        # A completion has no side effects and may run again. With a key it
+        # would be claimed like a call that may not; claims store only the
+        # responses of services, so each resend would be rejected as running.
         event.idempotency_key = ""
         event.completion = completion_request.completion
         encoder = answers.CompletionEncoder(
@@ -270,7 +270,8 @@
         reply_queue: replies.ReplyQueue,
         encoder: answers.CompletionEncoder,
     ) -> None:
-        # Until the first reply it is open whether there will be a stream.
+        # Until the first reply arrives, the request may still fail with a
+        # status of its own instead of a stream.
         for reply in self._wait_for_replies(reply_queue):
             match reply:
                 case actions.ReplyText():
@@ -296,7 +297,7 @@
         reply_queue: replies.ReplyQueue,
         encoder: answers.CompletionEncoder,
     ) -> None:
-        """Has the writer send the rest of a stream, and waits for its end."""
+        """Hands a stream over to the writer and waits for its end."""
         sock = self.req.conn.socket
         stream = writers.OutgoingStream(
             reply_queue=reply_queue,
@@ -324,7 +325,7 @@
     def _iterate_replies(
         self, reply_queue: replies.ReplyQueue
     ) -> Iterator[replies.Reply]:
-        """Gives out all replies; wakes only for the last, and now and then."""
+        """Yields all replies; wakes for the last and to check the caller."""
         last_ready = threading.Event()
         reply_queue.set_listener(lambda last: last and last_ready.set())
         while True:
@@ -343,20 +344,20 @@
         if not self.req.sent_headers:
             # Nothing was sent yet, so the error has its real status.
             return self._send_error(error)
-        # Neither [DONE] nor the last chunk follows: a client that overlooks
-        # the error still can't take what it got for a whole answer.
+        # Neither [DONE] nor the final chunk follows, so that a client that
+        # ignores the error can't mistake a partial response for a complete one.
         self.req.write(answers.encode_failure(error))
         raise _StreamFailedError
 
     def _abort_connection(self) -> None:
-        # The HTTP library closes the connection on this error, quietly.
+        # The HTTP library closes the connection on this error without logging.
         raise ConnectionAbortedError(errno.ECONNABORTED, "request ended")
 
     def _discard_input(self) -> None:
-        """Reads away what the caller still sends, for a short while.
+        """Reads and discards further input for a short time.
 
-        Closing a connection with unread bytes resets it, and the caller
-        would see a reset instead of the answer that says why.
+        Closing a connection with unread input resets it, and the caller
+        would see the reset instead of the error response.
         """
         sock = self.req.conn.socket
         deadline = time.monotonic() + _LINGER_SECONDS
@@ -403,7 +404,7 @@
         self, status: int, headers: list[tuple[str, str]], body: bytes
     ) -> None:
         if self.body_unread:
-            # What is left of the body can't be told from a next request.
+            # The rest of the body can't be told apart from the next request.
             self.req.close_connection = True
         length_header = ("Content-Length", str(len(body)))
         self._send_headers(status, [*headers, length_header])
@@ -487,7 +488,7 @@
             text=f"the body is larger than {max_bytes} bytes",
         )
         if self.req.chunked_read:
-            # The library's own limit would answer in plain text; without one
+            # The library's own limit responds in plain text; without a limit
             # it would read a chunk of any declared size into memory.
             self.req.rfile = server.ChunkedRFile(self.req.conn.rfile, max_bytes)
         elif self.content_length > max_bytes:
@@ -513,11 +514,14 @@
         return result.Success(body)
 
     def _raise_if_caller_gone(self) -> None:
-        """Ends the request if the caller's end of the connection is closed.
+        """Raises an error if the caller has closed its end of the connection.
 
-        A caller that goes away while it waits for the first token would keep
-        its place in the engine's batch; nothing is written to it meanwhile,
-        so only looking at the socket can tell.
+        The request of a caller that disconnects before the first token would
+        otherwise stay in the engine's batch. Nothing is written until then,
+        so the disconnect can only be detected by polling the socket.
+
+        Raises:
+            _CallerGoneError: the caller disconnected.
         """
         poll = select.poll()
         poll.register(self.req.conn.socket, select.POLLRDHUP)
--- a/pimentoledge/callers/replies.py
+++ b/pimentoledge/callers/replies.py
@@ -1,4 +1,4 @@
-"""The way back from an entry's core thread to one caller's thread."""
+"""Passes replies from an entry's core thread to the thread of a caller."""
 
 from collections.abc import Callable
 import queue
@@ -20,23 +20,24 @@
 
 
 class ReplyQueue:
-    """Replies to one request; one thread puts, one other thread takes.
+    """Queue of the replies to one request, with one producer and one consumer.
 
-    A caller that reads slowly must cost only its own stream, and no more
-    memory than a bound. Hence `put` never waits, and text beyond the bound
-    ends the stream. The two byte counts have one writer each, so that neither
-    thread needs a lock for them.
+    A slow reader must affect only its own stream and use a bounded amount of
+    memory. Therefore `put` never blocks, and text above the limit ends the
+    stream. Each byte count is written by one thread only, so that no lock is
+    needed.
 
     Attributes:
-        limit_bytes: most text that may wait; one character counts as one.
-        overrun: whether the bound was passed.
-        waiting: replies not yet taken.
-        notify: told of replies that wait, instead of whoever waits in
-            `get_all`; its argument says whether the last reply may be among
-            them.
-        notified: whether `notify` was told of what waits now.
-        put_bytes: text put so far; written only by the putting thread.
-        taken_bytes: text taken so far; written only by the taking thread.
+        limit_bytes: maximum amount of queued text; each character counts as
+            one byte.
+        overflowed: whether the limit was exceeded.
+        pending: queued replies.
+        listener: called when replies are queued, in place of waiting in
+            `get_all`; its argument tells whether the last reply may be
+            among them.
+        listener_called: whether `listener` was called for the pending replies.
+        put_bytes: text queued so far; written only by the producer.
+        read_bytes: text dequeued so far; written only by the consumer.
     """
 
     __slots__ = (
@@ -59,11 +60,11 @@
         self.read_bytes = 0
 
     def put(self, reply: Reply) -> bool:
-        """Hands a reply to the caller's thread; never waits.
+        """Queues a reply for the caller's thread without blocking.
 
         Returns:
-            Whether the stream goes on. False once the caller reads too
-            slowly: nothing more will reach it, and the request should be
+            Whether the stream continues. False once the caller reads too
+            slowly: no further reply is delivered, and the request should be
             cancelled.
         """
         if self.overflowed:
@@ -81,23 +82,23 @@
         return True
 
     def set_listener(self, listener: Callable[[bool], None]) -> None:
-        """Has a function told of replies, from now on.
+        """Sets the function to call when replies are queued.
 
-        Replies may have been put before, even the last one, so the function
-        is told of it at once.
+        Replies may already be queued, even the last one, so the function is
+        also called immediately.
         """
         self.listener = listener
         listener(True)
 
     def get_all(self, timeout: float) -> list[Reply]:
-        """Waits for replies and takes all that there are.
+        """Waits for replies and returns all that are queued.
 
         Args:
-            timeout: longest wait in seconds.
+            timeout: maximum wait in seconds.
 
         Returns:
-            Adjoining text as one ReplyText, then the last reply if it is
-            there; nothing if nothing came in time.
+            All text as one ReplyText, then the last reply if it is queued;
+            an empty list on timeout.
         """
         try:
             first = self.pending.get(timeout=timeout)
@@ -106,8 +107,8 @@
         return self._collect([first])
 
     def get_ready(self) -> list[Reply]:
-        """Takes all that is there, as `get_all` does, without waiting."""
-        # Cleared first: what is put behind this line is notified again.
+        """Returns all queued replies as `get_all` does, without waiting."""
+        # Cleared first, so that replies queued from here on call the listener.
         self.listener_called = False
         return self._collect([])
 
@@ -123,7 +124,7 @@
         return self._merge_texts(collected)
 
     def _wait_for_error(self, reply: Reply) -> Reply:
-        # `overrun` is set before the error is put, so the error will come.
+        # `overflowed` is set before the error is queued, so the error follows.
         while type(reply) is not actions.ReplyError:
             reply = self.pending.get()
         return reply
--- a/pimentoledge/callers/servers.py
+++ b/pimentoledge/callers/servers.py
@@ -15,17 +15,17 @@
 from pimentoledge.callers import writers
 from pimentoledge.decisions import events
 
-# A thread that serves a stream runs a dozen small frames; the default of 8 MiB
-# of address space for each would pass the limits of a small VM.
+# A thread that serves a stream uses a dozen small frames; the default of 8 MiB
+# of address space per thread would exceed the limits of a small VM.
 THREAD_STACK_BYTES = 256 * 1024
-# Threads beyond those of open requests: for health checks and refusals.
+# Threads for health checks and rejections, in addition to those of requests.
 SPARE_THREADS = 8
-# Longest wait for the next byte from or to a caller.
+# Maximum wait for the next byte from or to a caller.
 SOCKET_TIMEOUT_SECONDS = 10.0
-# Longest time for the whole of a request to arrive.
+# Maximum time for a complete request to arrive.
 REQUEST_READ_SECONDS = 30.0
-# How long a kept connection may stay idle; longer than a balancer keeps one,
-# so that the balancer closes it first and sends nothing into a closing one.
+# Idle timeout of persistent connections. It exceeds the balancer's, so that the
+# balancer closes first and never sends a request on a closing connection.
 KEEP_ALIVE_SECONDS = 75.0
 MAX_HEADER_BYTES = 64 * 1024
 _LISTEN_BACKLOG = 1024
@@ -36,7 +36,7 @@
 
 
 class _Connection(server.HTTPConnection):
-    """A caller's connection, watched while a request is read from it."""
+    """A caller's connection that records when reading a request began."""
 
     waited_for_data = False
 
@@ -50,7 +50,7 @@
 
 
 class _Server(server.HTTPServer):
-    """The HTTP library's server with the limits that callers meet."""
+    """The HTTP library's server, configured with the limits for callers."""
 
     ConnectionClass = _Connection
     max_request_header_size = MAX_HEADER_BYTES
@@ -71,10 +71,10 @@
         self.keep_alive_conn_limit = 2 * threads
 
     def process_conn(self, conn: server.HTTPConnection) -> None:
-        """Gives a connection to a thread once there is something to read.
+        """Passes a connection to a thread once it has data to read.
 
-        A connection on which nothing is sent would otherwise hold a thread
-        until its timeout, and a few hundred of them the whole entry.
+        Otherwise a silent connection would occupy a thread until its timeout,
+        and a few hundred of them would block the whole entry.
         """
         if getattr(conn, "waited_for_data", True):
             super().process_conn(conn)
@@ -85,26 +85,29 @@
     def error_log(
         self, msg: str = "", level: int = 20, traceback: bool = False
     ) -> None:
-        """Writes the library's messages to the log."""
+        """Logs the messages of the HTTP library."""
         _log.warning("http server: {}", msg, exc_info=traceback)
 
 
 class CallerServer:
-    """Serves callers; each open request has a thread of its own.
+    """Serves callers, with one thread per open request.
 
     Attributes:
-        listen: address as IP:PORT; port 0 takes a free one.
-        threads: requests served at one time.
-        max_body_bytes: largest body.
-        buffer_bytes: bytes of an answer that the kernel may keep for a slow
-            caller, beside those that its ReplyQueue keeps.
-        submit: hands a request to the core and returns its ReplyQueue.
-        on_caller_left: tells the core that a request's caller went away.
-        models: models that an API key's digest may use; None for no such key.
-        ready: whether the balancer should send callers here.
+        listen: address as IP:PORT; port 0 selects a free port.
+        max_open_requests: maximum number of concurrent requests.
+        max_body_bytes: maximum size of a body.
+        send_buffer_bytes: bytes of a response that the kernel may buffer for
+            a slow caller, in addition to those in its ReplyQueue.
+        submit: passes a request to the core and returns its ReplyQueue.
+        on_caller_left: notifies the core that a request's caller
+            disconnected.
+        list_models: returns the models that the digest of an API key may
+            use; None for an unknown key.
+        is_ready: whether the balancer should send callers to this entry.
         writer: sends the streams.
-        reading: connections a request is being read from, and since when.
-        address: the address bound, once started.
+        read_started_at: start time of each connection's request that is
+            being read.
+        address: the bound address, once started.
     """
 
     def __init__(
@@ -138,7 +141,7 @@
         self._threads: list[threading.Thread] = []
 
     def start(self) -> None:
-        """Binds the address and serves from threads of its own."""
+        """Binds the address and starts the serving threads."""
         self.writer.start()
         host, _, port = self.listen.rpartition(":")
         self._server = _Server(caller_server=self, bind=(host, int(port)))
@@ -148,7 +151,7 @@
             self._start_threads()
         finally:
             threading.stack_size(previous_stack_bytes)
-        # Accepted sockets inherit it. Left to itself, the kernel would keep
+        # Accepted sockets inherit the size. By default the kernel would buffer
         # some megabytes for each caller that doesn't read.
         self._server.socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_SNDBUF, self.send_buffer_bytes // 2
@@ -157,7 +160,7 @@
         self.address = f"{host}:{port}"
 
     def close(self) -> None:
-        """Stops accepting, waits a little for open requests, and ends them."""
+        """Stops accepting, waits briefly for open requests and ends them."""
         self._closing.set()
         if self._server is not None:
             self._server.stop()
@@ -167,19 +170,19 @@
         self._threads.clear()
 
     def open_request(self) -> bool:
-        """Returns whether one more request may be served now."""
+        """Reserves a slot for a request; returns False if none is free."""
         return self._request_slots.acquire(blocking=False)
 
     def close_request(self) -> None:
-        """Says that a request admitted by open_request has ended."""
+        """Releases the slot reserved by `open_request`."""
         self._request_slots.release()
 
     def on_request_read(self, conn: server.HTTPConnection) -> None:
-        """Says that a whole request was read from a connection."""
+        """Ends the time limit for reading a request from a connection."""
         self.read_started_at.pop(conn, None)
 
     def new_request_id(self) -> str:
-        """Returns an id that no entry has used or will use."""
+        """Returns an id that is unique among all entries."""
         return f"{self._id_prefix}-{next(self._request_numbers)}"
 
     def _start_threads(self) -> None:
@@ -193,11 +196,11 @@
             self._end_slow_requests(time.monotonic() - REQUEST_READ_SECONDS)
 
     def _end_slow_requests(self, latest_start: float) -> None:
-        """Ends requests that began to arrive too long ago.
+        """Ends reading of requests that started before a given time.
 
-        A caller that sends a byte now and then never meets the timeout of
-        its socket, and would hold a thread for hours. The reading thread
-        then sees the end of the connection and answers that.
+        A caller that sends a byte now and then never triggers the timeout of
+        its socket and would occupy a thread for hours. Shutting down the
+        receiving side lets the reading thread respond with an error.
         """
         for conn, started_at in list(self.read_started_at.items()):
             if (
--- a/pimentoledge/callers/service_calls.py
+++ b/pimentoledge/callers/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: what is passed on, and what comes back."""
+"""Converts requests to calls of plain services and filters their headers."""
 
 import urllib.parse
 
@@ -6,8 +6,8 @@
 
 SERVICES_ROOT = "/services/"
 
-# Headers that belong to one connection, and those that the sender's HTTP
-# library sets by itself.
+# Headers that apply to a single connection, and those that the sending HTTP
+# library sets itself.
 _HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
@@ -24,7 +24,7 @@
         "upgrade",
     )
 )
-# Headers that speak to this system only. The API key must not leave it.
+# Headers for this system only. The API key must not be forwarded.
 _INTERNAL_HEADERS = frozenset(
     ("authorization", "x-priority", "x-request-timeout", "traceparent")
 )
@@ -33,13 +33,13 @@
 def parse_call(
     *, method: str, target: str, headers: list[tuple[str, str]], body: bytes
 ) -> messages.ServiceCall | None:
-    """Returns the call that a request below SERVICES_ROOT asks for.
+    """Builds the service call for a request below SERVICES_ROOT.
 
     Args:
         method: HTTP method.
-        target: path and query as they came, not unquoted.
-        headers: headers as they came.
-        body: the whole body.
+        target: raw path and query, not unquoted.
+        headers: headers of the request.
+        body: the complete body.
 
     Returns:
         The call; None if the path names no service.
@@ -61,14 +61,14 @@
 
 
 def response_headers(headers: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Returns the headers of a service's answer that go to the caller."""
+    """Returns the headers of a service's response to relay to the caller."""
     return remove_headers(headers, _HOP_BY_HOP_HEADERS)
 
 
 def remove_headers(
     headers: list[tuple[str, str]], names: frozenset[str]
 ) -> list[tuple[str, str]]:
-    """Returns headers without those named, or named by Connection."""
+    """Removes headers that are in `names` or listed in Connection."""
     removed = set(names)
     for name, value in headers:
         if name.lower() == "connection":
@@ -81,5 +81,5 @@
 
 
 def _is_single_line(text: str) -> bool:
-    # A line break within a header would begin another one at the receiver.
+    # A line break within a header would start another header at the receiver.
     return "\r" not in text and "\n" not in text
--- a/pimentoledge/callers/writers.py
+++ b/pimentoledge/callers/writers.py
@@ -1,8 +1,8 @@
-"""One thread that sends the text of all open streams.
+"""Sends the text of all open streams from a single thread.
 
-Waking a thread for each token costs many times what sending it does. So the
-core's thread only says which streams have text, and this thread sends for all
-of them, each time that it is woken.
+Waking a thread for each token costs many times as much as sending the token.
+So the core's thread only marks the streams that have text, and this thread
+sends the text of all of them on each wakeup.
 """
 
 import collections
@@ -22,7 +22,7 @@
 from pimentoledge.callers import replies
 from pimentoledge.decisions import actions
 
-# A stream whose caller takes nothing for so long is given up.
+# A stream is dropped if its caller reads nothing for this long.
 STALL_TIMEOUT_SECONDS = 10.0
 _STALL_CHECK_SECONDS = 1.0
 _WATCHED_EVENTS = select.EPOLLRDHUP
@@ -44,14 +44,16 @@
     """A stream that the writer sends.
 
     Attributes:
-        replies: where its replies come from.
-        encoder: gives them their form.
-        sock: the caller's socket, not blocking; the writer's until the end.
-        chunked: whether the answer is sent in HTTP chunks.
-        unsent: bytes that the socket did not take yet.
-        stalled_since: when it last took some, while there is a rest.
-        end: how it ends once the rest is sent; None while it goes on.
-        over: set when the writer is done with it.
+        reply_queue: queue of the stream's replies.
+        encoder: encodes the replies.
+        sock: the caller's non-blocking socket; owned by the writer until the
+            stream ends.
+        chunked: whether chunked transfer encoding is used.
+        unsent: bytes not yet accepted by the socket.
+        stalled_since: time of the last progress while bytes are unsent.
+        end: how the stream ends once all bytes are sent; None while it is
+            open.
+        finished: set when the writer has finished the stream.
     """
 
     reply_queue: replies.ReplyQueue
@@ -65,14 +67,18 @@
 
 
 class StreamWriter:
-    """Sends streams from a thread of its own.
+    """Sends streams from a dedicated thread.
 
     Attributes:
-        streams: open streams by file number.
-        ready: streams that have replies; None to look for `closing`.
-        sleeping: whether the thread has to be woken for what is ready.
-        blocked: file numbers of streams with a rest.
+        streams: open streams by file descriptor.
+        ready_streams: streams that have replies; None to check `closing`.
+        sleeping: whether the thread must be woken up to see new entries of
+            `ready_streams`.
+        blocked_files: file descriptors of streams with unsent bytes.
         closing: whether the thread should end.
+        epoll: waits for socket events and wakeups, once started.
+        wakeup_fd: eventfd that wakes the thread up, once started.
+        thread: the sending thread.
     """
 
     def __init__(self):
@@ -95,7 +101,7 @@
         self.thread.start()
 
     def close(self) -> None:
-        """Ends the thread; streams that are open count as gone."""
+        """Ends the thread; open streams end as CALLER_GONE."""
         self.closing = True
         if self.epoll is None:
             return
@@ -105,7 +111,7 @@
         os.close(self.wakeup_fd)
 
     def write(self, stream: OutgoingStream) -> StreamEnd:
-        """Sends a stream to its end; called by the caller's thread."""
+        """Sends a stream and waits for its end, on the caller's thread."""
         stream.reply_queue.set_listener(functools.partial(self.notify, stream))
         while not stream.finished.wait(STALL_TIMEOUT_SECONDS):
             if not self.thread.is_alive():
@@ -113,15 +119,15 @@
         return stream.end
 
     def notify(self, stream: OutgoingStream | None, last: bool) -> None:
-        """Says that a stream has replies; any thread may call it."""
-        del last  # The writer takes whatever there is.
+        """Marks a stream as having replies; may be called from any thread."""
+        del last  # The writer reads all queued replies.
         self.ready_streams.append(stream)
         if self.sleeping:
             self.sleeping = False
             os.eventfd_write(self.wakeup_fd, 1)
 
     def run(self) -> None:
-        """Sends until closed."""
+        """Sends streams until closed."""
         checked = time.monotonic()
         while not self.closing:
             self._wait()
@@ -134,8 +140,8 @@
             self._finish(stream, StreamEnd.CALLER_GONE)
 
     def _wait(self) -> None:
-        # `sleeping` is set before `ready` is looked at: whoever appends after
-        # the look sees it set and wakes this thread.
+        # `sleeping` is set before `ready_streams` is checked, so that a thread
+        # that appends after the check sees it and wakes this thread up.
         self.sleeping = True
         timeout = 0.0 if self.ready_streams else _STALL_CHECK_SECONDS
         polled = self.epoll.poll(timeout)
@@ -164,15 +170,15 @@
             if fileno not in self.streams:
                 self.streams[fileno] = stream
                 self.epoll.register(fileno, _WATCHED_EVENTS)
-            # While the socket is full, what comes waits in the bounded
-            # Replies; there it may end the stream, but it takes no memory.
+            # While the socket is full, replies stay in the ReplyQueue, whose
+            # limit bounds the memory by ending the stream.
             if not stream.unsent:
                 self._send_or_cut(stream)
 
     def _send_or_cut(self, stream: OutgoingStream) -> None:
         try:
             self._send_replies(stream)
-        except Exception:  # A defect met by one stream must not end them all.
+        except Exception:  # A bug in one stream must not end the others.
             _log.critical("defect: {}", traceback.format_exc())
             self._finish(stream, StreamEnd.FAILED)
 
--- a/pimentoledge/operators/api.py
+++ b/pimentoledge/operators/api.py
@@ -1,4 +1,4 @@
-"""The administration API: HTTP to typed requests and back."""
+"""The administration API: converts HTTP to typed requests and back."""
 
 from collections import abc
 import re
@@ -21,23 +21,23 @@
 _VERSION_PATTERN = re.compile(r'"?(\d{1,18})"?')
 _TRUE_VALUES = ("true", "1")
 
-# Hands a request to the state machine and waits for its answer; None when the
-# process is closing.
+# Passes a request to the state machine and waits for its reply; returns None if
+# the process is shutting down.
 Submit = abc.Callable[[events.OperatorRequest], actions.ReplyOperator | None]
 
 
 class AdminApi:
-    """The pages below /admin/v1/.
+    """Serves the paths below /admin/v1/.
 
     Attributes:
-        submit: hands a request to the state machine and waits.
+        submit: passes a request to the state machine and waits for its reply.
     """
 
     def __init__(self, *, submit: Submit):
         self.submit = submit
 
     def serve(self, request: servers.PageRequest) -> servers.PageResponse:
-        """Answers one request."""
+        """Handles one request."""
         match parse(request):
             case result.Failure(error):
                 return _error_response(error)
@@ -55,7 +55,7 @@
 def parse(
     request: servers.PageRequest,
 ) -> result.Result[events.OperatorRequest, results.Error]:
-    """Reads a request."""
+    """Parses a request."""
     if request.method not in _ALLOWED_METHODS:
         return _failure(results.Code.METHOD_NOT_ALLOWED)
     parts = request.path.removeprefix(API_ROOT).rstrip("/").split("/")
--- a/pimentoledge/operators/clients.py
+++ b/pimentoledge/operators/clients.py
@@ -1,4 +1,4 @@
-"""The operators' client of the administration API."""
+"""Client of the administration API, for operators."""
 
 from collections import abc
 import urllib.parse
@@ -16,13 +16,14 @@
 
 @attrs.define(kw_only=True)
 class ApiResponse:
-    """An answer of the administration API.
+    """A response of the administration API.
 
     Attributes:
         status: HTTP status.
         fields: the JSON body.
         version: version of the object; 0 for none.
-        known: whether this is what the entry knew, without the store.
+        from_local_copy: whether the entry returned its local copy because the
+            store was down.
     """
 
     status: int
@@ -56,11 +57,11 @@
     def read(
         self, path: str, **query: object
     ) -> result.Result[ApiResponse, results.Error]:
-        """Reads a path below the API's root, as "contracts/acme"."""
+        """Reads a path below the API's root, such as "contracts/acme"."""
         return self._call("GET", path, query=query)
 
     def pages(self, kind: str, limit: int) -> abc.Iterator[result.Result]:
-        """Reads all pages of a list, one after the other."""
+        """Yields all pages of a list in order."""
         cursor = ""
         while cursor is not None:
             page = self.read(kind, limit=limit, cursor=cursor)
@@ -78,14 +79,14 @@
         expected: int,
         dry_run: bool = False,
     ) -> result.Result[ApiResponse, results.Error]:
-        """Changes an object on condition of its version.
+        """Changes an object if it still has the expected version.
 
         Args:
             method: PUT, PATCH or DELETE.
             path: path below the API's root.
             fields: the JSON body.
-            expected: the version that was read; 0 to create the object.
-            dry_run: check everything, and write nothing.
+            expected: the expected version; 0 to create the object.
+            dry_run: validate the change without writing it.
         """
         condition = {"If-Match": f'"{expected}"'}
         if expected == 0:
@@ -119,7 +120,7 @@
             )
             body = msgspec.json.decode(response.data, type=dict[str, object])
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
-            # The change may have been accepted before the answer was lost.
+            # The change may have been accepted before the response was lost.
             ran = results.Ran.UNKNOWN
             code = results.Code.UNCONFIRMED
             text = f"no answer of {self.url}: {error}"
--- a/pimentoledge/operators/pages.py
+++ b/pimentoledge/operators/pages.py
@@ -1,4 +1,4 @@
-"""Pages that every daemon serves to operators: metrics and health."""
+"""Metrics and health pages, which every daemon serves to operators."""
 
 from collections import abc
 
@@ -20,7 +20,7 @@
     is_ready: abc.Callable[[], bool],
     refresh_gauges: abc.Callable[[], None],
 ) -> dict[str, servers.Page]:
-    """Returns the pages by path.
+    """Returns the metrics and health pages by path.
 
     Args:
         daemon_metrics: the daemon's metrics.
--- a/pimentoledge/operators/servers.py
+++ b/pimentoledge/operators/servers.py
@@ -37,14 +37,14 @@
 
 @attrs.define(kw_only=True)
 class PageRequest:
-    """A request as a page gets it.
+    """A request passed to a page.
 
     Attributes:
         method: HTTP method.
         path: path without the query.
-        query: last value by name.
-        headers: value by lower-case name.
-        body: the whole body.
+        query: query parameters by name; the last value if one is repeated.
+        headers: header values by lower-case name.
+        body: the complete body.
     """
 
     method: str
@@ -56,13 +56,13 @@
 
 @attrs.define(kw_only=True)
 class PageResponse:
-    """A page's answer.
+    """A page's response.
 
     Attributes:
         status: HTTP status.
-        body: the body.
+        body: the response body.
         content_type: its media type.
-        headers: further headers.
+        headers: additional headers.
     """
 
     status: int = 200
@@ -75,12 +75,12 @@
 
 
 class AdminServer:
-    """Serves pages by the longest prefix of the path.
+    """Serves the page with the longest matching path prefix.
 
     Attributes:
-        listen: address as IP:PORT; port 0 takes any free one.
-        pages: Page by path; one that ends with "/" has all paths below it.
-        address: where it listens, once started.
+        listen: address as IP:PORT; port 0 selects a free port.
+        pages: Page by path; a path that ends with "/" matches all paths below.
+        address: the bound address, once started.
     """
 
     def __init__(self, *, listen: str, pages: dict[str, Page]):
@@ -91,7 +91,7 @@
         self._thread: threading.Thread | None = None
 
     def start(self) -> None:
-        """Listens and serves."""
+        """Binds the address and starts serving."""
         host, port = self.listen.rsplit(":", 1)
         self._server = wsgi.Server(
             (host, int(port)),
@@ -110,7 +110,7 @@
         self._thread.start()
 
     def close(self) -> None:
-        """Stops and waits for the requests that are served."""
+        """Stops the server and waits for running requests."""
         if self._server is None:
             return
         self._server.stop()
@@ -124,7 +124,7 @@
             response = self._respond(environ)
         except server.MaxSizeExceeded:
             response = PageResponse(status=413)
-        except Exception:  # A defect of a page must not end the thread.
+        except Exception:  # A bug in a page must not end the thread.
             logger.error("defect in a page: {}", traceback.format_exc())
             response = PageResponse(status=500)
         reason = _REASON_PHRASES.get(response.status, "Other")
--- a/pimentoledge/services/clients.py
+++ b/pimentoledge/services/clients.py
@@ -14,7 +14,7 @@
 CONNECT_TIMEOUT_SECONDS = 2.0
 POOL_SIZE = 64
 READ_CHUNK_BYTES = 65536
-# Headers that belong to one connection, and those that are set anew here.
+# Headers that apply to a single connection, and those that are set here.
 NOT_FORWARDED_HEADERS = frozenset(
     {
         "connection",
@@ -35,7 +35,7 @@
 
 
 class ServiceClient:
-    """Passes calls on over HTTP; may be used from any thread; no retries.
+    """Forwards calls over HTTP without retries; thread-safe.
 
     Attributes:
         url: base URL of the service.
@@ -50,18 +50,19 @@
         self.pool = http_pools.HttpPool(size=POOL_SIZE)
 
     def close(self) -> None:
-        """Closes the connections, also those that a thread waits on."""
+        """Closes all connections, including those in use by other threads."""
         if self.pool is not None:
             self.pool.cut()
 
     def run(
         self, action: actions.RunCall
     ) -> events.ServiceDone | events.EngineBroken:
-        """Passes a call on and waits for its answer.
+        """Forwards a call and waits for its response.
 
-        Any answer of the service counts as done, whatever its status. Without
-        one, "not_run" means that no connection came about; after that the
-        service may have run the call, so the outcome is unknown.
+        Any response of the service counts as done, whatever its status.
+        Without a response, "not_run" means that no connection was
+        established; otherwise the service may have run the call, so the
+        outcome is unknown.
         """
         deadline = time.monotonic() + action.seconds
         try:
@@ -71,9 +72,9 @@
             ran = results.Ran.NOT_RUN if not_run else results.Ran.UNKNOWN
             return _failure(action, ran, str(error))
         except ValueError as error:
-            # The HTTP library refuses a header that it can't write, such as
-            # one with a line break or a letter beyond Latin-1. It looks at
-            # all of them before it sends anything.
+            # The HTTP library rejects headers that it can't encode, such as
+            # those with a line break or a character outside Latin-1. It
+            # checks all headers before it sends anything.
             return _failure(action, results.Ran.NOT_RUN, str(error))
         try:
             body = _read_body(response, deadline)
@@ -107,13 +108,13 @@
 
 
 def _read_body(response: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
-    """Returns the whole body, as it came.
+    """Returns the complete body without decoding it.
 
-    The timeout bounds each wait for bytes, and a service that sends one byte
-    now and then never exceeds it; so the time is looked at here too.
+    The timeout of the HTTP library limits each read, and a service that sends
+    a byte now and then never exceeds it, so the deadline is also checked here.
 
     Raises:
-        TimeoutError: it was not complete in time.
+        TimeoutError: the body was not complete by the deadline.
     """
     pieces = []
     while piece := response.read1(READ_CHUNK_BYTES, decode_content=False):
--- a/pimentoledge/services/fake_services.py
+++ b/pimentoledge/services/fake_services.py
@@ -1,4 +1,4 @@
-"""A plain service that counts how often each call ran, with its faults."""
+"""A fake plain service that counts runs and can inject faults."""
 
 import collections
 import hashlib
@@ -16,11 +16,11 @@
 
 @attrs.define(kw_only=True)
 class ReceivedCall:
-    """A call as the service got it.
+    """A call received by the service.
 
     Attributes:
         method: HTTP method.
-        path: path with its leading slash.
+        path: path with the leading slash.
         query: query string.
         headers: by lower-case name.
         body: the body.
@@ -35,7 +35,7 @@
 
 @attrs.define(kw_only=True)
 class FakeResponse:
-    """The service's answer."""
+    """A response of the service."""
 
     status: int
     headers: list[tuple[str, str]]
@@ -43,25 +43,26 @@
 
 
 def body_digest(body: bytes) -> str:
-    """Returns the digest under which the runs of a body are counted."""
+    """Returns the digest by which the runs of a body are counted."""
     return hashlib.blake2b(body, digest_size=16).hexdigest()
 
 
 class FakeService:
-    """Runs each call that it gets, without looking at keys, and counts.
+    """Runs every call regardless of its idempotency key and counts runs.
 
     Attributes:
         runs_by_key: runs by idempotency key.
         runs_by_body: runs by digest of the body.
         calls: the calls that ran, in order.
-        latency: seconds that a call runs.
-        status: HTTP status of the answers.
-        down: whether it takes no call.
-        crash_on: a body with this marker crashes it after it ran, and it
-            stays down; empty for none.
-        lose_answers: number of next calls that run and whose answer is lost.
-        lose_requests: number of next calls that get lost before they run.
-        crashes: crashes.
+        latency: duration of a call in seconds.
+        status: HTTP status of the responses.
+        down: whether the service is down and runs no calls.
+        crash_on: a call whose body contains this marker runs and then crashes
+            the service, which stays down; empty for none.
+        lose_answers: number of upcoming calls that run but get no response.
+        lose_requests: number of upcoming calls that are lost before they run.
+        crashes: number of crashes.
+        lock: guards the counters and the injected faults.
     """
 
     def __init__(self):
@@ -78,7 +79,7 @@
         self.lock = threading.Lock()
 
     def call(self, call: ReceivedCall) -> FakeResponse | None:
-        """Runs a call; None when it gives no answer."""
+        """Runs a call; returns None if there is no response."""
         with self.lock:
             if self.down:
                 return None
@@ -114,11 +115,12 @@
 class ServiceServer:
     """Serves a fake plain service.
 
-    While the service is down it cuts each connection, which leaves it open
-    whether the call ran; `close` closes the port, so that it certainly didn't.
+    While the service is down, the server closes each connection without a
+    response, which leaves unknown whether the call ran. After `close` the port
+    is closed, so that calls certainly don't run.
 
     Attributes:
-        service: the fake.
+        service: the fake service.
     """
 
     def __init__(
@@ -140,7 +142,7 @@
         return self.server.url
 
     def start(self) -> None:
-        """Listens."""
+        """Starts listening."""
         self.server.start()
 
     def close(self) -> None:
@@ -148,7 +150,7 @@
         self.server.close()
 
     def handle(self, request: cheroot.server.HTTPRequest) -> None:
-        """Answers one request, or cuts its connection."""
+        """Responds to one request or closes its connection."""
         call = _parse_call(request)
         if self.service.latency > 0:
             time.sleep(self.service.latency)
