--- a/pimentoledge/tests/test_callers.py
+++ b/pimentoledge/tests/test_callers.py
@@ -313,10 +313,10 @@
 
 
 def test_error_within_a_stream_closes_the_connection_without_done(core):
-    """A caller takes half an answer for a whole one.
+    """Guards against clients mistaking a partial response for a complete one.
 
-    The engine dies in the middle of a stream and no other can go on; a client
-    that only looks for the end of the body sees a proper one.
+    The engine crashes during a stream that no other engine can continue. A
+    client that only checks for the end of the body would see a regular end.
     """
     core.script = reply_error(results.Code.ENGINE_DIED, first_text="half")
     answer = core.call(
@@ -336,10 +336,10 @@
 
 
 def test_disconnect_before_the_first_token_is_detected(core):
-    """A runner generates an answer that nobody waits for.
+    """Guards against generating a response for a disconnected caller.
 
-    The caller hangs up while its prompt is computed: nothing is written to
-    it then, so no write can fail.
+    The caller disconnects during the prefill. Nothing is written to it at
+    that time, so no write can fail.
     """
     core.script = lambda request, reply_queue: None
     body = json.dumps(CHAT_BODY).encode()
@@ -350,9 +350,9 @@
 
 
 def test_disconnect_within_a_stream_is_detected(core):
-    """A runner goes on generating for a caller that closed its page.
+    """Guards against generating on after the caller disconnected.
 
-    The caller hangs up between two tokens that are far apart.
+    The caller disconnects between two tokens that are far apart.
     """
     core.script = lambda request, reply_queue: reply_queue.put(
         reply_text(request, "one")
@@ -366,10 +366,10 @@
 
 
 def test_slowly_produced_stream_is_complete_and_in_order(core):
-    """Words are missing or doubled where one thread hands over to another.
+    """Guards against lost or repeated text when a stream changes threads.
 
-    The first piece is sent by the caller's thread and the rest by the
-    writer's, while the core's thread goes on putting.
+    The caller's thread sends the first piece and the writer's thread the
+    rest, while the core's thread continues to queue replies.
     """
     words = [f"w{number} " for number in range(400)]
 
@@ -391,9 +391,9 @@
 
 
 def test_slow_reader_ends_only_its_own_stream(core):
-    """One caller on a bad line makes the entry's memory grow, or all wait.
+    """Guards against a slow reader that exhausts memory or blocks others.
 
-    It stops reading in the middle of a long answer while the engine goes on.
+    A caller stops reading during a long response while the engine continues.
     """
     buffered = []
     stopped_reading = threading.Event()
@@ -428,10 +428,10 @@
 
 
 def test_incomplete_requests_do_not_block_others(core):
-    """Nobody is served because a few callers never finish their requests.
+    """Guards against incomplete requests that occupy all threads.
 
-    More connections than threads are opened: some silent, some with half a
-    head, some with half a body.
+    More connections than threads are opened: some send nothing, some part of
+    the headers, some part of the body.
     """
     with contextlib.ExitStack() as stack:
         for _ in range(20):
--- a/pimentoledge/tests/test_fake_services.py
+++ b/pimentoledge/tests/test_fake_services.py
@@ -1,4 +1,4 @@
-"""The plain service's fake, server and client."""
+"""Tests of the fake plain service, its server and the service client."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 @pytest.fixture
-def pair():
+def service_and_client():
     service = fake_services.FakeService()
     server = fake_services.ServiceServer(service=service)
     server.start()
@@ -41,8 +41,8 @@
     server.close()
 
 
-def test_call_is_forwarded_unchanged(pair):
-    service, _, client = pair
+def test_call_is_forwarded_unchanged(service_and_client):
+    service, _, client = service_and_client
     service.status = 503
     headers = [
         ("X-Shop", "1"),
@@ -67,13 +67,14 @@
     assert service.runs_by_body == {fake_services.body_digest(b"wheel"): 1}
 
 
-def test_lost_request_and_lost_response_are_both_unknown(pair):
-    """A job card is sent, and no answer comes.
+def test_lost_request_and_lost_response_are_both_unknown(service_and_client):
+    """Guards against retrying a call that may have run.
 
-    Once the service ran it and once it did not; the client can't tell, so
-    both are unknown, and it sends neither again by itself.
+    The client gets no response, once after the service ran the call and once
+    without. It can't distinguish these, so both outcomes are unknown and it
+    retries neither.
     """
-    service, _, client = pair
+    service, _, client = service_and_client
     service.lose_answers = 1
     assert client.run(create_action()).ran == "outcome_unknown"
     assert service.runs_by_key["k"] == 1
@@ -82,13 +83,13 @@
     assert service.runs_by_key["k"] == 1
 
 
-def test_outcomes_around_a_crash(pair):
+def test_outcomes_around_a_crash(service_and_client):
     """A call crashes the service, and its port closes only later.
 
-    The crashing call ran. While the port is still open nothing is certain;
-    with the port closed the call certainly did not run.
+    The crashing call ran. While the port is open the outcome of a call is
+    unknown; once the port is closed the call certainly did not run.
     """
-    service, server, client = pair
+    service, server, client = service_and_client
     service.crash_on = b"bad"
     assert client.run(create_action(body=b"bad")).ran == "outcome_unknown"
     assert (service.crashes, service.runs_by_key["k"]) == (1, 1)
@@ -101,8 +102,8 @@
     assert service.runs_by_key["k"] == 2
 
 
-def test_timeout_leaves_the_outcome_unknown(pair):
-    service, _, client = pair
+def test_timeout_leaves_the_outcome_unknown(service_and_client):
+    service, _, client = service_and_client
     service.latency = 0.3
     assert client.run(create_action(seconds=0.05)).ran == "outcome_unknown"
 
@@ -119,10 +120,10 @@
 
 
 def test_trickling_response_ends_at_the_deadline():
-    """A sick service sends a byte now and then, and never stops.
+    """Guards against a slow response that occupies a thread forever.
 
-    No single wait exceeds the timeout, so the call would hold its thread for
-    ever; it ends by the clock, and may have run.
+    The service sends a byte now and then, so that no single read exceeds the
+    timeout. The call must end at its deadline with an unknown outcome.
     """
     reply = raw_servers.http_reply(b"x" * 100_000)
     with raw_servers.raw_server(reply, pause=0.002) as url:
@@ -137,13 +138,13 @@
 
 
 @pytest.mark.parametrize("value", ["a\nb: c", "\u20ac"])
-def test_unencodable_header_is_not_run(pair, value):
-    """A caller's header holds a line break or a letter beyond Latin-1.
+def test_unencodable_header_is_not_run(service_and_client, value):
+    """Guards against a caller that gets no response to an invalid header.
 
-    The HTTP library raises an error of its own kind; unnoticed, it would
-    leave the caller without any answer.
+    The header contains a line break or a character outside Latin-1, for which
+    the HTTP library raises ValueError instead of its own error class.
     """
-    service, _, client = pair
+    service, _, client = service_and_client
     broken = client.run(create_action(headers=[("X-Shop", value)]))
     assert broken.ran == "not_run"
     assert service.calls == []
--- a/pimentoledge/tests/test_openai_client.py
+++ b/pimentoledge/tests/test_openai_client.py
@@ -1,4 +1,4 @@
-"""The OpenAI client library against a running entry before fakes."""
+"""Tests of an entry with fake backends through the OpenAI client library."""
 
 import threading
 import time
@@ -114,7 +114,7 @@
 
 
 def test_closed_stream_is_cancelled_at_the_engine(emulator):
-    """A mechanic closes the page; the engine works on for nobody."""
+    """Guards against an engine that runs on after the caller disconnected."""
     stream = chat(create_client(emulator), stream=True, max_tokens=5000)
     next(iter(stream))
     wait_until(lambda: running_streams(emulator))
@@ -123,10 +123,10 @@
 
 
 def test_disconnect_before_the_first_token_releases_all_state(emulator):
-    """An entry's memory grows for weeks until it is killed.
+    """Guards against a memory leak and uncounted requests.
 
-    Each caller that hung up before its first token left its time of arrival
-    behind, and was counted nowhere.
+    The arrival time of a caller that disconnected before its first token was
+    never removed, and the request was not counted.
     """
     entry = emulator.entries[0]
     prompt = "a long dossier " * 20000
@@ -164,7 +164,7 @@
 
 
 def test_contract_at_its_concurrency_limit_rejects_and_recovers(emulator):
-    """One organisation's open stream uses up its only place."""
+    """The only concurrent request of an organisation is an open stream."""
     client = create_client(emulator, key="narrow-key")
     stream = chat(client, stream=True, max_tokens=5000)
     next(iter(stream))
@@ -177,7 +177,7 @@
 
 
 def test_resent_service_call_runs_once(emulator):
-    """A booking page gets no answer in time and posts its card again."""
+    """Guards against running a call twice that is resent with its key."""
     client = create_client(emulator)
     path = f"http://{emulator.entries[0].callers.address}/services/cards/new"
     answers = [
@@ -195,10 +195,10 @@
 
 
 def test_resent_completion_with_a_key_runs_again(emulator):
-    """A caller's resend of a question is refused as running, for an hour.
+    """Guards against rejecting a resent completion as running for an hour.
 
-    The first answer came whole; its key had been claimed as if the question
-    were an order, and nothing ever released the claim.
+    Completions with a key were claimed like service calls, and the claim was
+    not released after the complete response.
     """
     client = create_client(emulator)
     headers = {"Idempotency-Key": "question-1"}
@@ -208,10 +208,10 @@
 
 
 def test_engine_crash_within_a_stream_raises(emulator):
-    """A caller reads half an answer, and its page shows it as the whole.
+    """Guards against clients mistaking a partial response for a complete one.
 
-    Both runners die in the middle of the stream, so that nothing can go on
-    with it; the client library must raise instead of ending its loop.
+    Both runners crash during the stream, so that no other can continue it.
+    The client library must raise an error instead of ending its iteration.
     """
     stream = chat(create_client(emulator), stream=True, max_tokens=5000)
     chunks = [next(iter(stream))]
