--- a/pimentoledge/callers/answers.py
+++ b/pimentoledge/callers/answers.py
@@ -1,7 +1,7 @@
-"""Answers to completions, in the JSON forms of the OpenAI API.
+"""Encodes responses to completions in the JSON formats of the OpenAI API.
 
-A stream's events differ only in their text: what stands before and behind it
-is encoded once for each request, since the cost of one token counts.
+The events of a stream differ only in their text. The bytes before and after
+the text are encoded once per request, to keep the cost of each token low.
 """
 
 import time
@@ -16,9 +16,9 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 
 _encode = msgspec.json.Encoder().encode
-# Stands for the text while a template is encoded; cut out again afterwards.
-_MARK = "\x00text\x00"
-_ENCODED_MARK = _encode(_MARK)
+# Placeholder for the text while the event template is encoded.
+_PLACEHOLDER = "\x00text\x00"
+_ENCODED_PLACEHOLDER = _encode(_PLACEHOLDER)
 
 
 def _usage(end: actions.ReplyEnd) -> dict[str, object]:
@@ -30,81 +30,93 @@
     }
 
 
-def _event(content: dict[str, object]) -> bytes:
-    return b"data: " + _encode(content) + b"\n\n"
+def _event(chunk: dict[str, object]) -> bytes:
+    return b"data: " + _encode(chunk) + b"\n\n"
 
 
 class CompletionEncoder:
-    """Builds the answer to one completion.
+    """Builds the response to one completion.
 
     Attributes:
-        asked: what was asked for.
-        common: fields that every object of the answer has.
-        before: what stands before the text of an event.
-        behind: what stands behind it.
+        completion_request: the parsed request.
+        common_fields: fields of every object in the response.
+        event_prefix: bytes of an event before its text.
+        event_suffix: bytes of an event after its text.
     """
 
-    __slots__ = ("asked", "before", "behind", "common")
-
-    def __init__(self, *, request: str, asked: completions.CompletionRequest):
-        self.asked = asked
-        prefix = "chatcmpl-" if asked.chat else "cmpl-"
-        self.common = {
-            "id": prefix + request,
-            "object": self._kind(),
+    __slots__ = (
+        "common_fields",
+        "completion_request",
+        "event_prefix",
+        "event_suffix",
+    )
+
+    def __init__(
+        self,
+        *,
+        request_id: str,
+        completion_request: completions.CompletionRequest,
+    ):
+        self.completion_request = completion_request
+        prefix = "chatcmpl-" if completion_request.chat else "cmpl-"
+        self.common_fields = {
+            "id": prefix + request_id,
+            "object": self._object_type(),
             "created": int(time.time()),
-            "model": asked.name,
+            "model": completion_request.model_name,
         }
-        template = _event(self._chunk([self._choice(_MARK, None)]))
-        # The last mark is the text; a model's name could hold another.
-        self.before, _, self.behind = template.rpartition(_ENCODED_MARK)
+        template = _event(self._chunk([self._choice(_PLACEHOLDER, None)]))
+        # The last placeholder is the text; a model's name could contain one.
+        self.event_prefix, _, self.event_suffix = template.rpartition(
+            _ENCODED_PLACEHOLDER
+        )
 
     def encode_start(self) -> bytes:
-        """Returns what a stream begins with: the role, in a chat."""
-        if not self.asked.chat:
+        """Returns the start of a stream: the role event of a chat, if any."""
+        if not self.completion_request.chat:
             return b""
         delta = {"role": "assistant", "content": ""}
         choice = {"index": 0, "delta": delta, "finish_reason": None}
         return _event(self._chunk([choice]))
 
     def encode_text(self, text: str) -> bytes:
-        """Returns the event of one piece of text."""
-        return self.before + _encode(text) + self.behind
+        """Returns the event for one piece of text."""
+        return self.event_prefix + _encode(text) + self.event_suffix
 
     def encode_end(self, end: actions.ReplyEnd) -> bytes:
-        """Returns what a complete stream ends with."""
+        """Returns the final events of a complete stream."""
         events = _event(self._chunk([self._last_choice(end.reason)]))
-        if self.asked.include_usage:
+        if self.completion_request.include_usage:
             events += _event({**self._chunk([]), "usage": _usage(end)})
         return events + DONE_EVENT
 
     def encode_response(self, text: str, end: actions.ReplyEnd) -> bytes:
-        """Returns an answer that isn't streamed."""
+        """Returns the body of a response that isn't streamed."""
         choice = {"index": 0, "logprobs": None, "finish_reason": end.reason}
-        if self.asked.chat:
+        if self.completion_request.chat:
             choice["message"] = {"role": "assistant", "content": text}
         else:
             choice["text"] = text
         return _encode(
-            {**self.common, "choices": [choice], "usage": _usage(end)}
+            {**self.common_fields, "choices": [choice], "usage": _usage(end)}
         )
 
-    def _kind(self) -> str:
-        if not self.asked.chat:
+    def _object_type(self) -> str:
+        if not self.completion_request.chat:
             return "text_completion"
-        if self.asked.stream:
+        if self.completion_request.stream:
             return "chat.completion.chunk"
         return "chat.completion"
 
     def _chunk(self, choices: list[dict[str, object]]) -> dict[str, object]:
-        chunk = {**self.common, "choices": choices}
-        if self.asked.include_usage:
+        chunk = {**self.common_fields, "choices": choices}
+        if self.completion_request.include_usage:
             chunk["usage"] = None
         return chunk
 
     def _choice(self, text: str, reason: str | None) -> dict[str, object]:
         choice = {"index": 0, "logprobs": None, "finish_reason": reason}
-        if self.asked.chat:
+        if self.completion_request.chat:
             choice["delta"] = {"content": text}
         else:
             choice["text"] = text
@@ -112,19 +124,19 @@
 
     def _last_choice(self, reason: str) -> dict[str, object]:
         choice = self._choice("", reason)
-        if self.asked.chat:
+        if self.completion_request.chat:
             choice["delta"] = {}
         return choice
 
 
 def encode_failure(error: results.Error) -> bytes:
-    """Returns the event that ends a stream that can't be completed."""
+    """Returns the error event that ends an incomplete stream."""
     return b"data: " + faults.error_body(error) + b"\n\n"
 
 
 def encode_models(names: list[str]) -> bytes:
-    """Returns the answer to GET /v1/models."""
-    data = [
+    """Returns the response body of GET /v1/models."""
+    models = [
         {
             "id": each,
             "object": "model",
@@ -133,4 +145,4 @@
         }
         for each in names
     ]
-    return _encode({"object": "list", "data": data})
+    return _encode({"object": "list", "data": models})
--- a/pimentoledge/commands/administration.py
+++ b/pimentoledge/commands/administration.py
@@ -67,7 +67,7 @@
         raise NotImplementedError
 
     def print_answer(
-        self, answer: result.Result[clients.ApiAnswer, results.Error]
+        self, answer: result.Result[clients.ApiResponse, results.Error]
     ) -> int:
         """Prints an answer; returns the exit status."""
         match answer:
@@ -76,7 +76,7 @@
                 return REFUSED_EXIT
             case result.Success(received):
                 pass
-        if received.known:
+        if received.from_local_copy:
             self.line_error("the store did not answer; this is what is known")
         text = json.dumps(received.fields, indent=2)
         if received.status >= _FIRST_ERROR_STATUS:
--- a/pimentoledge/operators/clients.py
+++ b/pimentoledge/operators/clients.py
@@ -1,4 +1,4 @@
-"""The operators' client of the administration API."""
+"""Client of the administration API, for operators."""
 
 from collections import abc
 import urllib.parse
@@ -15,20 +15,21 @@
 
 
 @attrs.define(kw_only=True)
-class ApiAnswer:
-    """An answer of the administration API.
+class ApiResponse:
+    """A response of the administration API.
 
     Attributes:
         status: HTTP status.
         fields: the JSON body.
         version: version of the object; 0 for none.
-        known: whether this is what the entry knew, without the store.
+        from_local_copy: whether the entry returned its local copy because the
+            store was down.
     """
 
     status: int
     fields: dict[str, object]
     version: int = 0
-    known: bool = False
+    from_local_copy: bool = False
 
 
 class AdminClient:
@@ -55,19 +56,19 @@
 
     def read(
         self, path: str, **query: object
-    ) -> result.Result[ApiAnswer, results.Error]:
-        """Reads a path below the API's root, as "contracts/acme"."""
+    ) -> result.Result[ApiResponse, results.Error]:
+        """Reads a path below the API's root, such as "contracts/acme"."""
         return self._call("GET", path, query=query)
 
     def pages(self, kind: str, limit: int) -> abc.Iterator[result.Result]:
-        """Reads all pages of a list, one after the other."""
+        """Yields all pages of a list in order."""
         cursor = ""
         while cursor is not None:
-            answer = self.read(kind, limit=limit, cursor=cursor)
-            yield answer
+            page = self.read(kind, limit=limit, cursor=cursor)
+            yield page
             cursor = None
-            if isinstance(answer, result.Success):
-                cursor = answer.unwrap().fields.get("cursor")
+            if isinstance(page, result.Success):
+                cursor = page.unwrap().fields.get("cursor")
 
     def write(
         self,
@@ -77,15 +78,15 @@
         fields: dict[str, object] | None = None,
         expected: int,
         dry_run: bool = False,
-    ) -> result.Result[ApiAnswer, results.Error]:
-        """Changes an object on condition of its version.
+    ) -> result.Result[ApiResponse, results.Error]:
+        """Changes an object if it still has the expected version.
 
         Args:
             method: PUT, PATCH or DELETE.
             path: path below the API's root.
             fields: the JSON body.
-            expected: the version that was read; 0 to create the object.
-            dry_run: check everything, and write nothing.
+            expected: the expected version; 0 to create the object.
+            dry_run: validate the change without writing it.
         """
         condition = {"If-Match": f'"{expected}"'}
         if expected == 0:
@@ -103,13 +104,13 @@
         query: dict[str, object],
         headers: dict[str, str] | None = None,
         fields: dict[str, object] | None = None,
-    ) -> result.Result[ApiAnswer, results.Error]:
-        address = f"{self.url}{api.API_ROOT}{path}?"
-        address += urllib.parse.urlencode(query)
+    ) -> result.Result[ApiResponse, results.Error]:
+        url = f"{self.url}{api.API_ROOT}{path}?"
+        url += urllib.parse.urlencode(query)
         try:
             response = self._pool.request(
                 method,
-                address,
+                url,
                 headers={
                     "Authorization": f"Bearer {self.key}",
                     **(headers or {}),
@@ -119,16 +120,16 @@
             )
             body = msgspec.json.decode(response.data, type=dict[str, object])
         except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
-            # The change may have been accepted before the answer was lost.
+            # The change may have been accepted before the response was lost.
             ran = results.Ran.UNKNOWN
             code = results.Code.UNCONFIRMED
             text = f"no answer of {self.url}: {error}"
             return result.Failure(results.Error(code=code, text=text, ran=ran))
         version = response.headers.get("ETag", '"0"').strip('"')
-        answer = ApiAnswer(
+        api_response = ApiResponse(
             status=response.status,
             fields=body,
             version=int(version),
-            known=api.KNOWN_HEADER in response.headers,
+            from_local_copy=api.SOURCE_HEADER in response.headers,
         )
-        return result.Success(answer)
+        return result.Success(api_response)
