--- a/benches/limits.py
+++ b/benches/limits.py
@@ -36,7 +36,7 @@
         self.at = 0.0
         self.running = set()
 
-    def take(self, contract, request, now):
+    def admit(self, contract, request, now):
         """Lets in from this entry's own part."""
         part = len(ENTRIES)
         burst = max(1.0, contract.burst / part)
@@ -83,7 +83,7 @@
         self.told = (0, 0)
         self.told_at = 0.0
 
-    def take(self, contract, request, now):
+    def admit(self, contract, request, now):
         """Lets in against the sum of all counters known here."""
         burst = float(contract.burst)
         level = burst if self.level is None else self.level
@@ -131,7 +131,7 @@
     node = limits.ContractLimits(
         name=address, address=address, policy=limits.Policy(**fields)
     )
-    node.entries(ENTRIES, 0.0)
+    node.update_entries(ENTRIES, 0.0)
     return node
 
 
@@ -237,7 +237,7 @@
         """A request reaches an entry."""
         self.result.offered += 1
         self.asked[request] = now
-        taken = self.nodes[address].take(self.load.contract, request, now)
+        taken = self.nodes[address].admit(self.load.contract, request, now)
         match taken:
             case limits.Granted():
                 self.granted(now, address, request)
--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -144,7 +144,9 @@
         self.root = self.configuration.root
         peers = [each.mailbox for each in self.configuration.entries()]
         self.quarantine.peers = [each for each in peers if each != self.address]
-        return self.apply_limit_outputs(self.limits.entries(peers, now), now)
+        return self.apply_limit_outputs(
+            self.limits.update_entries(peers, now), now
+        )
 
     def tick(self, now: float) -> Actions:
         """Handles expired timers."""
@@ -277,7 +279,7 @@
         self.budget.record_request(now)
         self.tickets[event.request] = ticket
         self.timers.set((_DEADLINE, event.request), ticket.deadline)
-        match self.limits.take(ticket.contract, event.request, now):
+        match self.limits.admit(ticket.contract, event.request, now):
             case limits.Granted(sends=sends):
                 return self.apply_limit_outputs(sends, now) + self.place(
                     ticket, now
--- a/pimentoledge/decisions/lending.py
+++ b/pimentoledge/decisions/lending.py
@@ -34,36 +34,36 @@
 
     Attributes:
         slots: number of slots.
-        running: slots needed for running and waiting requests, as of the
+        needed: slots needed for running and waiting requests, as of the
             borrower's last QuotaRequest.
         until: when the lease expires.
         scarce: whether the borrower was notified that no slots are left and
             so reports each freed slot at once.
         recalled: whether a recall of unused slots was sent to the borrower.
-        life: the borrower's life in the QuotaRequest behind this lease.
-        number: the number of that QuotaRequest.
+        incarnation: `life` of the QuotaRequest that this lease answers.
+        request_number: number of that QuotaRequest.
     """
 
     slots: int
-    running: int
+    needed: int
     until: float
     scarce: bool = False
     recalled: bool = False
-    life: int = 0
-    number: int = 0
+    incarnation: int = 0
+    request_number: int = 0
 
 
 @attrs.define(kw_only=True)
-class Pending:
+class PendingAnswer:
     """An answer that waits for recalled slots.
 
     Attributes:
-        borrow: the message to answer.
+        request: the message to answer.
         answer: the answer; its tokens are final, its slots are not.
-        until: when it is sent even if no slots have come back.
+        until: when it is sent even if no slots were returned.
     """
 
-    borrow: messages.QuotaRequest
+    request: messages.QuotaRequest
     answer: messages.QuotaGrant
     until: float
 
@@ -103,59 +103,59 @@
     filled_at: float
     leases: dict[str, SlotLease] = attrs.field(factory=dict)
     scarce_until: float = 0.0
-    pending: dict[str, Pending] = attrs.field(factory=dict)
+    pending: dict[str, PendingAnswer] = attrs.field(factory=dict)
 
-    def lend(
-        self, borrower: str, borrow: messages.QuotaRequest, now: float
+    def grant(
+        self, borrower: str, request: messages.QuotaRequest, now: float
     ) -> list[Reply]:
-        """Applies the borrower's report and lends what is available.
+        """Applies the borrower's report and grants what is available.
 
         Args:
             borrower: mailbox of the borrower.
-            borrow: its report and the tokens and slots that it requests.
+            request: its report and the tokens and slots that it requests.
             now: monotonic time in seconds.
 
         Returns:
             The messages to send: recalls if slots are short, else the answer
             and those pending answers that are now complete.
         """
-        self.update_limits(borrow)
+        self.update_limits(request)
         self.refill(now)
-        self.level += borrow.returned - borrow.debt
+        self.level += request.returned - request.debt
         self.level = min(self.level, self.burst)
         answer = messages.QuotaGrant(
-            organisation=borrow.organisation,
-            number=borrow.number,
+            organisation=request.organisation,
+            number=request.number,
             token_seconds=TOKEN_SECONDS,
             slot_seconds=SLOT_SECONDS,
         )
-        self._lend_tokens(borrow, answer)
+        self._grant_tokens(request, answer)
         # Applying an outdated report would free slots that a newer one has
         # leased to this borrower, and lend them to others as well.
-        if self._is_outdated(borrower, borrow):
+        if self._is_outdated(borrower, request):
             return []
         self.pending.pop(borrower, None)
-        recalls = self._lend_slots(borrower, borrow, answer, now)
+        recalls = self._grant_slots(borrower, request, answer, now)
         if recalls:
-            self.pending[borrower] = Pending(
-                borrow=borrow, answer=answer, until=now + RECALL_SECONDS
+            self.pending[borrower] = PendingAnswer(
+                request=request, answer=answer, until=now + RECALL_SECONDS
             )
             return recalls
         replies = [Reply(address=borrower, message=answer)]
         return replies + self.answer_pending(now)
 
     def answer_pending(self, now: float) -> list[Reply]:
-        """Returns the pending answers whose slots came back or time is up.
+        """Returns the pending answers that are complete or have timed out.
 
         Recalls that became necessary meanwhile are returned with them.
         """
         replies: list[Reply] = []
         for borrower, pending in list(self.pending.items()):
-            recalls = self._lend_slots(
-                borrower, pending.borrow, pending.answer, now
+            recalls = self._grant_slots(
+                borrower, pending.request, pending.answer, now
             )
-            borrow = pending.borrow
-            short = pending.answer.slots < borrow.running + borrow.waiting
+            request = pending.request
+            short = pending.answer.slots < request.running + request.waiting
             expected = any(lease.recalled for lease in self.leases.values())
             if short and (recalls or expected) and now < pending.until:
                 replies += recalls
@@ -164,14 +164,14 @@
             replies.append(Reply(address=borrower, message=pending.answer))
         return replies
 
-    def update_limits(self, borrow: messages.QuotaRequest) -> None:
+    def update_limits(self, request: messages.QuotaRequest) -> None:
         """Applies the limits of a newer contract; ignores an older one."""
-        if borrow.version <= self.version:
+        if request.version <= self.version:
             return
-        self.version = borrow.version
-        self.rate = borrow.rate
-        self.burst = burst_of(borrow)
-        self.concurrency = borrow.concurrency
+        self.version = request.version
+        self.rate = request.rate
+        self.burst = burst_of(request)
+        self.concurrency = request.concurrency
 
     def refill(self, now: float) -> None:
         """Adds the tokens accrued since the last refill."""
@@ -188,43 +188,43 @@
             if borrower not in borrowers:
                 del self.pending[borrower]
 
-    def idle(self, now: float) -> bool:
+    def is_idle(self, now: float) -> bool:
         """Returns whether the ledger can be dropped without effect."""
         self.refill(now)
         self._expire_leases(now)
         return not self.leases and self.level >= self.burst
 
-    def _lend_tokens(
-        self, borrow: messages.QuotaRequest, answer: messages.QuotaGrant
+    def _grant_tokens(
+        self, request: messages.QuotaRequest, answer: messages.QuotaGrant
     ) -> None:
         if not self.rate:
-            answer.tokens = borrow.tokens
+            answer.tokens = request.tokens
             return
-        answer.tokens = max(0, min(borrow.tokens, math.floor(self.level)))
+        answer.tokens = max(0, min(request.tokens, math.floor(self.level)))
         self.level -= answer.tokens
-        if borrow.tokens and not answer.tokens:
+        if request.tokens and not answer.tokens:
             floor = min(MIN_WAIT_SECONDS, self.burst / (2 * self.rate))
             wait = max(floor, (1.0 - self.level) / self.rate)
             answer.wait = min(wait, MAX_WAIT_SECONDS)
 
     def _is_outdated(
-        self, borrower: str, borrow: messages.QuotaRequest
+        self, borrower: str, request: messages.QuotaRequest
     ) -> bool:
         lease = self.leases.get(borrower)
-        if lease is None or lease.life != borrow.life:
+        if lease is None or lease.incarnation != request.life:
             return False
-        return borrow.number < lease.number
+        return request.number < lease.request_number
 
-    def _lend_slots(
+    def _grant_slots(
         self,
         borrower: str,
-        borrow: messages.QuotaRequest,
+        request: messages.QuotaRequest,
         answer: messages.QuotaGrant,
         now: float,
     ) -> list[Reply]:
         """Sets the slots of an answer; returns recalls if slots are short."""
         if not self.concurrency:
-            answer.slots = borrow.slots
+            answer.slots = request.slots
             return []
         self._expire_leases(now)
         self.leases.pop(borrower, None)
@@ -232,22 +232,24 @@
         free = self.concurrency - lent
         # Running requests count whether or not their slots were lent: they
         # can't be stopped, and leaving them out would lend their slots twice.
-        answer.slots = max(borrow.running, min(borrow.slots, free))
-        short = answer.slots < borrow.running + borrow.waiting
+        answer.slots = max(request.running, min(request.slots, free))
+        short = answer.slots < request.running + request.waiting
         if short:
             self.scarce_until = now + SCARCE_SECONDS
         answer.scarce = answer.slots >= free or now < self.scarce_until
         self.leases[borrower] = SlotLease(
             slots=answer.slots,
-            running=borrow.running + borrow.waiting,
+            needed=request.running + request.waiting,
             until=now + SLOT_SECONDS,
             scarce=answer.scarce,
-            life=borrow.life,
-            number=borrow.number,
+            incarnation=request.life,
+            request_number=request.number,
+        )
+        return (
+            self._recall_slots(borrower, request.organisation) if short else []
         )
-        return self._recall(borrower, borrow.organisation) if short else []
 
-    def _recall(self, borrower: str, organisation: str) -> list[Reply]:
+    def _recall_slots(self, borrower: str, organisation: str) -> list[Reply]:
         """Returns recalls for the other borrowers' unused slots.
 
         Without a recall, slots lent ahead of demand would be unavailable to
@@ -255,7 +257,7 @@
         """
         replies: list[Reply] = []
         for address, lease in self.leases.items():
-            unused = lease.slots > lease.running or not lease.scarce
+            unused = lease.slots > lease.needed or not lease.scarce
             if address == borrower or lease.recalled or not unused:
                 continue
             lease.recalled = True
@@ -272,22 +274,22 @@
                 del self.leases[borrower]
 
 
-def burst_of(borrow: messages.QuotaRequest) -> float:
+def burst_of(request: messages.QuotaRequest) -> float:
     """Returns the capacity of the token bucket, at least one request."""
-    return max(1.0, float(borrow.burst))
+    return max(1.0, float(request.burst))
 
 
-def open_ledger(borrow: messages.QuotaRequest, now: float) -> Ledger:
+def open_ledger(request: messages.QuotaRequest, now: float) -> Ledger:
     """Returns a new ledger with a full bucket.
 
     After a change of owner the full bucket admits at most one burst too
     many. An empty one would refuse the first requests of a new organisation.
     """
     return Ledger(
-        version=borrow.version,
-        rate=borrow.rate,
-        burst=burst_of(borrow),
-        concurrency=borrow.concurrency,
-        level=burst_of(borrow),
+        version=request.version,
+        rate=request.rate,
+        burst=burst_of(request),
+        concurrency=request.concurrency,
+        level=burst_of(request),
         filled_at=now,
     )
--- a/pimentoledge/decisions/limits.py
+++ b/pimentoledge/decisions/limits.py
@@ -39,7 +39,7 @@
             requests tokens for.
         answer_seconds: time after which an owner that has not answered
             counts as silent.
-        probe_seconds: interval between Borrows sent to a silent owner.
+        probe_seconds: interval between QuotaRequests sent to a silent owner.
         tick_seconds: interval at which leases and waiting requests are
             checked.
         idle_seconds: time without requests after which an account is
@@ -87,7 +87,7 @@
 
 @attrs.frozen(kw_only=True)
 class Waiting:
-    """A QuotaRequest is under way; a Decided follows within `answer_seconds`.
+    """A QuotaRequest is pending; a Decided follows within `answer_seconds`.
 
     Attributes:
         sends: messages to send, and decisions on other waiting requests.
@@ -140,9 +140,9 @@
         Args:
             name: this entry's name.
             address: this entry's mailbox.
-            seed: random number of this process's life, sent as `life` in
-                each QuotaRequest, so that the owner can distinguish it from
-                earlier lives of this entry.
+            seed: random id of this incarnation of the entry, sent as `life`
+                in each QuotaRequest so that the owner can distinguish it
+                from earlier incarnations.
             policy: how limits are shared.
         """
         self.name = name
@@ -156,10 +156,10 @@
         self.silent: dict[str, float] = {}
         self.ticked_at: float | None = None
 
-    def take(
+    def admit(
         self, contract: declarations.Contract, request: str, now: float
     ) -> LimitOutcome:
-        """Admits or refuses one request, or makes it wait for the owner.
+        """Admits or refuses a request, or queues it for the owner's answer.
 
         Args:
             contract: the organisation's contract as cached by this entry.
@@ -168,16 +168,16 @@
         """
         if not contract.requests_per_second and not contract.concurrency:
             return Granted()
-        account = self._account(contract, now)
+        account = self._touch_account(contract, now)
         sent: list[actions.Action | Decided] = []
         shortage = self._check_quota(account, now)
-        if shortage is _ASK_OWNER:
-            sent = self._send_borrow(account, now, waiting=1)
+        if shortage is _OWNER_DECIDES:
+            sent = self._send_quota_request(account, now, waiting=1)
             shortage = self._check_quota(account, now)
         if shortage is None:
             self._start_request(account, request, now)
-            return Granted(sends=sent + self._borrow_ahead(account, now))
-        if shortage is not _ASK_OWNER:
+            return Granted(sends=sent + self._request_quota_ahead(account, now))
+        if shortage is not _OWNER_DECIDES:
             return Refused(
                 error=self._refusal(account, shortage, now), sends=sent
             )
@@ -199,16 +199,18 @@
         account.waiting.pop(request, None)
         started = account.running.pop(request, None)
         if started is not None:
-            held = now - started
-            account.hold_seconds += SMOOTHING * (held - account.hold_seconds)
+            running_seconds = now - started
+            account.hold_seconds += SMOOTHING * (
+                running_seconds - account.hold_seconds
+            )
         account.slots_denied_until = 0.0
         # When slots are scarce, a freed slot that is not reported at once
         # would make another entry refuse a request below the limit.
-        if account.scarce and account.asked_at is None:
-            return self._send_borrow(account, now)
+        if account.scarce and account.requested_at is None:
+            return self._send_quota_request(account, now)
         return []
 
-    def entries(
+    def update_entries(
         self, addresses: list[str], now: float
     ) -> list[actions.Action | Decided]:
         """Replaces the list of live entries' mailboxes."""
@@ -229,12 +231,12 @@
             if owner == account.owner:
                 continue
             account.owner = owner
-            account.asked_at = None
+            account.requested_at = None
             account.slots = min(account.slots, len(account.running))
             # The new owner has no record of the slots in use here and would
             # lend them again.
             if account.running or account.waiting:
-                outputs += self._send_borrow(account, now)
+                outputs += self._send_quota_request(account, now)
             outputs += self._decide_waiting(account, now)
         return outputs
 
@@ -249,10 +251,14 @@
             now: monotonic time in seconds.
         """
         match event:
-            case events.FromNode(message=messages.QuotaRequest() as borrow):
-                return self._handle_borrow(event.sender, borrow, now)
-            case events.FromNode(message=messages.QuotaGrant() as lend):
-                return self._handle_lend(event.sender, lend, now)
+            case events.FromNode(
+                message=messages.QuotaRequest() as quota_request
+            ):
+                return self._handle_quota_request(
+                    event.sender, quota_request, now
+                )
+            case events.FromNode(message=messages.QuotaGrant() as grant):
+                return self._handle_quota_grant(event.sender, grant, now)
             case events.Unreachable():
                 self._invalidate_leases(event.address, now)
                 return []
@@ -269,7 +275,7 @@
         """Returns the mailbox of the entry that owns the limits."""
         return max(self.peers, key=lambda peer: _score(organisation, peer))
 
-    def _account(
+    def _touch_account(
         self, contract: declarations.Contract, now: float
     ) -> limit_accounts.Account:
         account = self.accounts.get(contract.organisation)
@@ -277,7 +283,7 @@
             account = limit_accounts.Account(
                 contract=contract,
                 owner=self.owner_of(contract.organisation),
-                own_at=now,
+                own_refilled_at=now,
                 used_at=now - 1.0,
             )
             account.own_level = self._own_burst(account)
@@ -304,15 +310,15 @@
     def _refill_own(self, account: limit_accounts.Account, now: float) -> None:
         rate = account.contract.requests_per_second
         rate *= self.policy.own_share / len(self.peers)
-        passed = max(0.0, now - account.own_at)
+        passed = max(0.0, now - account.own_refilled_at)
         level = account.own_level + rate * passed
         account.own_level = min(level, self._own_burst(account))
-        account.own_at = max(now, account.own_at)
+        account.own_refilled_at = max(now, account.own_refilled_at)
 
     def _check_quota(
         self, account: limit_accounts.Account, now: float
     ) -> object:
-        """Returns None, a results.Code, or _ASK_OWNER."""
+        """Returns None if allowed, a results.Code, or _OWNER_DECIDES."""
         shortage = self._check_slot(account, now)
         if isinstance(shortage, results.Code):
             return shortage
@@ -332,7 +338,7 @@
         own = running < self._own_slots(account)
         if own and (silent or self.policy.slots_ahead):
             return None
-        return results.Code.CONCURRENCY_LIMITED if silent else _ASK_OWNER
+        return results.Code.CONCURRENCY_LIMITED if silent else _OWNER_DECIDES
 
     def _check_token(
         self, account: limit_accounts.Account, now: float
@@ -347,7 +353,7 @@
         if account.own_level >= 1.0:
             return None
         silent = account.owner in self.silent
-        return results.Code.RATE_LIMITED if silent else _ASK_OWNER
+        return results.Code.RATE_LIMITED if silent else _OWNER_DECIDES
 
     def _start_request(
         self, account: limit_accounts.Account, request: str, now: float
@@ -383,13 +389,13 @@
             case _:
                 interval = account.hold_seconds / max(1, contract.concurrency)
                 first = now + interval
-        start = max(first, account.promised_until, now)
+        start = max(first, account.next_retry_at, now)
         start = min(start, now + MAX_RETRY_SECONDS)
-        account.promised_until = start + interval
+        account.next_retry_at = start + interval
         retry = max(MIN_RETRY_SECONDS, start - now)
         return results.Error(code=code, retry_after=retry)
 
-    def _borrow_ahead(
+    def _request_quota_ahead(
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
         """Sends a QuotaRequest before the last token or slot is used."""
@@ -402,32 +408,32 @@
             len(account.running) > account.slots
             or (len(account.running) == account.slots and not account.scarce)
         )
-        if account.asked_at is not None or not (few_tokens or few_slots):
+        if account.requested_at is not None or not (few_tokens or few_slots):
             return []
         if account.owner in self.silent:
             return []
         if now < account.rate_denied_until and not few_slots:
             return []
-        return self._send_borrow(account, now)
+        return self._send_quota_request(account, now)
 
-    def _send_borrow(
+    def _send_quota_request(
         self, account: limit_accounts.Account, now: float, waiting: int = 0
     ) -> list[actions.Action | Decided]:
-        """Sends a QuotaRequest, unless one is under way."""
-        if account.asked_at is not None:
+        """Sends a QuotaRequest unless one is pending."""
+        if account.requested_at is not None:
             return []
-        borrow = self._make_borrow(account, now, waiting)
+        quota_request = self._build_quota_request(account, now, waiting)
         if account.owner == self.address:
-            return self._handle_borrow(self.address, borrow, now)
-        return [actions.Send(address=account.owner, message=borrow)]
+            return self._handle_quota_request(self.address, quota_request, now)
+        return [actions.Send(address=account.owner, message=quota_request)]
 
-    def _make_borrow(
+    def _build_quota_request(
         self, account: limit_accounts.Account, now: float, waiting: int
     ) -> messages.QuotaRequest:
         contract = account.contract
         waiting += len(account.waiting)
-        lapsed = account.tokens_until <= now
-        returned = account.tokens if lapsed else 0
+        expired = account.tokens_until <= now
+        returned = account.tokens if expired else 0
         account.tokens -= returned
         busy = now - account.used_at < lending.TOKEN_SECONDS
         chunk = account.chunk(self.policy.chunk_seconds) + waiting
@@ -438,9 +444,9 @@
         if busy and not account.scarce:
             slots += contract.concurrency // (4 * len(self.peers))
         account.number += 1
-        account.asked_at = now
-        account.needed = len(account.running) + waiting
-        borrow = messages.QuotaRequest(
+        account.requested_at = now
+        account.needed_slots = len(account.running) + waiting
+        quota_request = messages.QuotaRequest(
             organisation=contract.organisation,
             number=account.number,
             life=self.seed,
@@ -456,48 +462,52 @@
             slots=slots if contract.concurrency else 0,
         )
         account.debt = 0
-        # Slots that this QuotaRequest gives back must not be used while the
-        # answer is under way: the owner may already have lent them again.
-        account.slots = min(account.slots, borrow.slots)
-        return borrow
+        # Slots that this QuotaRequest returns must not be used while the
+        # answer is pending: the owner may already have lent them again.
+        account.slots = min(account.slots, quota_request.slots)
+        return quota_request
 
-    def _handle_borrow(
-        self, borrower: str, borrow: messages.QuotaRequest, now: float
+    def _handle_quota_request(
+        self, borrower: str, quota_request: messages.QuotaRequest, now: float
     ) -> list[actions.Action | Decided]:
-        ledger = self.ledgers.get(borrow.organisation)
+        ledger = self.ledgers.get(quota_request.organisation)
         if ledger is None:
-            ledger = lending.open_ledger(borrow, now)
-            self.ledgers[borrow.organisation] = ledger
-        return self._reply(ledger.lend(borrower, borrow, now), now)
+            ledger = lending.open_ledger(quota_request, now)
+            self.ledgers[quota_request.organisation] = ledger
+        return self._deliver_replies(
+            ledger.grant(borrower, quota_request, now), now
+        )
 
-    def _reply(
+    def _deliver_replies(
         self, replies: list[lending.Reply], now: float
     ) -> list[actions.Action | Decided]:
         outputs: list[actions.Action | Decided] = []
         for reply in replies:
             if reply.address == self.address:
-                outputs += self._handle_lend(self.address, reply.message, now)
+                outputs += self._handle_quota_grant(
+                    self.address, reply.message, now
+                )
                 continue
             outputs.append(
                 actions.Send(address=reply.address, message=reply.message)
             )
         return outputs
 
-    def _handle_lend(
-        self, sender: str, lend: messages.QuotaGrant, now: float
+    def _handle_quota_grant(
+        self, sender: str, grant: messages.QuotaGrant, now: float
     ) -> list[actions.Action | Decided]:
         self.silent.pop(sender, None)
-        account = self.accounts.get(lend.organisation)
+        account = self.accounts.get(grant.organisation)
         # An answer to an older QuotaRequest, or from a former owner, describes
         # an outdated state; its tokens expire unspent.
         if account is None or account.owner != sender:
             return []
-        if lend.number == lending.RECALL_NUMBER:
+        if grant.number == lending.RECALL_NUMBER:
             account.scarce = True
-            return self._send_borrow(account, now)
-        if account.asked_at is None or account.number != lend.number:
+            return self._send_quota_request(account, now)
+        if account.requested_at is None or account.number != grant.number:
             return []
-        self._apply(account, lend, now)
+        self._apply_grant(account, grant, now)
         return self._decide_waiting(account, now)
 
     def _invalidate_leases(self, owner: str, now: float) -> None:
@@ -509,29 +519,31 @@
         for account in self.accounts.values():
             if account.owner != owner:
                 continue
-            account.asked_at = None
+            account.requested_at = None
             account.slots = min(account.slots, len(account.running))
             account.slots_until = min(account.slots_until, now)
 
-    def _apply(
+    def _apply_grant(
         self,
         account: limit_accounts.Account,
-        lend: messages.QuotaGrant,
+        grant: messages.QuotaGrant,
         now: float,
     ) -> None:
-        asked_at = account.asked_at if account.asked_at is not None else now
-        account.asked_at = None
-        if lend.tokens:
-            account.tokens += lend.tokens
-            account.tokens_until = asked_at + lend.token_seconds
+        requested_at = (
+            account.requested_at if account.requested_at is not None else now
+        )
+        account.requested_at = None
+        if grant.tokens:
+            account.tokens += grant.tokens
+            account.tokens_until = requested_at + grant.token_seconds
             account.rate_denied_until = 0.0
-        if lend.wait:
-            account.rate_denied_until = now + lend.wait
-        account.slots = lend.slots
-        account.slots_until = asked_at + lend.slot_seconds
-        account.scarce = lend.scarce
+        if grant.wait:
+            account.rate_denied_until = now + grant.wait
+        account.slots = grant.slots
+        account.slots_until = requested_at + grant.slot_seconds
+        account.scarce = grant.scarce
         account.slots_denied_until = 0.0
-        if account.contract.concurrency and lend.slots < account.needed:
+        if account.contract.concurrency and grant.slots < account.needed_slots:
             pause = account.hold_seconds / max(1, account.contract.concurrency)
             pause = max(pause, lending.MIN_WAIT_SECONDS)
             account.slots_denied_until = now + min(pause, 1.0)
@@ -543,8 +555,8 @@
         outputs: list[actions.Action | Decided] = []
         for request in list(account.waiting):
             shortage = self._check_quota(account, now)
-            if shortage is _ASK_OWNER:
-                return outputs + self._send_borrow(account, now)
+            if shortage is _OWNER_DECIDES:
+                return outputs + self._send_quota_request(account, now)
             del account.waiting[request]
             error = None
             if shortage is None:
@@ -564,8 +576,8 @@
             if idle and not account.running and not account.tokens:
                 del self.accounts[organisation]
         for organisation, ledger in list(self.ledgers.items()):
-            outputs += self._reply(ledger.answer_pending(now), now)
-            if ledger.idle(now):
+            outputs += self._deliver_replies(ledger.answer_pending(now), now)
+            if ledger.is_idle(now):
                 del self.ledgers[organisation]
         return outputs
 
@@ -573,15 +585,15 @@
         self, account: limit_accounts.Account, now: float
     ) -> list[actions.Action | Decided]:
         policy = self.policy
-        if account.asked_at is not None:
-            late = now - account.asked_at >= policy.answer_seconds
+        if account.requested_at is not None:
+            late = now - account.requested_at >= policy.answer_seconds
             if not late:
                 return []
             # The QuotaRequest or its answer is lost, or the owner is down or
-            # unreachable. Tokens lent in a lost answer are not recovered: a
-            # new QuotaRequest may grant too few, but never the same tokens
-            # twice.
-            account.asked_at = None
+            # unreachable. Tokens lent in a lost answer are not recovered:
+            # the answer to a new QuotaRequest may grant too few, but never
+            # the same tokens twice.
+            account.requested_at = None
             self.silent.setdefault(account.owner, now)
             return self._decide_waiting(account, now)
         outputs = self._decide_waiting(account, now)
@@ -590,7 +602,7 @@
                 return outputs
             self.silent[account.owner] = now
             account.debt = 0
-            return outputs + self._send_borrow(account, now)
+            return outputs + self._send_quota_request(account, now)
         stale_tokens = account.tokens and account.tokens_until <= now
         renew = account.slots_until - now < lending.SLOT_SECONDS / 2
         stale_slots = account.slots and renew
@@ -598,12 +610,12 @@
             account.scarce or now - account.used_at > lending.TOKEN_SECONDS
         )
         if stale_tokens or stale_slots or idle_slots or account.debt:
-            outputs += self._send_borrow(account, now)
+            outputs += self._send_quota_request(account, now)
         return outputs
 
 
-# Marks that only the owner can decide whether the quota allows a request.
-_ASK_OWNER = object()
+# Only the owner can decide whether the quota allows a request.
+_OWNER_DECIDES = object()
 
 
 def _score(organisation: str, peer: str) -> int:
