--- a/benches/limits.py
+++ b/benches/limits.py
@@ -1,6 +1,6 @@
-"""Compares ways of holding one contract's limits over ten entries.
+"""Compares approaches to applying one contract's limits at ten entries.
 
-Virtual time, one process, links of one millisecond. Run:
+Runs in one process, in simulated time; a message takes 1 ms. Usage:
 
     python -m benches.limits [--seconds 60] [--seed 1]
 """
@@ -27,24 +27,24 @@
 OVERHEAD_BYTES = 60
 
 
-class Share:
+class EqualShare:
     """Baseline: an equal part of the limit for each entry, no messages."""
 
     def __init__(self, *, address):
         self.address = address
         self.level = None
-        self.at = 0.0
+        self.refilled_at = 0.0
         self.running = set()
 
     def admit(self, contract, request, now):
-        """Lets in from this entry's own part."""
-        part = len(ENTRIES)
-        burst = max(1.0, contract.burst / part)
-        rate = contract.requests_per_second / part
+        """Admits or refuses a request by this entry's own share."""
+        share_count = len(ENTRIES)
+        burst = max(1.0, contract.burst / share_count)
+        rate = contract.requests_per_second / share_count
         level = burst if self.level is None else self.level
-        self.level = min(burst, level + rate * (now - self.at))
-        self.at = now
-        slots = max(1, contract.concurrency // part)
+        self.level = min(burst, level + rate * (now - self.refilled_at))
+        self.refilled_at = now
+        slots = max(1, contract.concurrency // share_count)
         if contract.concurrency and len(self.running) >= slots:
             return limits.Refused(error=None)
         if rate and self.level < 1.0:
@@ -54,49 +54,55 @@
         return limits.Granted()
 
     def release(self, request, now):
-        """Ends a request."""
+        """Frees the slot of a request."""
         self.running.discard(request)
         return []
 
     def handle(self, event, now):
-        """Has nothing to do."""
+        """Returns no actions: entries exchange no messages."""
         return []
 
 
 @attrs.define(kw_only=True)
-class Counts:
-    """What an entry tells the others: its own two counters."""
+class CounterReport:
+    """The two counters of one entry, sent to all others.
+
+    Attributes:
+        organisation: organisation of the limits.
+        taken: number of requests admitted.
+        ended: number of requests ended.
+    """
 
     organisation: str
     taken: int
     ended: int
 
 
-class Merged(Share):
+class MergedCounters(EqualShare):
     """Baseline: each entry's counters, sent to all others and merged."""
 
-    def __init__(self, *, address, period=0.5):
+    def __init__(self, *, address, report_seconds=0.5):
         super().__init__(address=address)
-        self.period = period
-        self.taken = collections.Counter()
+        self.report_seconds = report_seconds
+        self.admitted = collections.Counter()
         self.ended = collections.Counter()
-        self.told = (0, 0)
-        self.told_at = 0.0
+        self.reported = (0, 0)
+        self.reported_at = 0.0
 
     def admit(self, contract, request, now):
-        """Lets in against the sum of all counters known here."""
+        """Admits or refuses a request by the sum of all known counters."""
         burst = float(contract.burst)
         level = burst if self.level is None else self.level
         rate = contract.requests_per_second
-        self.level = min(burst, level + rate * (now - self.at))
-        self.at = now
-        running = self.taken.total() - self.ended.total()
+        self.level = min(burst, level + rate * (now - self.refilled_at))
+        self.refilled_at = now
+        running = self.admitted.total() - self.ended.total()
         if contract.concurrency and running >= contract.concurrency:
             return limits.Refused(error=None)
         if rate and self.level < 1.0:
             return limits.Refused(error=None)
         self.level -= 1.0
-        self.taken[self.address] += 1
+        self.admitted[self.address] += 1
         return limits.Granted()
 
     def release(self, request, now):
@@ -107,18 +113,23 @@
     def handle(self, event, now):
         """Merges another entry's counters, or sends this one's."""
         if isinstance(event, events.FromNode):
-            counts = event.message
-            fresh = counts.taken - self.taken[event.sender]
-            self.level = (self.level or 0.0) - max(0, fresh)
-            self.taken[event.sender] = counts.taken
-            self.ended[event.sender] = counts.ended
+            report = event.message
+            newly_admitted = report.taken - self.admitted[event.sender]
+            self.level = (self.level or 0.0) - max(0, newly_admitted)
+            self.admitted[event.sender] = report.taken
+            self.ended[event.sender] = report.ended
             return []
-        own = (self.taken[self.address], self.ended[self.address])
-        if now - self.told_at < self.period or own == self.told:
+        own_counts = (self.admitted[self.address], self.ended[self.address])
+        if (
+            now - self.reported_at < self.report_seconds
+            or own_counts == self.reported
+        ):
             return []
-        self.told = own
-        self.told_at = now
-        message = Counts(organisation="o", taken=own[0], ended=own[1])
+        self.reported = own_counts
+        self.reported_at = now
+        message = CounterReport(
+            organisation="o", taken=own_counts[0], ended=own_counts[1]
+        )
         return [
             actions.Send(address=peer, message=message)
             for peer in ENTRIES
@@ -126,8 +137,8 @@
         ]
 
 
-def lending(address, **fields):
-    """Returns the product's own limits, with a policy."""
+def new_limits(address, **fields):
+    """Returns an entry's ContractLimits with the given policy."""
     node = limits.ContractLimits(
         name=address, address=address, policy=limits.Policy(**fields)
     )
@@ -135,213 +146,225 @@
     return node
 
 
-WAYS = {
-    "equal share": lambda address: Share(address=address),
-    "merged counters": lambda address: Merged(address=address),
-    "lending": lambda address: lending(address),
-    "lending, slots ahead": lambda a: lending(a, slots_ahead=True),
-    "ask the owner": lambda a: lending(a, own_share=0.0, chunk_seconds=0.0),
+APPROACHES = {
+    "equal share": lambda address: EqualShare(address=address),
+    "merged counters": lambda address: MergedCounters(address=address),
+    "lending": lambda address: new_limits(address),
+    "lending, slots ahead": lambda a: new_limits(a, slots_ahead=True),
+    "ask the owner": lambda a: new_limits(a, own_share=0.0, chunk_seconds=0.0),
 }
 
 
 @attrs.define(kw_only=True)
 class OfferedLoad:
-    """What is offered, and what is wrong.
+    """A load and its network faults.
 
     Attributes:
-        name: for the table.
+        name: name in the table.
         contract: the limits.
-        offered: requests per second over all entries.
-        place: which entries get the requests, by time.
-        cut: mailboxes cut off, by time.
+        requests_per_second: offered over all entries.
+        entries_at: returns the entries that get requests at a given time.
+        cut_at: returns the mailboxes that are cut off at a given time.
     """
 
     name: str
     contract: declarations.Contract
-    offered: float
-    place: object
-    cut: object = lambda now: set()
+    requests_per_second: float
+    entries_at: object
+    cut_at: object = lambda now: set()
 
 
 @attrs.define(kw_only=True)
 class Result:
-    """What came out of one run.
+    """Measurements of one run.
 
     Attributes:
-        offered: requests.
-        let_in: requests let in.
-        refused_below: refused while the limit as a whole had room.
-        overdraft: most requests that the bucket was ever short of.
-        peak: most requests that ran at one time.
-        message_bytes: of all messages, with the transport's own.
-        waits: time each request waited for a decision, seconds.
-        returned: callers that came back at the time they were told.
-        returned_refused: of them, refused again.
+        offered: number of requests.
+        admitted: number of admitted requests.
+        refused_below_limit: requests refused although the limit as a whole
+            was not reached.
+        max_overdraft: highest number of tokens admitted beyond the bucket.
+        max_running: highest number of concurrent requests.
+        message_bytes: size of all messages, including transport overhead.
+        wait_seconds: time that each request waited for its decision.
+        retried: retries at the time given by `retry_after`.
+        retried_refused: retries that were refused again.
     """
 
     offered: int = 0
-    let_in: int = 0
-    refused_below: int = 0
-    overdraft: float = 0.0
-    peak: int = 0
+    admitted: int = 0
+    refused_below_limit: int = 0
+    max_overdraft: float = 0.0
+    max_running: int = 0
     message_bytes: int = 0
-    waits: list = attrs.field(factory=list)
-    returned: int = 0
-    returned_refused: int = 0
+    wait_seconds: list = attrs.field(factory=list)
+    retried: int = 0
+    retried_refused: int = 0
 
 
 class Run:
-    """One run of one way under one load."""
+    """Simulates one approach under one load."""
 
-    def __init__(self, *, way, load, seconds, seed):
+    def __init__(self, *, approach, load, seconds, seed):
         self.load = load
         self.seconds = seconds
         self.random = random.Random(seed)
-        self.nodes = {address: WAYS[way](address) for address in ENTRIES}
+        self.nodes = {
+            address: APPROACHES[approach](address) for address in ENTRIES
+        }
         self.queue = []
-        self.order = 0
+        self.sequence = 0
         self.result = Result()
         self.level = float(load.contract.burst)
-        self.at = 0.0
+        self.refilled_at = 0.0
         self.running = 0
-        self.asked = {}
-        self.again = set()
+        self.arrived_at = {}
+        self.retries = set()
 
-    def push(self, when, what, *fields):
-        """Puts an event into the queue."""
-        self.order += 1
-        heapq.heappush(self.queue, (when, self.order, what, fields))
+    def schedule(self, when, callback, *arguments):
+        """Schedules a call of `callback` with the time and `arguments`."""
+        self.sequence += 1
+        heapq.heappush(self.queue, (when, self.sequence, callback, arguments))
 
     def run(self):
-        """Runs to the end and returns the result."""
+        """Runs the simulation and returns its result."""
         now = 0.0
         while now < self.seconds:
-            now += self.random.expovariate(self.load.offered)
-            place = self.random.choice(self.load.place(now))
-            self.push(now, self.arrive, place, f"r{self.order}")
+            now += self.random.expovariate(self.load.requests_per_second)
+            entry = self.random.choice(self.load.entries_at(now))
+            self.schedule(now, self.handle_arrival, entry, f"r{self.sequence}")
         for address in ENTRIES:
-            self.push(self.random.random() * 0.1, self.tick, address)
+            self.schedule(self.random.random() * 0.1, self.tick, address)
         while self.queue:
-            when, _, what, fields = heapq.heappop(self.queue)
+            when, _, callback, arguments = heapq.heappop(self.queue)
             if when > self.seconds:
                 break
-            what(when, *fields)
+            callback(when, *arguments)
         return self.result
 
     def tick(self, now, address):
-        """Lets an entry look at its leases."""
-        self.do(now, address, self.nodes[address].handle(None, now))
-        self.push(now + 0.1, self.tick, address)
+        """Sends an entry its periodic tick."""
+        self.apply_outputs(now, address, self.nodes[address].handle(None, now))
+        self.schedule(now + 0.1, self.tick, address)
 
-    def arrive(self, now, address, request):
-        """A request reaches an entry."""
+    def handle_arrival(self, now, address, request):
+        """Offers a request to an entry."""
         self.result.offered += 1
-        self.asked[request] = now
-        taken = self.nodes[address].admit(self.load.contract, request, now)
-        match taken:
+        self.arrived_at[request] = now
+        outcome = self.nodes[address].admit(self.load.contract, request, now)
+        match outcome:
             case limits.Granted():
-                self.granted(now, address, request)
+                self.record_admitted(now, address, request)
             case limits.Refused():
-                self.refused(now, address, request, taken.error)
-        self.do(now, address, getattr(taken, "sends", []))
+                self.record_refused(now, address, request, outcome.error)
+        self.apply_outputs(now, address, getattr(outcome, "sends", []))
 
-    def room(self, now):
-        """Returns the tokens that the whole limit has left."""
+    def available_tokens(self, now):
+        """Refills the bucket of the whole limit and returns its tokens."""
         contract = self.load.contract
-        fresh = (now - self.at) * contract.requests_per_second
-        self.level = min(contract.burst, self.level + fresh)
-        self.at = now
+        accrued = (now - self.refilled_at) * contract.requests_per_second
+        self.level = min(contract.burst, self.level + accrued)
+        self.refilled_at = now
         return self.level
 
-    def granted(self, now, address, request):
-        """A request is let in."""
+    def record_admitted(self, now, address, request):
+        """Records an admitted request and schedules its end."""
         result = self.result
-        result.let_in += 1
-        result.waits.append(now - self.asked[request])
-        result.returned += request in self.again
+        result.admitted += 1
+        result.wait_seconds.append(now - self.arrived_at[request])
+        result.retried += request in self.retries
         if self.load.contract.requests_per_second:
-            self.level = self.room(now) - 1.0
-            result.overdraft = max(result.overdraft, -self.level)
+            self.level = self.available_tokens(now) - 1.0
+            result.max_overdraft = max(result.max_overdraft, -self.level)
         self.running += 1
-        result.peak = max(result.peak, self.running)
-        held = self.random.expovariate(1 / HOLD_SECONDS)
-        self.push(now + held, self.end, address, request)
+        result.max_running = max(result.max_running, self.running)
+        run_seconds = self.random.expovariate(1 / HOLD_SECONDS)
+        self.schedule(now + run_seconds, self.finish, address, request)
 
-    def refused(self, now, address, request, error):
-        """A request is refused; some callers come back when told."""
+    def record_refused(self, now, address, request, error):
+        """Records a refusal and schedules a retry for one caller in ten."""
         result = self.result
-        result.waits.append(now - self.asked[request])
+        result.wait_seconds.append(now - self.arrived_at[request])
         contract = self.load.contract
-        token = not contract.requests_per_second or self.room(now) >= 1.0
-        free = not contract.concurrency or self.running < contract.concurrency
-        result.refused_below += token and free
-        if request in self.again:
-            result.returned += 1
-            result.returned_refused += 1
+        has_token = (
+            not contract.requests_per_second
+            or self.available_tokens(now) >= 1.0
+        )
+        has_slot = (
+            not contract.concurrency or self.running < contract.concurrency
+        )
+        result.refused_below_limit += has_token and has_slot
+        if request in self.retries:
+            result.retried += 1
+            result.retried_refused += 1
         elif error is not None and self.random.random() < 0.1:
-            name = request + "again"
-            self.again.add(name)
+            retry = request + "again"
+            self.retries.add(retry)
             when = now + error.retry_after
-            self.push(when, self.arrive, address, name)
+            self.schedule(when, self.handle_arrival, address, retry)
 
-    def end(self, now, address, request):
-        """A request has run."""
+    def finish(self, now, address, request):
+        """Releases a request that has ended."""
         self.running -= 1
-        self.do(now, address, self.nodes[address].release(request, now))
+        self.apply_outputs(
+            now, address, self.nodes[address].release(request, now)
+        )
 
-    def do(self, now, source, done):
-        """Carries messages, unless one end is cut off."""
-        cut = self.load.cut(now)
-        for action in done:
-            match action:
+    def apply_outputs(self, now, source, outputs):
+        """Records decisions and delivers messages, unless an end is cut off."""
+        cut = self.load.cut_at(now)
+        for output in outputs:
+            match output:
                 case actions.Send(address=target, message=message):
                     size = len(msgspec.msgpack.encode(message))
                     self.result.message_bytes += size + OVERHEAD_BYTES
                     if source in cut or target in cut:
                         continue
                     event = events.FromNode(sender=source, message=message)
-                    self.push(now + LINK_SECONDS, self.hear, target, event)
+                    self.schedule(
+                        now + LINK_SECONDS, self.receive, target, event
+                    )
                 case limits.Decided(request=request, error=None):
-                    self.granted(now, source, request)
+                    self.record_admitted(now, source, request)
                 case limits.Decided(request=request, error=error):
-                    self.refused(now, source, request, error)
+                    self.record_refused(now, source, request, error)
 
-    def hear(self, now, address, event):
-        """A message reaches an entry."""
-        self.do(now, address, self.nodes[address].handle(event, now))
+    def receive(self, now, address, event):
+        """Delivers a message to an entry."""
+        self.apply_outputs(now, address, self.nodes[address].handle(event, now))
 
 
-def even(now):
+def all_entries(now):
     """Spreads requests over all entries."""
     return ENTRIES
 
 
-def one(now):
+def one_entry(now):
     """Sends all requests to one entry, which is not the owner."""
-    owner = lending(ENTRIES[0]).owner_of("acme")
+    owner = new_limits(ENTRIES[0]).owner_of("acme")
     return [next(each for each in ENTRIES if each != owner)]
 
 
-def shifting(now):
+def shifting_entry(now):
     """Sends all requests to one entry for a second, then to the next."""
     return [ENTRIES[int(now) % len(ENTRIES)]]
 
 
 def owner_cut(now):
     """Cuts off the owner for the middle third of a minute."""
-    owner = lending(ENTRIES[0]).owner_of("acme")
+    owner = new_limits(ENTRIES[0]).owner_of("acme")
     return {owner} if 20 <= now < 40 else set()
 
 
 def half_cut(now):
     """Cuts off half of the entries for the middle third of a minute."""
-    owner = lending(ENTRIES[0]).owner_of("acme")
+    owner = new_limits(ENTRIES[0]).owner_of("acme")
     others = [each for each in ENTRIES if each != owner]
     return set(others[:5]) if 20 <= now < 40 else set()
 
 
 def loads():
-    """Returns every load of the table."""
+    """Yields every load of the table."""
 
     def contract(**fields):
         return declarations.Contract(organisation="acme", version=1, **fields)
@@ -349,49 +372,53 @@
     large = contract(requests_per_second=100, burst=100)
     small = contract(requests_per_second=5, burst=5)
     slots = contract(concurrency=50)
-    few = contract(concurrency=4)
-    places = [("even", even), ("one", one), ("shifting", shifting)]
+    few_slots = contract(concurrency=4)
+    distributions = [
+        ("even", all_entries),
+        ("one", one_entry),
+        ("shifting", shifting_entry),
+    ]
     sizes = [
         ("rate 100", large, 100),
         ("rate 5", small, 5),
         ("slots 50", slots, 50 / HOLD_SECONDS),
-        ("slots 4", few, 4 / HOLD_SECONDS),
+        ("slots 4", few_slots, 4 / HOLD_SECONDS),
     ]
-    for size, limit, full in sizes:
+    for size, limit, capacity in sizes:
         for factor in (0.5, 2.0):
-            for place, chosen in places:
+            for distribution, entries_at in distributions:
                 yield OfferedLoad(
-                    name=f"{size}, {factor:g}x, {place}",
+                    name=f"{size}, {factor:g}x, {distribution}",
                     contract=limit,
-                    offered=full * factor,
-                    place=chosen,
+                    requests_per_second=capacity * factor,
+                    entries_at=entries_at,
                 )
-        for fault, cut in (("owner cut", owner_cut), ("half cut", half_cut)):
+        for fault, cut_at in (("owner cut", owner_cut), ("half cut", half_cut)):
             yield OfferedLoad(
                 name=f"{size}, 2x, even, {fault}",
                 contract=limit,
-                offered=full * 2,
-                place=even,
-                cut=cut,
+                requests_per_second=capacity * 2,
+                entries_at=all_entries,
+                cut_at=cut_at,
             )
 
 
-def row(way, load, result, seconds):
-    """Returns one line of the table."""
-    waits = sorted(result.waits)
-    ideal = load.contract.requests_per_second * seconds + load.contract.burst
+def row(approach, load, result, seconds):
+    """Returns one row of the table."""
+    waits = sorted(result.wait_seconds)
+    allowed = load.contract.requests_per_second * seconds + load.contract.burst
     rate = load.contract.requests_per_second
-    over = result.overdraft if rate else 0
+    excess = result.max_overdraft if rate else 0
     if load.contract.concurrency:
-        over = max(0, result.peak - load.contract.concurrency)
+        excess = max(0, result.max_running - load.contract.concurrency)
     return {
         "load": load.name,
-        "way": way,
-        "let_in": result.let_in,
-        "of_limit": round(result.let_in / ideal, 3) if rate else None,
-        "over": round(over, 1),
+        "way": approach,
+        "let_in": result.admitted,
+        "of_limit": round(result.admitted / allowed, 3) if rate else None,
+        "over": round(excess, 1),
         "refused_below_percent": round(
-            100 * result.refused_below / result.offered, 2
+            100 * result.refused_below_limit / result.offered, 2
         ),
         "bytes_per_entry_second": round(
             result.message_bytes / seconds / len(ENTRIES), 1
@@ -399,39 +426,42 @@
         "wait_ms_p50": round(1000 * waits[len(waits) // 2], 2),
         "wait_ms_p99": round(1000 * waits[int(len(waits) * 0.99)], 2),
         "retry_kept_percent": round(
-            100 * (1 - result.returned_refused / result.returned), 1
+            100 * (1 - result.retried_refused / result.retried), 1
         )
-        if result.returned
+        if result.retried
         else None,
     }
 
 
 def main():
-    """Runs all and prints a table, then the same as JSON with --json."""
+    """Runs all loads and prints a table; --json also writes a JSON file."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seconds", type=float, default=60.0)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--only", default="")
     parser.add_argument("--way", default="")
     parser.add_argument("--json", default="")
-    chosen = parser.parse_args()
+    arguments = parser.parse_args()
     rows = []
     for load in loads():
-        for way in WAYS:
-            if chosen.only not in load.name or chosen.way not in way:
+        for approach in APPROACHES:
+            if arguments.only not in load.name or arguments.way not in approach:
                 continue
             result = Run(
-                way=way, load=load, seconds=chosen.seconds, seed=chosen.seed
+                approach=approach,
+                load=load,
+                seconds=arguments.seconds,
+                seed=arguments.seed,
             ).run()
-            rows.append(row(way, load, result, chosen.seconds))
-    head = list(rows[0])
-    short = [name.replace("_", " ") for name in head]
-    print("| " + " | ".join(short) + " |")
-    print("|" + " --- |" * len(head))
+            rows.append(row(approach, load, result, arguments.seconds))
+    columns = list(rows[0])
+    titles = [name.replace("_", " ") for name in columns]
+    print("| " + " | ".join(titles) + " |")
+    print("|" + " --- |" * len(columns))
     for each in rows:
-        print("| " + " | ".join(str(each[name]) for name in head) + " |")
-    if chosen.json:
-        with open(chosen.json, "w") as file:
+        print("| " + " | ".join(str(each[name]) for name in columns) + " |")
+    if arguments.json:
+        with open(arguments.json, "w") as file:
             json.dump(rows, file, indent=1)
 
 
--- a/pimentoledge/tests/network.py
+++ b/pimentoledge/tests/network.py
@@ -1,4 +1,4 @@
-"""Entries, agents and a store in one thread, for tests of distribution."""
+"""Single-threaded simulation of entries, agents and a store."""
 
 import heapq
 import itertools
@@ -11,11 +11,18 @@
 from pimentoledge.decisions import stores
 from pimentoledge.decisions import subscription
 
-DELAY = 0.002
+DELAY_SECONDS = 0.002
 
 
 class LossyStore:
-    """A store whose watches can drop entries and whose writes can be lost."""
+    """In-memory store that can be down and whose watches can drop changes.
+
+    Attributes:
+        objects: newest version of each object, by path.
+        calls: calls recorded by Network.
+        down: whether every call fails.
+        dropped: versions that watches do not return.
+    """
 
     def __init__(self):
         self.objects = {}
@@ -32,7 +39,7 @@
         return self.objects[path]
 
     def call(self, call):
-        """Answers a call; None for a watch that has nothing to tell yet."""
+        """Returns the answer to a call; None for a watch without changes."""
         outcome = stores.Outcome
         if self.down:
             return stores.StoreAnswer(call=call.call, outcome=outcome.DOWN)
@@ -73,11 +80,19 @@
 
 
 class Network:
-    """Runs state machines with a clock of its own.
+    """Runs state machines with simulated time, messages and store calls.
 
     Attributes:
-        cut: tells of (sender, receiver) whether messages are dropped.
+        now: simulated time in seconds.
+        nodes: state machines by address.
+        seeds: addresses that new nodes use to find entries.
+        cut: function of (sender, receiver) that returns whether messages
+            are dropped.
         cut_from_store: addresses that can't reach the store.
+        sent: number of messages sent.
+        released: number of ReleaseMemory actions.
+        queue: heap of (time, number, address, event) to deliver.
+        watches: pending watches as (address, call, time when it ends).
     """
 
     def __init__(self, *, seeds=()):
@@ -93,8 +108,8 @@
         self.watches = []
         self.numbers = itertools.count()
 
-    def entry(self, number, data_centre="north"):
-        """Starts an entry, or starts it anew with nothing in memory."""
+    def launch_entry(self, number, data_centre="north"):
+        """Starts an entry, or restarts it without its state."""
         address = f"tcp://10.0.0.{number}:7000"
         self.nodes[address] = distribution.Distributor(
             name=f"entry-{number}",
@@ -107,8 +122,8 @@
         self.watches = [w for w in self.watches if w[0] != address]
         return self.nodes[address]
 
-    def agent(self, number):
-        """Starts an agent of a runner."""
+    def launch_agent(self, number):
+        """Starts or restarts the agent of a runner."""
         address = f"tcp://10.0.1.{number}:7000"
         self.nodes[address] = subscription.Subscriber(
             name=f"r{number}",
@@ -128,7 +143,7 @@
         return self.store.put(path, declarations.encode(declaration))
 
     def run(self, seconds, until=None):
-        """Runs for so long, or until something holds; tells whether it did."""
+        """Runs for `seconds` or until `until` holds; returns whether it did."""
         end = self.now + seconds
         while self.now < end:
             if until is not None and until():
@@ -152,10 +167,10 @@
         self.answer_watches()
 
     def answer_watches(self):
-        """Answers the watches that have something to tell or are over."""
+        """Answers the watches that have changes or have timed out."""
         waiting, self.watches = self.watches, []
         for address, call, due in waiting:
-            answer = self.ask(address, call)
+            answer = self.call_store(address, call)
             if answer is None and self.now >= due:
                 answer = stores.StoreAnswer(
                     call=call.call,
@@ -167,7 +182,7 @@
             else:
                 self.schedule(address, answer)
 
-    def ask(self, address, call):
+    def call_store(self, address, call):
         if address in self.cut_from_store:
             return stores.StoreAnswer(
                 call=call.call, outcome=stores.Outcome.DOWN
@@ -176,7 +191,9 @@
 
     def schedule(self, address, event):
         number = next(self.numbers)
-        heapq.heappush(self.queue, (self.now + DELAY, number, address, event))
+        heapq.heappush(
+            self.queue, (self.now + DELAY_SECONDS, number, address, event)
+        )
 
     def perform(self, address, todo):
         for action in todo:
@@ -191,7 +208,7 @@
                     self.watches.append((address, call, due))
                 case actions.CallStore(call=call):
                     self.store.calls.append(call)
-                    self.schedule(address, self.ask(address, call))
+                    self.schedule(address, self.call_store(address, call))
 
     def send(self, sender, receiver, message):
         self.sent += 1
--- a/pimentoledge/tests/test_distribution.py
+++ b/pimentoledge/tests/test_distribution.py
@@ -15,15 +15,15 @@
 from pimentoledge.tests import network
 
 IN_FORCE_SECONDS = 5
-OLD = "declared/contracts/old"
+OLD_CONTRACT_PATH = "declared/contracts/old"
 
 
 def contract(name, **fields):
     return declarations.Contract(organisation=name, **fields)
 
 
-def started(count, *, agents=0, contracts=20):
-    """Returns a network in which all entries are started and declared."""
+def start_network(count, *, agents=0, contracts=20):
+    """Returns a network whose entries are started and know each other."""
     net = network.Network(seeds=["tcp://10.0.0.1:7000", "tcp://10.0.0.2:7000"])
     for number in range(contracts):
         net.declare(contract(f"org-{number}"))
@@ -35,15 +35,15 @@
                 name=f"r{number}", serves="assistant", agent=address
             )
         )
-        net.agent(number)
+        net.launch_agent(number)
     for number in range(1, count + 1):
-        net.entry(number, ["north", "east", "south"][number % 3])
+        net.launch_entry(number, ["north", "east", "south"][number % 3])
     net.run(30)
     assert all(len(e.configuration.entries()) == count for e in net.entries())
     return net
 
 
-def everywhere(net, stored):
+def has_reached_all(net, stored):
     def reached():
         views = [node.configuration for node in net.entries()]
         newest = [view.newest(stored.path) for view in views]
@@ -55,9 +55,9 @@
 def test_change_reaches_all_and_the_store_is_called_by_few():
     calls = {}
     for count in (6, 24):
-        net = started(count)
+        net = start_network(count)
         stored = net.declare(contract("new"))
-        assert net.run(IN_FORCE_SECONDS, until=everywhere(net, stored))
+        assert net.run(IN_FORCE_SECONDS, until=has_reached_all(net, stored))
         net.run(20)
         before = len(net.store.calls)
         net.run(60)
@@ -67,7 +67,7 @@
 
 def test_memory_of_a_large_scan_is_released(monkeypatch):
     monkeypatch.setattr(distribution, "LARGE_ANSWER", 10)
-    net = started(1)
+    net = start_network(1)
     scans = [c for c in net.store.calls if isinstance(c, stores.Scan)]
     assert net.released == len(scans) > 1
     assert allocators.release_free_memory() in (True, False)
@@ -78,13 +78,13 @@
 
     The message with the change was lost, and no entry repeats it.
     """
-    net = started(8)
+    net = start_network(8)
     net.cut = lambda sender, receiver: True
     stored = net.declare(contract("org-1", burst=99))
     net.run(1)
     chance = random.Random(1)
     net.cut = lambda sender, receiver: chance.random() < 0.5
-    assert net.run(2 * IN_FORCE_SECONDS, until=everywhere(net, stored))
+    assert net.run(2 * IN_FORCE_SECONDS, until=has_reached_all(net, stored))
 
 
 def test_sweep_finds_what_every_watch_dropped():
@@ -93,8 +93,8 @@
     The store's watch drops the deletion for every watcher, and no further
     change of that object follows.
     """
-    net = started(3)
-    # A sweep has just begun; the next one starts in 10 s.
+    net = start_network(3)
+    # A sweep has just begun; the next one begins in 10 s.
     net.run(3)
     net.store.dropped.add(net.store.revision + 1)
     net.store.put("declared/contracts/org-3", None)
@@ -108,10 +108,10 @@
 
 
 def test_entry_that_restarts_while_the_store_is_down_copies_from_others():
-    net = started(3)
+    net = start_network(3)
     net.store.down = True
     net.store.calls.clear()
-    late = net.entry(2)
+    late = net.launch_entry(2)
     assert net.run(2, until=late.configuration.is_complete)
     assert len(late.configuration.contracts) == 20
     assert net.store.calls == [] or not any(
@@ -125,21 +125,21 @@
     It copies the configuration from the only entry that missed a change,
     although another entry has the change.
     """
-    net = started(3)
+    net = start_network(3)
     lagging = net.entries()[0].address
     net.cut = lambda sender, receiver: lagging in (sender, receiver)
     net.cut_from_store = {lagging}
     stored = net.declare(contract("org-1", burst=99))
     net.run(3)
-    late = net.entry(3)
+    late = net.launch_entry(3)
     fresh = net.entries()[1].address
-    apart = [{lagging, fresh}]
-    net.cut = lambda sender, receiver: {sender, receiver} in apart
+    cut_pairs = [{lagging, fresh}]
+    net.cut = lambda sender, receiver: {sender, receiver} in cut_pairs
     net.run(0.005)
-    apart.append({late.address, fresh})
+    cut_pairs.append({late.address, fresh})
     net.run(1)
     assert not late.configuration.is_complete()
-    apart.pop()
+    cut_pairs.pop()
     assert net.run(5, until=late.configuration.is_complete)
     assert late.configuration.newest(stored.path).version == stored.version
 
@@ -150,11 +150,11 @@
     The newest change was a deletion. An entry that started after it never
     receives its version and considers itself behind.
     """
-    net = started(2)
+    net = start_network(2)
     net.store.put("declared/contracts/org-3", None)
     net.run(10)
     net.seeds = []
-    net.entry(1, "east")
+    net.launch_entry(1, "east")
     net.run(10)
     older_version = net.entries()[0].configuration.version
     newer_version = net.entries()[1].configuration.version
@@ -167,7 +167,7 @@
     A bad release restarts all entries within seconds during an outage of the
     store, so that no entry has the configuration any more.
     """
-    net = started(4, agents=6)
+    net = start_network(4, agents=6)
     net.run(10)
     net.store.down = True
     accepted = stores.Object(
@@ -179,7 +179,7 @@
     net.perform(first.address, first.publish([accepted], net.now))
     net.run(0.1)
     for number in range(1, 5):
-        net.entry(number)
+        net.launch_entry(number)
     assert net.run(
         10,
         until=lambda: all(e.configuration.is_complete() for e in net.entries()),
@@ -198,22 +198,22 @@
     from another just before that one restarts and then has nothing to send.
     """
     count = 60
-    net = started(count)
+    net = start_network(count)
     net.store.calls.clear()
     for number in range(1, count + 1):
-        net.entry(number, ["north", "east", "south"][number % 3])
-    joined = net.run(
+        net.launch_entry(number, ["north", "east", "south"][number % 3])
+    complete = net.run(
         0.3,
         until=lambda: all(e.configuration.is_complete() for e in net.entries()),
     )
     scans = [c for c in net.store.calls if isinstance(c, stores.Scan)]
-    assert joined
+    assert complete
     # Each of the two seeds lets one entry per data centre scan the store.
     assert 3 <= len(scans) <= 2 * 3
 
 
 def test_store_outage_of_minutes():
-    net = started(6)
+    net = start_network(6)
     net.store.down = True
     net.run(300)
     net.store.calls.clear()
@@ -222,7 +222,7 @@
     assert len(net.store.calls) <= 6 * 65
     net.store.down = False
     stored = net.declare(contract("org-2", burst=5))
-    assert net.run(IN_FORCE_SECONDS, until=everywhere(net, stored))
+    assert net.run(IN_FORCE_SECONDS, until=has_reached_all(net, stored))
 
 
 def test_others_take_over_from_dead_watchers():
@@ -231,14 +231,14 @@
     Both watchers of each data centre died, and the other entries do not
     notice that none watches any more.
     """
-    net = started(12)
+    net = start_network(12)
     for entry in net.entries():
         if entry.peers.rank(net.now) < distribution.WATCHERS:
             del net.nodes[entry.address]
     net.watches = []
     net.run(30)
     stored = net.declare(contract("new"))
-    assert net.run(IN_FORCE_SECONDS, until=everywhere(net, stored))
+    assert net.run(IN_FORCE_SECONDS, until=has_reached_all(net, stored))
 
 
 def test_partition_does_not_restore_a_deleted_contract():
@@ -247,20 +247,20 @@
     The partitioned half still has the contract. An entry that started after
     the deletion has received neither and copies the contract from that half.
     """
-    net = started(6)
+    net = start_network(6)
     old = net.declare(contract("old"))
-    assert net.run(IN_FORCE_SECONDS, until=everywhere(net, old))
+    assert net.run(IN_FORCE_SECONDS, until=has_reached_all(net, old))
     far = {entry.address for entry in net.entries()[3:]}
     stale = net.entries()[3]
     net.cut = lambda sender, receiver: (sender in far) != (receiver in far)
     net.cut_from_store = far
-    net.store.put(OLD, None)
+    net.store.put(OLD_CONTRACT_PATH, None)
     net.run(30)
-    net.entry(1)
+    net.launch_entry(1)
     net.run(10)
     net.cut = lambda sender, receiver: False
     fresh = net.entries()[0].configuration
-    assert stale.configuration.newest(OLD).value is not None
+    assert stale.configuration.newest(OLD_CONTRACT_PATH).value is not None
     for _ in range(40):
         net.run(0.25)
         assert "old" not in fresh.contracts
@@ -274,7 +274,7 @@
     store, which no longer has the contract, so no node has a tombstone. That
     entry is also the sweeper, and its sweeps find no difference.
     """
-    net = started(3, agents=3)
+    net = start_network(3, agents=3)
     first = min(
         net.entries(), key=lambda e: e.peers.rank(net.now, everywhere=True)
     )
@@ -282,7 +282,7 @@
     net.store.put("declared/contracts/org-3", None)
     net.cut = lambda sender, receiver: first.address in (sender, receiver)
     number = int(first.name.removeprefix("entry-"))
-    again = net.entry(number, first.data_centre)
+    again = net.launch_entry(number, first.data_centre)
     assert net.run(9, until=again.configuration.is_complete)
     assert "org-3" not in again.configuration.contracts
     net.cut = lambda sender, receiver: False
@@ -302,13 +302,15 @@
 
     The agent was paused since before the deletion and still has the contract.
     """
-    net = started(2)
+    net = start_network(2)
     entry = net.entries()[0]
     agent = "tcp://10.0.1.1:7000"
     poll = messages.Poll(server="r1", versions=[], held=[])
     entry.handle(events.FromNode(sender=agent, message=poll), net.now)
     stale_object = stores.Object(
-        path=OLD, version=1, value=declarations.encode(contract("old"))
+        path=OLD_CONTRACT_PATH,
+        version=1,
+        value=declarations.encode(contract("old")),
     )
     changes = messages.Changes(objects=[stale_object])
     entry.configuration.floor = 0
@@ -317,7 +319,7 @@
 
 
 def test_agent_gets_its_own_declarations_at_once():
-    net = started(4, agents=3)
+    net = start_network(4, agents=3)
     model = declarations.Model(name="assistant", weights="v2")
     net.declare(model)
     agents = [n for a, n in net.nodes.items() if a.startswith("tcp://10.0.1")]
@@ -338,14 +340,14 @@
     All entries were replaced at other addresses during an outage. The agents
     have only the old addresses, from their settings and from answers.
     """
-    net = started(2, agents=3)
+    net = start_network(2, agents=3)
     for entry in net.entries():
         del net.nodes[entry.address]
     net.seeds = []
     before = net.sent
     net.run(20)
     assert net.sent - before < 3 * 20 * 4
-    net.entry(11)
+    net.launch_entry(11)
     net.run(20)
     net.declare(declarations.Model(name="assistant", weights="v2"))
     net.run(IN_FORCE_SECONDS)
@@ -359,7 +361,7 @@
 
     A VM that fails can't delete the declaration of its entry.
     """
-    net = started(3)
+    net = start_network(3)
     gone = net.nodes.pop(net.entries()[1].address)
     net.watches = [w for w in net.watches if w[0] != gone.address]
     net.run(1500)
@@ -375,8 +377,8 @@
 
 
 def test_two_processes_with_one_name_back_off():
-    net = started(1)
-    twin = net.entry(9)
+    net = start_network(1)
+    twin = net.launch_entry(9)
     twin.registration.name = "entry-1"
     net.run(20)
     before = len(net.store.calls)
@@ -396,7 +398,7 @@
 
     def __init__(self):
         super().__init__()
-        self.net = started(4, contracts=3, agents=3)
+        self.net = start_network(4, contracts=3, agents=3)
         self.seen = {}
         self.half = False
 
@@ -431,7 +433,7 @@
 
     @stateful.rule(number=strategies.integers(0, 2))
     def restart_agent(self, number):
-        self.net.agent(number)
+        self.net.launch_agent(number)
 
     @stateful.rule()
     def cut_or_heal(self):
@@ -447,7 +449,7 @@
 
     @stateful.rule(number=strategies.integers(1, 4))
     def restart(self, number):
-        entry = self.net.entry(number)
+        entry = self.net.launch_entry(number)
         self.seen.pop(entry.address, None)
 
     @stateful.rule(seconds=strategies.sampled_from([0.01, 0.3, 3]))
@@ -473,11 +475,11 @@
         for entry in self.net.entries():
             for name in "abc":
                 path = f"declared/contracts/{name}"
-                truth = self.net.store.objects.get(path)
-                alive = truth is not None and truth.value is not None
+                stored = self.net.store.objects.get(path)
+                alive = stored is not None and stored.value is not None
                 found = entry.configuration.in_force(path)
                 assert (found is not None) == alive
-                assert not alive or found.version == truth.version
+                assert not alive or found.version == stored.version
 
 
 TestFaults = Faults.TestCase
