--- a/benches/baselines.py
+++ b/benches/baselines.py
@@ -50,9 +50,9 @@
     def outstanding(self, name: str) -> int:
         """Returns requests believed to be at a server."""
         load = self.loads.get(name)
-        if load is None or load.truth is None:
+        if load is None or load.status is None:
             return 0
-        return load.truth.running + load.truth.queued + len(load.uncovered)
+        return load.status.running + load.status.queued + len(load.uncovered)
 
 
 class Random(Baseline):
--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -71,7 +71,7 @@
     fleet = _fleet(servers)
     placer = placement.Placer(seed=1, data_centre="")
     for server in fleet:
-        placer.learned(_truth(server.name), 0.0)
+        placer.record_status(_truth(server.name), 0.0)
     choosing = []
     learning = []
     for number in range(_ROUNDS):
@@ -81,7 +81,7 @@
         choice = placer.choose(wanted, fleet, now)
         chosen = time.process_time_ns()
         placer.sent(choice.server, wanted.request, 100, now)
-        placer.learned(_truth(choice.server), now)
+        placer.record_status(_truth(choice.server), now)
         placer.finished(choice.server, wanted.request, wanted.blocks, 0, now)
         ended = time.process_time_ns()
         choosing.append((chosen - began) / 1000)
--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -354,7 +354,7 @@
             name = f"tcp://r{number}"
             place = f"d{number % self.plan.data_centres}"
             view = cluster_views.ClusterView(
-                name=name, data_centre=place, born=0.0
+                name=name, data_centre=place, started_at=0.0
             )
             view.configuration = self._configuration
             view.members = self.plan.routers
--- a/benches/placement_runs.py
+++ b/benches/placement_runs.py
@@ -348,11 +348,11 @@
 
     def learned(self, placer: placement.Placer, truth: messages.ServerStatus):
         """A report reached an entry."""
-        placer.learned(truth, self.now)
+        placer.record_status(truth, self.now)
 
     def failed(self, placer, truth, job: engines.Job, failure: retries.Failure):
         """An entry's dispatch was refused, or broke."""
-        placer.learned(truth, self.now)
+        placer.record_status(truth, self.now)
         self.retry(job.arrival, failure)
 
     def retry(self, arrival: workloads.Arrival, failure: retries.Failure):
@@ -367,7 +367,7 @@
 
     def finished(self, placer, truth, job: engines.Job):
         """A request's end reached its entry."""
-        placer.learned(truth, self.now)
+        placer.record_status(truth, self.now)
         placer.finished(
             truth.server,
             job.arrival.request,
--- a/pimentoledge/decisions/administration.py
+++ b/pimentoledge/decisions/administration.py
@@ -238,7 +238,7 @@
         self, event: events.OperatorRequest, now: float
     ) -> Actions:
         self.status_due[event.request] = now + STATUS_SECONDS
-        return self.distributor.ask_status(now)
+        return self.distributor.request_statuses(now)
 
     def _status(self, request: str, now: float) -> actions.ReplyOperator:
         own = self.distributor.status(now)
--- a/pimentoledge/decisions/admission.py
+++ b/pimentoledge/decisions/admission.py
@@ -239,7 +239,7 @@
         self,
         dispatch: messages.Dispatch,
         sender: str,
-        truth: messages.ServerStatus,
+        status: messages.ServerStatus,
         now: float,
     ) -> Admit | Queue | Refuse:
         """Decides on a new dispatch.
@@ -248,11 +248,11 @@
         displaced. Call `expired` afterwards, which returns that item.
         """
         self.now = now
-        self.token_seconds = truth.token_seconds
-        self._record_version(truth.configuration, now)
+        self.token_seconds = status.token_seconds
+        self._record_version(status.configuration, now)
         known = self._known_crashes(dispatch.fingerprint, now)
         crashes = max(dispatch.crashes, known.count)
-        code = self._find_mismatch(dispatch, truth)
+        code = self._find_mismatch(dispatch, status)
         if code is None and known.refused_until > now:
             code = results.Code.POISON
         code = code or self._check_crashes(crashes)
@@ -433,22 +433,22 @@
         return min(times, default=None)
 
     def _find_mismatch(
-        self, dispatch: messages.Dispatch, truth: messages.ServerStatus
+        self, dispatch: messages.Dispatch, status: messages.ServerStatus
     ) -> results.Code | None:
         if dispatch.server != self.server:
             return results.Code.WRONG_SERVER
-        if not truth.incarnation:
+        if not status.incarnation:
             return results.Code.SERVER_DOWN
-        if truth.leaving:
+        if status.leaving:
             return results.Code.SERVER_LEAVING
-        if truth.loading:
+        if status.loading:
             return results.Code.SERVER_LOADING
-        if dispatch.incarnation not in ("", truth.incarnation):
+        if dispatch.incarnation not in ("", status.incarnation):
             return results.Code.STALE_INCARNATION
-        if dispatch.weights not in ("", truth.weights):
+        if dispatch.weights not in ("", status.weights):
             return results.Code.STALE_WEIGHTS
         adapter = dispatch.completion.adapter if dispatch.completion else ""
-        if adapter and adapter not in truth.adapters:
+        if adapter and adapter not in status.adapters:
             return results.Code.ADAPTER_NOT_LOADED
         # An entry that receives no configuration changes could apply a
         # contract that was withdrawn. Version 0 means unknown; a version
--- a/pimentoledge/decisions/agents.py
+++ b/pimentoledge/decisions/agents.py
@@ -205,7 +205,7 @@
                 todo += self.refuse_and_release(run, refused, now)
         return todo
 
-    def truth(self, sender: str) -> messages.ServerStatus:
+    def server_status(self, sender: str) -> messages.ServerStatus:
         """Returns the server's current state, for one recipient."""
         declared = self.configuration.server(self.name)
         leaving = self.draining or (
@@ -304,7 +304,7 @@
         """Offers a request to admission."""
         run.dispatch.seconds_left = run.expires - now
         verdict = self.admission.offer(
-            run.dispatch, run.sender, self.truth(run.sender), now
+            run.dispatch, run.sender, self.server_status(run.sender), now
         )
         todo: Actions = [run_logs.admit(run, verdict)]
         match verdict:
@@ -351,7 +351,7 @@
             message=messages.Admitted(
                 request=request,
                 attempt=attempt,
-                truth=self.truth(run.sender),
+                truth=self.server_status(run.sender),
             ),
         )
 
@@ -400,7 +400,7 @@
             request=request,
             attempt=attempt,
             code=code,
-            truth=self.truth(run.sender),
+            truth=self.server_status(run.sender),
             retry_after=retry_after,
         )
         return actions.Send(address=run.sender, message=message)
@@ -462,8 +462,8 @@
         if run is None:
             return []
         if run.dispatch.completion is not None:
-            truth = self.truth(run.sender)
-            frames, finished = kept_completions.replay(output.body, run, truth)
+            status = self.server_status(run.sender)
+            frames, finished = kept_completions.replay(output.body, run, status)
             todo = self.outbox.send(run.sender, frames)
             return todo + self.outbox.send(run.sender, finished)
         message = messages.ServiceAnswer(
@@ -472,7 +472,7 @@
             status=output.status,
             headers=output.headers,
             body=output.body,
-            truth=self.truth(run.sender),
+            truth=self.server_status(run.sender),
             replayed=True,
         )
         return self.outbox.send(run.sender, message)
@@ -574,7 +574,7 @@
             prompt_tokens=event.prompt_tokens,
             cached_tokens=event.cached_tokens,
             completion_tokens=made,
-            truth=self.truth(run.sender),
+            truth=self.server_status(run.sender),
         )
         todo = self.outbox.send(run.sender, message)
         if run.dispatch.key:
@@ -606,7 +606,7 @@
             status=event.status,
             headers=event.headers,
             body=event.body,
-            truth=self.truth(run.sender),
+            truth=self.server_status(run.sender),
         )
         return todo + self.outbox.send(run.sender, message) + self.advance(now)
 
@@ -653,7 +653,7 @@
         return [
             actions.Send(
                 address=each,
-                message=messages.ProbeAnswer(truth=self.truth(each)),
+                message=messages.ProbeAnswer(truth=self.server_status(each)),
             )
             for each in self.received
         ]
@@ -752,7 +752,7 @@
             attempt=attempt,
             code=code,
             ran=ran,
-            truth=self.truth(run.sender),
+            truth=self.server_status(run.sender),
             suspects=crash.suspects if crash else [],
             incarnation=crash.incarnation if crash else "",
         )
@@ -796,7 +796,9 @@
         """Replies to a probe with the requests that are unknown here."""
         known = {request for request, _ in self.runs}
         unknown = [each for each in message.requests if each not in known]
-        report = messages.ProbeAnswer(truth=self.truth(sender), unknown=unknown)
+        report = messages.ProbeAnswer(
+            truth=self.server_status(sender), unknown=unknown
+        )
         return self.outbox.send(sender, report)
 
 
--- a/pimentoledge/decisions/distribution.py
+++ b/pimentoledge/decisions/distribution.py
@@ -204,16 +204,17 @@
         keepers = self.agents.notify_keepers(objects)
         return self._apply(objects, now) + keepers
 
-    def ask_status(self, now: float) -> Actions:
+    def request_statuses(self, now: float) -> Actions:
         """Requests a status report from every other entry."""
         usable = self.peers.usable(now)
         mailboxes = {peer.mailbox for peer in usable}
         self.peer_statuses = {
             m: t for m, t in self.peer_statuses.items() if m in mailboxes
         }
-        ask = messages.StatusRequest()
+        status_request = messages.StatusRequest()
         return [
-            actions.Send(address=peer.mailbox, message=ask) for peer in usable
+            actions.Send(address=peer.mailbox, message=status_request)
+            for peer in usable
         ]
 
     def status(self, now: float) -> messages.StatusAnswer:
@@ -435,11 +436,11 @@
     def _ask_to_join(self, now: float) -> Actions:
         if self.repairs.snapshots(now) >= bucket_repairs.MAX_SNAPSHOTS:
             return []
-        asked = self.peers.choose(now, near=1, far=1)[:2]
-        asked += self.peers.first_seeds(now)
+        recipients = self.peers.choose(now, near=1, far=1)[:2]
+        recipients += self.peers.first_seeds(now)
         return [
             self._send_digest(mailbox, now)
-            for mailbox in dict.fromkeys(asked)
+            for mailbox in dict.fromkeys(recipients)
             if mailbox != self.address
         ]
 
--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -219,9 +219,9 @@
             case messages.ProbeAnswer():
                 return self.report(message, event.sender, now)
         ticket = self.current(message, event.sender)
-        truth = getattr(message, "truth", None)
-        if truth is not None:
-            self.learn(truth, now)
+        status = getattr(message, "truth", None)
+        if status is not None:
+            self.learn(status, now)
         if ticket is None:
             return []
         ticket.last_heard_at = now
@@ -254,11 +254,11 @@
             return None
         return ticket
 
-    def learn(self, truth: messages.ServerStatus, now: float) -> None:
+    def learn(self, status: messages.ServerStatus, now: float) -> None:
         """Applies an agent's report about its server unless it is outdated."""
-        order = self.membership.record_report(truth, now)
+        order = self.membership.record_report(status, now)
         if order is not membership.ReportOrder.PAST:
-            self.placer.learned(truth, now)
+            self.placer.record_status(status, now)
 
     def accept(self, event: events.CallerRequest, now: float) -> Actions:
         """Accepts or refuses a caller's request."""
--- a/pimentoledge/decisions/kept_completions.py
+++ b/pimentoledge/decisions/kept_completions.py
@@ -44,7 +44,7 @@
 
 
 def replay(
-    body: bytes, run: runs.Run, truth: messages.ServerStatus
+    body: bytes, run: runs.Run, status: messages.ServerStatus
 ) -> tuple[messages.Frames, messages.Finished]:
     """Returns the messages that stream a kept completion to a new request.
 
@@ -68,6 +68,6 @@
         prompt_tokens=completed.prompt_tokens,
         cached_tokens=0,
         completion_tokens=completed.completion_tokens,
-        truth=truth,
+        truth=status,
     )
     return messages.Frames(frames=[frame]), finished
--- a/pimentoledge/decisions/loads.py
+++ b/pimentoledge/decisions/loads.py
@@ -40,7 +40,7 @@
     """An entry's estimate of the load of one backend server.
 
     Attributes:
-        truth: newest report; None before the first.
+        status: newest report; None before the first.
         reported_at: arrival time of the newest report.
         backlog: estimated uncached tokens waiting, at `drained_at`.
         drained_at: time up to which the backlog has been drained.
@@ -52,7 +52,7 @@
     """
 
     def __init__(self):
-        self.truth: messages.ServerStatus | None = None
+        self.status: messages.ServerStatus | None = None
         self.reported_at = 0.0
         self.backlog = 0.0
         self.drained_at = 0.0
@@ -63,9 +63,9 @@
 
     def token_seconds(self) -> float:
         """Returns the prefill time of one uncached token, in seconds."""
-        if self.truth is None or self.truth.token_seconds <= 0:
+        if self.status is None or self.status.token_seconds <= 0:
             return UNKNOWN_TOKEN_SECONDS
-        return self.truth.token_seconds
+        return self.status.token_seconds
 
     def drain(self, now: float):
         """Drains the backlog up to a time."""
@@ -88,26 +88,26 @@
         sent = Sent(number=self.count, tokens=tokens, at=now)
         self.uncovered.append(sent)
 
-    def reported(self, truth: messages.ServerStatus, now: float):
+    def record_status(self, status: messages.ServerStatus, now: float):
         """Replaces the estimate by a report."""
-        before = self.truth.received if self.truth else 0
-        if truth.received < before:
+        before = self.status.received if self.status else 0
+        if status.received < before:
             # The agent has restarted and counts from 0: the sequence numbers
             # no longer match, and the dispatches in flight are lost.
             self.uncovered.clear()
-            self.count = truth.received
-        while self.uncovered and self.uncovered[0].number <= truth.received:
+            self.count = status.received
+        while self.uncovered and self.uncovered[0].number <= status.received:
             self.uncovered.popleft()
         # If this entry has restarted at its old address, the agent goes on
         # counting. Without this, reports older than a dispatch would seem to
         # cover it, and many restarted entries at once would send all their
         # work to the runner that last reported itself idle.
-        self.count = max(self.count, truth.received)
-        self.truth = truth
+        self.count = max(self.count, status.received)
+        self.status = status
         self.reported_at = now
         self.drained_at = now
         self.forget(now)
-        self.backlog = truth.queued_tokens + sum(
+        self.backlog = status.queued_tokens + sum(
             each.tokens for each in self.uncovered
         )
         self.failures = 0
@@ -129,10 +129,10 @@
         """
         self.drain(now)
         wait = self.backlog * self.token_seconds()
-        if self.truth is None or self.truth.slots <= 0:
+        if self.status is None or self.status.slots <= 0:
             return wait
-        present = self.truth.running + self.truth.queued + len(self.uncovered)
-        over = present - self.truth.slots + 1
+        present = self.status.running + self.status.queued + len(self.uncovered)
+        over = present - self.status.slots + 1
         if over <= 0:
             return wait
-        return max(wait, over * residence / self.truth.slots)
+        return max(wait, over * residence / self.status.slots)
--- a/pimentoledge/decisions/placement.py
+++ b/pimentoledge/decisions/placement.py
@@ -264,14 +264,14 @@
         if server.name in wanted.avoid:
             return False
         load = self.loads.get(server.name)
-        if load is None or load.truth is None:
+        if load is None or load.status is None:
             return True
-        truth = load.truth
-        if truth.leaving or not truth.incarnation:
+        status = load.status
+        if status.leaving or not status.incarnation:
             return False
-        if wanted.weights and truth.weights != wanted.weights:
+        if wanted.weights and status.weights != wanted.weights:
             return False
-        return not wanted.adapter or wanted.adapter in truth.adapters
+        return not wanted.adapter or wanted.adapter in status.adapters
 
     def is_past_backoff(self, server: str, now: float) -> bool:
         """Returns whether a server's backoff after failures has ended."""
@@ -353,22 +353,22 @@
         pending.sent_at = now
         self.hints.add(pending.blocks, pending.life, now)
 
-    def learned(self, truth: messages.ServerStatus, now: float):
+    def record_status(self, status: messages.ServerStatus, now: float):
         """Updates a server's load and engine life from its agent's report.
 
         A new incarnation or weights version invalidates the server's hints.
         """
-        load = self.loads.setdefault(truth.server, loads.EstimatedLoad())
-        load.reported(truth, now)
-        life = self.life(truth.server)
-        same = life.incarnation == truth.incarnation
-        if same and life.weights == truth.weights:
+        load = self.loads.setdefault(status.server, loads.EstimatedLoad())
+        load.record_status(status, now)
+        life = self.life(status.server)
+        same = life.incarnation == status.incarnation
+        if same and life.weights == status.weights:
             return
         life.ended = True
-        self.lives[truth.server] = hints.EngineLife(
-            server=truth.server,
-            incarnation=truth.incarnation,
-            weights=truth.weights,
+        self.lives[status.server] = hints.EngineLife(
+            server=status.server,
+            incarnation=status.incarnation,
+            weights=status.weights,
         )
 
     def finished(
--- a/pimentoledge/routing/cluster_views.py
+++ b/pimentoledge/routing/cluster_views.py
@@ -59,7 +59,7 @@
     Attributes:
         name: name of this process.
         data_centre: data centre in which it runs.
-        born: when it started, in seconds of clocks.now.
+        started_at: when it started, in seconds of clocks.now.
         bounds: bounds set by the deployment.
         configuration: newest configuration, or None before the first.
         configured: when that came into force here, in seconds of clocks.now.
@@ -88,7 +88,7 @@
 
     name: str
     data_centre: str
-    born: float
+    started_at: float
     bounds: RouterBounds = attrs.field(factory=RouterBounds)
     configuration: configurations.Configuration | None = None
     configured: float = 0.0
@@ -131,7 +131,7 @@
                 ratio=self.bounds.budget_ratio,
                 slack=self.bounds.budget_slack,
                 window_seconds=self.bounds.budget_seconds,
-                born=self.born,
+                started_at=self.started_at,
             )
             self.repeats[service] = found
         return found
@@ -205,7 +205,7 @@
 
     def clock(self, now: float) -> tuple[int, int]:
         """Returns the start time of this process and the time, in ms."""
-        return int(self.born * 1000), int(now * 1000)
+        return int(self.started_at * 1000), int(now * 1000)
 
     def shares_limits(self) -> bool:
         """Returns whether any limit is shared by all routers."""
--- a/pimentoledge/routing/daemons.py
+++ b/pimentoledge/routing/daemons.py
@@ -78,7 +78,7 @@
         self.view = cluster_views.ClusterView(
             name=chosen.text("name"),
             data_centre=chosen.text("data-centre"),
-            born=clocks.now(),
+            started_at=clocks.now(),
             bounds=_bounds(chosen),
         )
         self.notices = server_notices.ServerNotices(
@@ -217,7 +217,7 @@
         self.lines.write("started", name=self.view.name)
 
     def _send_heartbeat(self) -> None:
-        self.peers.beat_now()
+        self.peers.send_heartbeat_soon()
 
     def _lapse_ends(self) -> float:
         return max(
@@ -368,7 +368,7 @@
         self.lines.write("leaving")
         self.view.leaving = True
         self.peers.limiter.leave(clocks.now())
-        self.peers.beat_now()
+        self.peers.send_heartbeat_soon()
         drain_start = clocks.now()
         until = (
             drain_start
--- a/pimentoledge/routing/delays.py
+++ b/pimentoledge/routing/delays.py
@@ -17,13 +17,13 @@
     """The shortest delay from one router process, plus its clock offset.
 
     Attributes:
-        born: start of the process by its own clock, in ms.
+        started_ms: start of the process by its own clock, in ms.
         before: shortest delay of the previous window, in seconds.
         least: shortest delay of this window, in seconds.
         since: start of this window.
     """
 
-    born: int
+    started_ms: int
     before: float
     least: float
     since: float
@@ -50,15 +50,15 @@
                 of its own clock; zeros if the sender doesn't report them.
             now: when the message arrived.
         """
-        born, sent = clock
+        started_ms, sent = clock
         if not sent:
             return 0.0
         delay = now - sent / 1000
         known = self.shortest.get(sender)
-        if known is None or known.born != born:
+        if known is None or known.started_ms != started_ms:
             self._forget(now)
             self.shortest[sender] = ShortestDelay(
-                born=born, before=delay, least=delay, since=now
+                started_ms=started_ms, before=delay, least=delay, since=now
             )
             return 0.0
         if now - known.since > WINDOW_SECONDS:
--- a/pimentoledge/routing/fleet_sizes.py
+++ b/pimentoledge/routing/fleet_sizes.py
@@ -44,7 +44,7 @@
         lines: log of changes of the view.
         is_needed: returns whether the number is in use.
         owners: returns the owners of the limits that this router knows.
-        born: when this router started.
+        started_at: when this router started.
         stored: the stored number, 0 if there is none, None if not read yet.
         stored_owners: mailboxes of the stored owners.
         revision: revision of the stored object, 0 if there is none.
@@ -58,14 +58,14 @@
         lines: log_lines.Lines,
         is_needed: Callable[[], bool],
         owners: Callable[[], list[str]],
-        born: float,
+        started_at: float,
     ):
         self.roster = roster
         self.store = store
         self.lines = lines
         self.is_needed = is_needed
         self.owners = owners
-        self.born = born
+        self.started_at = started_at
         self.stored: int | None = None
         self.stored_owners: list[str] = []
         self.revision = 0
@@ -84,9 +84,9 @@
     def share(self, now: float) -> float:
         """Returns this router's share of a fleet-wide limit; 0 if unknown."""
         count = self.roster.count(now)
-        if now - self.born >= STARTING_SECONDS:
+        if now - self.started_at >= STARTING_SECONDS:
             return 1 / count
-        if self.stored is None and now - self.born < UNKNOWN_SECONDS:
+        if self.stored is None and now - self.started_at < UNKNOWN_SECONDS:
             return 0.0
         return 1 / max(count, self.stored or 0)
 
@@ -97,7 +97,7 @@
         it may not have received heartbeats yet.
         """
         mailboxes = set(self.roster.members(now))
-        if now - self.born < STARTING_SECONDS:
+        if now - self.started_at < STARTING_SECONDS:
             mailboxes.update(self.stored_owners)
         mailboxes.discard(self.roster.own)
         return list(mailboxes)
@@ -132,7 +132,7 @@
 
         The writer is the first member on the ring.
         """
-        if now - self.born < STARTING_SECONDS / 2:
+        if now - self.started_at < STARTING_SECONDS / 2:
             return False
         here = heartbeat_rings.ring_position(self.roster.own)
         return all(
--- a/pimentoledge/routing/holder_heartbeats.py
+++ b/pimentoledge/routing/holder_heartbeats.py
@@ -50,7 +50,7 @@
             if each.loading_until > now
         }
 
-    def merge(self, beat: peer_messages.Heartbeat, now: float) -> bool:
+    def merge(self, heartbeat: peer_messages.Heartbeat, now: float) -> bool:
         """Merges a holder's heartbeat that a peer forwards.
 
         A heartbeat older than the newest is ignored; otherwise a server that
@@ -59,14 +59,14 @@
         Returns:
             whether it is newer than the newest one known before.
         """
-        if beat.pulse <= self.newest:
+        if heartbeat.pulse <= self.newest:
             return False
-        self.newest = beat.pulse
-        self.holding = beat.holding
+        self.newest = heartbeat.pulse
+        self.holding = heartbeat.holding
         self.received_at = now
         self.loading = {
             name: now + milliseconds / 1000
-            for name, milliseconds in beat.loading.items()
+            for name, milliseconds in heartbeat.loading.items()
         }
         for name, until in self.loading.items():
             backend = self.view.servers.by_incarnation.get(name)
--- a/pimentoledge/routing/lease_holders.py
+++ b/pimentoledge/routing/lease_holders.py
@@ -134,7 +134,8 @@
         better = [
             address
             for address, peer in self.peers.roster.present(now).items()
-            if peer.beat.store_reached and (peer.beat.leaving, address) < mine
+            if peer.heartbeat.store_reached
+            and (peer.heartbeat.leaving, address) < mine
         ]
         return len(better) + (1 if self.lease.held_by else 0)
 
@@ -174,7 +175,7 @@
                             max(0.0, self.lease.quiet_until - now), 2
                         ),
                     )
-                    self.peers.beat_now()
+                    self.peers.send_heartbeat_soon()
             case registrations.Conflict(found=current):
                 self.lines.write("lease_conflict", before=before)
                 if current is None:
@@ -199,7 +200,7 @@
             )
             self._orders.add(task)
             task.add_done_callback(self._orders.discard)
-        self.peers.beat_now()
+        self.peers.send_heartbeat_soon()
 
     async def _send_order(self, due: rollouts.DueLoad) -> None:
         """Sends one order and records its verdict."""
@@ -234,7 +235,7 @@
             if permit.granted or backend.limited_until > until:
                 return permit.granted
             backend.loading_until = backend.limited_until + AVOID_SECONDS
-            self.peers.beat_now()
+            self.peers.send_heartbeat_soon()
             await asyncio.sleep(backend.limited_until - now)
 
     async def _load(self, due: rollouts.DueLoad) -> rollouts.OrderVerdict:
--- a/pimentoledge/routing/peers.py
+++ b/pimentoledge/routing/peers.py
@@ -114,7 +114,7 @@
             lines=lines,
             is_needed=view.shares_limits,
             owners=lambda: self.limiter.rights.wanted,
-            born=view.born,
+            started_at=view.started_at,
         )
         self.limiter = limiters.Limiter(
             own=self.roster.own,
@@ -126,9 +126,9 @@
             renew=self._reconnect,
         )
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._next_beat = 0.0
+        self._next_heartbeat = 0.0
         self._next_ages = 0.0
-        self._beat_scheduled = False
+        self._heartbeat_scheduled = False
         self._mailbox = mailboxes.Mailbox(
             address=f"tcp://{listen}", deliver=self._deliver, codec=CODEC
         )
@@ -163,8 +163,8 @@
         self._mailbox.expire(now, set(self.roster.partners))
         for address in self.roster.silent_partners(now):
             self._reconnect(address, now)
-        if now >= self._next_beat:
-            self.beat(now)
+        if now >= self._next_heartbeat:
+            self.send_heartbeat(now)
         if now >= self._next_ages:
             self._send_ages(now)
         self.load_reports.tick(now)
@@ -173,25 +173,25 @@
             self.limiter.tick(now)
         self.view.members = self.roster.count(now)
 
-    def beat_now(self) -> None:
+    def send_heartbeat_soon(self) -> None:
         """Sends a heartbeat after a change, at once or coalesced."""
-        if self._loop is None or self._beat_scheduled:
+        if self._loop is None or self._heartbeat_scheduled:
             return
         now = clocks.now()
-        wait = self._next_beat - HEARTBEAT_SECONDS + COALESCE_SECONDS - now
+        wait = self._next_heartbeat - HEARTBEAT_SECONDS + COALESCE_SECONDS - now
         if wait <= 0:
-            self.beat(now)
+            self.send_heartbeat(now)
             return
-        self._beat_scheduled = True
+        self._heartbeat_scheduled = True
         self._loop.call_later(wait, self._send_coalesced)
 
     def _send_coalesced(self) -> None:
-        self._beat_scheduled = False
-        self.beat(clocks.now())
+        self._heartbeat_scheduled = False
+        self.send_heartbeat(clocks.now())
 
-    def beat(self, now: float) -> None:
+    def send_heartbeat(self, now: float) -> None:
         """Sends a heartbeat to each partner at once."""
-        self._next_beat = now + HEARTBEAT_SECONDS
+        self._next_heartbeat = now + HEARTBEAT_SECONDS
         self.holder_heartbeats.record_own(now)
         self._send_all(self.roster.partners, self._own_heartbeat(now))
 
@@ -253,8 +253,10 @@
     def handle(self, event: object) -> None:
         """Handles an event of the mailbox; runs on the event loop."""
         match event:
-            case events.FromNode(message=peer_messages.Heartbeat() as beat):
-                self._handle_heartbeat(event, beat)
+            case events.FromNode(
+                message=peer_messages.Heartbeat() as heartbeat
+            ):
+                self._handle_heartbeat(event, heartbeat)
             case events.FromNode(
                 message=peer_messages.ListingRequest() as request
             ):
@@ -312,7 +314,7 @@
             self._send_all(self.roster.partners, crash)
 
     def _handle_heartbeat(
-        self, event: events.FromNode, beat: peer_messages.Heartbeat
+        self, event: events.FromNode, heartbeat: peer_messages.Heartbeat
     ) -> None:
         now = clocks.now()
         self.roster.add(event.sender, now)
@@ -322,18 +324,18 @@
         if now - peer.last_heard_at > rosters.AWAY_SECONDS:
             self._send_current_state(event.sender, now)
         peer.last_heard_at = peer.alive_at = now
-        peer.beat = beat
+        peer.heartbeat = heartbeat
         peer.configuration = event.configuration
-        peer.data_centre = beat.data_centre
-        if self.roster.own in beat.unheard:
+        peer.data_centre = heartbeat.data_centre
+        if self.roster.own in heartbeat.unheard:
             self._reconnect(event.sender, now)
-        self.roster.merge_count(*beat.counted, now)
-        if beat.data_centre == self.view.data_centre:
-            self.replicator.shares.merge_ages(beat.watchers, now)
-        sent = self._sent_at(event.sender, beat.clock, now)
-        self.replicator.merge_known(beat, sent)
-        self._merge_weights(beat, sent, now)
-        self._merge_lease(beat, now)
+        self.roster.merge_count(*heartbeat.counted, now)
+        if heartbeat.data_centre == self.view.data_centre:
+            self.replicator.shares.merge_ages(heartbeat.watchers, now)
+        sent = self._sent_at(event.sender, heartbeat.clock, now)
+        self.replicator.merge_known(heartbeat, sent)
+        self._merge_weights(heartbeat, sent, now)
+        self._merge_lease(heartbeat, now)
         if self.replicator.is_behind(peer):
             later = self._loop.call_later
             later(
@@ -376,14 +378,14 @@
         self.limit_reports.send_all_limits(address, now)
 
     def _merge_weights(
-        self, beat: peer_messages.Heartbeat, sent: float, now: float
+        self, heartbeat: peer_messages.Heartbeat, sent: float, now: float
     ) -> None:
         least = wanted_weights.Source.HEARD
         if sent < now:
             # The exact time of sending is not known.
             least = wanted_weights.Source.NOT_BEFORE
-        for model, newest in beat.wanted.items():
-            named = beat.named.get(model) or [(*newest, 0)]
+        for model, newest in heartbeat.wanted.items():
+            named = heartbeat.named.get(model) or [(*newest, 0)]
             for version, age, source in reversed(named):
                 self.updater.set_wanted_version(
                     model,
@@ -393,18 +395,20 @@
                     source=wanted_weights.Source(max(source, least)),
                 )
 
-    def _merge_lease(self, beat: peer_messages.Heartbeat, now: float) -> None:
-        if beat.lease_revision > 0:
+    def _merge_lease(
+        self, heartbeat: peer_messages.Heartbeat, now: float
+    ) -> None:
+        if heartbeat.lease_revision > 0:
             self.lease.merge_peer(
-                beat.lease_revision,
-                beat.lease_holder,
-                now - beat.lease_ms / 1000,
+                heartbeat.lease_revision,
+                heartbeat.lease_holder,
+                now - heartbeat.lease_ms / 1000,
             )
         if (
-            self.holder_heartbeats.merge(beat, now)
+            self.holder_heartbeats.merge(heartbeat, now)
             and not self.roster.reaches_all()
         ):
-            self.beat_now()
+            self.send_heartbeat_soon()
 
     @property
     def address(self) -> str:
--- a/pimentoledge/routing/quotas/limiters.py
+++ b/pimentoledge/routing/quotas/limiters.py
@@ -52,7 +52,7 @@
             more.
         owner: mailbox of the owner that the acquire was sent to.
         began: when the request arrived.
-        asked_at: when the acquire was sent to that owner.
+        requested_at: when the acquire was sent to that owner.
         owners_asked: number of owners tried so far.
     """
 
@@ -62,7 +62,7 @@
     decided: Callable[[AcquireResult], None] | None
     owner: str
     began: float
-    asked_at: float
+    requested_at: float
     owners_asked: int = 1
 
 
@@ -133,7 +133,7 @@
             decided=decided,
             owner=self._target(organisation, now),
             began=now,
-            asked_at=now,
+            requested_at=now,
         )
         return self._send_or_decide(pending_acquire, now)
 
@@ -147,7 +147,7 @@
         if pending_acquire.owner == self.own:
             self._decide_here(pending_acquire, now)
             return self._number
-        pending_acquire.asked_at = now
+        pending_acquire.requested_at = now
         self.pending[self._number] = pending_acquire
         limit = pending_acquire.limit
         self.send(
@@ -234,7 +234,7 @@
 
     def _check_pending(self, now: float) -> None:
         for number, pending_acquire in list(self.pending.items()):
-            elapsed = now - pending_acquire.asked_at
+            elapsed = now - pending_acquire.requested_at
             if (
                 pending_acquire.decided is not None
                 and elapsed >= ANSWER_SECONDS
@@ -311,34 +311,34 @@
                 self.ledger.give_back(organisation, cost, now)
 
     def _handle_lease(
-        self, sender: str, lent: messages.LeaseRights, now: float
+        self, sender: str, rights: messages.LeaseRights, now: float
     ) -> None:
         """Replaces the rights that another router lends to this one."""
-        if lent.unanswered > MAX_UNANSWERED:
+        if rights.unanswered > MAX_UNANSWERED:
             # Its messages arrive, so the answers to it get lost.
             self.renew(sender, now)
         if self.leaving:
             self.ledger.remove(sender, now)
-            self.send(sender, self._leaving_answer(lent.number))
+            self.send(sender, self._leaving_answer(rights.number))
             return
         life, number = self._newest_leases.get(sender, (0, 0))
-        if life == lent.life and lent.number <= number:
+        if life == rights.life and rights.number <= number:
             return
-        self._newest_leases[sender] = (lent.life, lent.number)
-        age_ms = int(1000 * now) - lent.echo_ms
-        timely = lent.echo_ms > 0 and 0 <= age_ms < lent.term_ms
-        until = (lent.echo_ms + lent.term_ms) / 1000
+        self._newest_leases[sender] = (rights.life, rights.number)
+        age_ms = int(1000 * now) - rights.echo_ms
+        timely = rights.echo_ms > 0 and 0 <= age_ms < rights.term_ms
+        until = (rights.echo_ms + rights.term_ms) / 1000
         for number, slot in enumerate(self.ledger.slots):
-            fresh = number in lent.fresh
-            if number in lent.slots and timely:
-                lease = ledgers.RightsLease(share=lent.share, until=until)
+            fresh = number in rights.fresh
+            if number in rights.slots and timely:
+                lease = ledgers.RightsLease(share=rights.share, until=until)
                 slot.put(sender, lease, allowance=fresh, now=now)
-            elif number not in lent.slots:
+            elif number not in rights.slots:
                 slot.remove(sender, now)
                 if fresh:
-                    slot.add_allowance(sender, lent.share, now)
+                    slot.add_allowance(sender, rights.share, now)
         answer = messages.RightsLeased(
-            number=lent.number, clock_ms=int(1000 * now)
+            number=rights.number, clock_ms=int(1000 * now)
         )
         self.send(sender, answer)
 
--- a/pimentoledge/routing/quotas/rights.py
+++ b/pimentoledge/routing/quotas/rights.py
@@ -181,9 +181,9 @@
 
     def suspect(self, owner: str, now: float) -> bool:
         """Marks an owner as suspected; returns whether it was not before."""
-        news = not self._is_suspected(owner, now)
+        is_new = not self._is_suspected(owner, now)
         self.owner_state(owner).suspected_until = now + SUSPECT_SECONDS
-        return news
+        return is_new
 
     def _is_suspected(self, owner: str, now: float) -> bool:
         if owner == self.own:
@@ -322,10 +322,10 @@
         state.number += 1
         if state.waiting_since is None:
             state.waiting_since = now
-        lent, fresh = [], []
+        leased_slots, fresh = [], []
         for slot, location in enumerate(self.locations):
             if location.owner == owner and not location.ending:
-                lent.append(slot)
+                leased_slots.append(slot)
                 location.until = max(
                     location.until, state.echo_at + self.term_seconds
                 )
@@ -343,7 +343,7 @@
             echo_ms=state.echo_ms,
             term_ms=int(1000 * self.term_seconds),
             share=self.share,
-            slots=lent,
+            slots=leased_slots,
             fresh=fresh,
             unanswered=state.number - state.answered,
         )
--- a/pimentoledge/routing/replicators.py
+++ b/pimentoledge/routing/replicators.py
@@ -89,14 +89,16 @@
             if each.cache.revision is not None and each.cache.known_at
         }
 
-    def merge_known(self, beat: peer_messages.Heartbeat, now: float) -> None:
+    def merge_known(
+        self, heartbeat: peer_messages.Heartbeat, now: float
+    ) -> None:
         """Marks copies as current that a peer has confirmed to be current.
 
         This applies only to kinds of which this router has every change that
         the peer has. Weights always qualify, as the heartbeat itself carries
         all of their versions.
         """
-        for name, (changed_at, age) in beat.known.items():
+        for name, (changed_at, age) in heartbeat.known.items():
             cache = self._cache(name)
             if cache is None or cache.revision is None:
                 continue
@@ -114,7 +116,7 @@
         if not self.roster.reaches_all():
             return min(self.roster.rank, 2)
         first = all(
-            address > self.roster.own or not peer.beat.store_reached
+            address > self.roster.own or not peer.heartbeat.store_reached
             for address, peer in self.roster.present(clocks.now()).items()
         )
         return 0 if first else 2
@@ -237,7 +239,7 @@
         )
 
     def _lacks_servers(self, peer: rosters.Peer) -> bool:
-        changed_at, _ = peer.beat.known.get("servers", (-1, 0))
+        changed_at, _ = peer.heartbeat.known.get("servers", (-1, 0))
         revision = self._cache("servers").revision
         return revision is None or changed_at > revision
 
--- a/pimentoledge/routing/retry_budgets.py
+++ b/pimentoledge/routing/retry_budgets.py
@@ -17,16 +17,21 @@
         ratio: number of retries allowed for each request.
         slack: number of retries allowed in addition, for all routers together.
         window_seconds: length of the sliding window.
-        born: when this process started, in seconds of clocks.now.
+        started_at: when this process started, in seconds of clocks.now.
     """
 
     def __init__(
-        self, *, ratio: float, slack: float, window_seconds: float, born: float
+        self,
+        *,
+        ratio: float,
+        slack: float,
+        window_seconds: float,
+        started_at: float,
     ):
         self.ratio = ratio
         self.slack = slack
         self.window_seconds = window_seconds
-        self.born = born
+        self.started_at = started_at
         self._requests: collections.deque[float] = collections.deque()
         self._retries: collections.deque[float] = collections.deque()
 
@@ -50,7 +55,7 @@
         """
         self._expire(now)
         slack = self.slack / max(1, members)
-        if now - self.born < self.window_seconds:
+        if now - self.started_at < self.window_seconds:
             # Before a restart, this router may have used its part in the same
             # window.
             slack /= 2
--- a/pimentoledge/routing/rosters.py
+++ b/pimentoledge/routing/rosters.py
@@ -33,7 +33,7 @@
             time in the distant past if it never has.
         alive_at: when any router last received a heartbeat from it, as far as
             reported.
-        beat: its last heartbeat, or None.
+        heartbeat: its last heartbeat, or None.
         configuration: its newest configuration version.
         data_centre: its data centre, or "" if not known yet.
     """
@@ -41,7 +41,7 @@
     first_seen_at: float = 0.0
     last_heard_at: float = -1e9
     alive_at: float = -1e9
-    beat: peer_messages.Heartbeat | None = None
+    heartbeat: peer_messages.Heartbeat | None = None
     configuration: int = 0
     data_centre: str = ""
 
@@ -219,7 +219,7 @@
         ]
 
     def present(self, now: float) -> dict[str, Peer]:
-        """Returns the routers heard from recently, by mailbox."""
+        """Returns the routers with a recent heartbeat, by mailbox."""
         return {
             address: peer
             for address, peer in self.known.items()
--- a/pimentoledge/routing/server_notices.py
+++ b/pimentoledge/routing/server_notices.py
@@ -42,19 +42,19 @@
 
     def apply(
         self,
-        asked: backends.Backend,
+        target: backends.Backend,
         answer: request_types.ServerResponse,
         sent: float | None = None,
     ) -> None:
         """Applies the notices in a response head.
 
         Args:
-            asked: the server to which the request was sent.
+            target: the server to which the request was sent.
             answer: the response.
             sent: when a client's request was sent; None for other calls, whose
                 responses need not repeat a limit.
         """
-        backend = self._responding_server(asked, answer)
+        backend = self._responding_server(target, answer)
         if backend is None:
             return
         self._update_limit(backend, answer, sent)
@@ -148,20 +148,20 @@
 
     def apply_reply(
         self,
-        asked: registrations.Registration,
+        target: registrations.Registration,
         answer: request_types.ServerResponse,
     ) -> None:
         """Applies the notices in a response to a call of the router itself."""
-        backend = self.servers.by_incarnation.get(asked.incarnation)
+        backend = self.servers.by_incarnation.get(target.incarnation)
         if backend is not None:
             self.apply(backend, answer)
 
     def _responding_server(
-        self, asked: backends.Backend, answer: request_types.ServerResponse
+        self, target: backends.Backend, answer: request_types.ServerResponse
     ) -> backends.Backend | None:
         """Returns the server that sent a response, or None if unknown."""
         if answer.server is not None:
-            if answer.server == asked.registration.server:
-                return asked
+            if answer.server == target.registration.server:
+                return target
             return self.servers.by_server.get(answer.server)
-        return None if answer.status == MISDIRECTED else asked
+        return None if answer.status == MISDIRECTED else target
--- a/pimentoledge/routing/view_updaters.py
+++ b/pimentoledge/routing/view_updaters.py
@@ -129,7 +129,7 @@
         """
         cache = self.view.caches_by_kind.get("weights")
         silent_at = cache.silent_at if cache is not None else 0.0
-        allowed_until = max(self.view.born, silent_at) + STARTUP_SECONDS
+        allowed_until = max(self.view.started_at, silent_at) + STARTUP_SECONDS
         return allowed_until - self.view.bounds.weights_seconds
 
     def _change_age_seconds(self) -> float:
--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -148,7 +148,7 @@
         finally:
             client.close()
 
-    async def ask_while_opening(self, server, other):
+    async def request_while_opening(self, server, other):
         """Returns the task of a request that is connecting to `server`.
 
         The other server of the service is avoided for the first 0.3 s.
@@ -167,9 +167,9 @@
 
         router.pool._open = slowly
         known[other].avoid_until = clocks.now() + 0.3
-        asked = asyncio.ensure_future(self.request("/cards/", body=b"c"))
+        response = asyncio.ensure_future(self.request("/cards/", body=b"c"))
         await opened.wait()
-        return asked
+        return response
 
     async def roll_out(self, version):
         """Announces new weights; returns the orders that rolled them out.
--- a/pimentoledge/tests/test_admission.py
+++ b/pimentoledge/tests/test_admission.py
@@ -9,7 +9,7 @@
 SENDER = "tcp://127.0.0.1:9000"
 
 
-def truth(**changes):
+def server_status(**changes):
     fields = {
         "server": "r1",
         "incarnation": "i1",
@@ -40,7 +40,7 @@
 
 
 def offer(admitting, sent, now=0.0, **changes):
-    return admitting.offer(sent, SENDER, truth(**changes), now)
+    return admitting.offer(sent, SENDER, server_status(**changes), now)
 
 
 def started(admitting, now):
--- a/pimentoledge/tests/test_agents.py
+++ b/pimentoledge/tests/test_agents.py
@@ -53,13 +53,13 @@
     prompt, which would then wait behind the first.
     """
     agent, todo = agent_with_dispatch()
-    assert agent.truth(ENTRY).queued_tokens == 4000
+    assert agent.server_status(ENTRY).queued_tokens == 4000
     assert truths(todo)
     text = events.EngineText(
         request="q", attempt=1, index=0, text="a", tokens=1
     )
     agent.handle(text, 2.0)
-    assert agent.truth(ENTRY).queued_tokens == 0
+    assert agent.server_status(ENTRY).queued_tokens == 0
 
 
 def test_what_met_a_dead_engine_is_not_said_to_have_run():
--- a/pimentoledge/tests/test_claims.py
+++ b/pimentoledge/tests/test_claims.py
@@ -327,7 +327,7 @@
 
 
 def test_large_answer_is_recorded_but_not_kept():
-    """A retry of a call with a large answer is told only that it ran."""
+    """A retry of a call with a large answer learns only that it ran."""
     agent = Agent("life-1", fake_objects.FakeObjects())
     agent.claim("r1", "k")
     agent.settle(0.0)
--- a/pimentoledge/tests/test_entry_streams.py
+++ b/pimentoledge/tests/test_entry_streams.py
@@ -52,7 +52,7 @@
     outbox: collections.deque = attrs.field(factory=collections.deque)
     runs: list[Run] = attrs.field(factory=list)
 
-    def truth(self):
+    def server_status(self):
         return messages.ServerStatus(
             server=self.name,
             incarnation=f"{self.name}-{self.life}",
@@ -72,7 +72,7 @@
                 prompt_tokens=4,
                 cached_tokens=0,
                 completion_tokens=run.index,
-                truth=self.truth(),
+                truth=self.server_status(),
             )
         )
 
@@ -84,7 +84,7 @@
                 attempt=run.attempt,
                 code=results.Code.ENGINE_DIED,
                 ran=ran,
-                truth=self.truth(),
+                truth=self.server_status(),
             )
         )
 
@@ -253,7 +253,7 @@
                 answer = messages.Admitted(
                     request=message.request,
                     attempt=message.attempt,
-                    truth=agent.truth(),
+                    truth=agent.server_status(),
                 )
                 agent.outbox.append(answer)
             case messages.Dispatch():
@@ -262,7 +262,7 @@
                         request=message.request,
                         attempt=message.attempt,
                         code=results.Code.OVERLOADED,
-                        truth=agent.truth(),
+                        truth=agent.server_status(),
                     )
                 )
             case messages.Cancel():
@@ -276,7 +276,9 @@
                 running = {run.request for run in agent.runs}
                 unknown = [r for r in message.requests if r not in running]
                 agent.outbox.append(
-                    messages.ProbeAnswer(truth=agent.truth(), unknown=unknown)
+                    messages.ProbeAnswer(
+                        truth=agent.server_status(), unknown=unknown
+                    )
                 )
 
     def generate(self, agent, run, count):
--- a/pimentoledge/tests/test_membership.py
+++ b/pimentoledge/tests/test_membership.py
@@ -18,7 +18,7 @@
     return [each.name for each in found]
 
 
-def _truth(server="a", incarnation="1", **fields):
+def _status(server="a", incarnation="1", **fields):
     return messages.ServerStatus(
         server=server, incarnation=incarnation, **fields
     )
@@ -36,7 +36,7 @@
 
 def test_only_a_declaration_admits():
     members = membership.Membership(seed=1)
-    members.record_report(_truth("undeclared"), 0.0)
+    members.record_report(_status("undeclared"), 0.0)
     members.update_vms([events.ListedVm(address="10.0.0.9")], 0.0)
     assert members.usable([], 0.0) == []
     assert _names(members.usable(_fleet(), 0.0)) == ["a", "b"]
@@ -54,7 +54,7 @@
     now = 0.0
     holds = []
     for life in range(7):
-        members.record_report(_truth(incarnation=f"i{life}"), now)
+        members.record_report(_status(incarnation=f"i{life}"), now)
         holds.append(_hold(members, now))
         assert _names(members.usable(_fleet(), now)) == ["b"]
         now += holds[-1]
@@ -77,7 +77,7 @@
     assert _names(members.usable(_fleet(), now)) == ["a", "b"]
     members.record_dispatch("a", now)
     assert _names(members.usable(_fleet(), now)) == ["b"]
-    members.record_report(_truth(), now + 0.1)
+    members.record_report(_status(), now + 0.1)
     assert _names(members.usable(_fleet(), now + 0.1)) == ["a", "b"]
 
 
@@ -88,9 +88,9 @@
     refused connection first and receives the answer after it.
     """
     members = membership.Membership(seed=1)
-    members.record_report(_truth(), 0.0)
+    members.record_report(_status(), 0.0)
     members.record_refusal("a", 1.0)
-    members.record_report(_truth(), 1.01)
+    members.record_report(_status(), 1.01)
     assert _names(members.usable(_fleet(), 1.02)) == ["b"]
 
 
@@ -102,7 +102,7 @@
     """
     members = membership.Membership(seed=1)
     orders = [
-        members.record_report(_truth(incarnation=each), 0.0) for each in "1121"
+        members.record_report(_status(incarnation=each), 0.0) for each in "1121"
     ]
     assert orders == [
         membership.ReportOrder.CURRENT,
@@ -158,8 +158,8 @@
     that nor the passing of time may readmit the server.
     """
     members = membership.Membership(seed=1)
-    members.record_report(_truth(leaving=True), 0.0)
-    members.record_report(_truth(), 0.5)
+    members.record_report(_status(leaving=True), 0.0)
+    members.record_report(_status(), 0.5)
     for now in (0.5, 3.0, 600.0):
         assert _names(members.usable(_fleet(), now)) == ["b"]
     assert members.usable([_server("a")], 600.0) == []
@@ -167,15 +167,15 @@
     assert members.due_probes(600.0) == ["a"]
     assert members.due_probes(600.5) == []
     assert members.next_wake() == 601.0
-    members.record_report(_truth(), 600.5)
+    members.record_report(_status(), 600.5)
     assert _names(members.usable(_fleet(), 600.5)) == ["a", "b"]
 
 
 def test_loading_server_is_usable_after_its_report():
     members = membership.Membership(seed=1)
-    members.record_report(_truth(loading=True), 0.0)
+    members.record_report(_status(loading=True), 0.0)
     assert _names(members.usable(_fleet(), 0.1)) == ["b"]
-    members.record_report(_truth(weights="w2"), 0.5)
+    members.record_report(_status(weights="w2"), 0.5)
     assert _names(members.usable(_fleet(), 0.5)) == ["a", "b"]
 
 
@@ -204,7 +204,7 @@
     for number in range(100):
         name = f"s{number}"
         members.record_refusal(name, 0.0)
-        members.record_report(_truth(name, str(number)), 1.0)
+        members.record_report(_status(name, str(number)), 1.0)
         address = f"10.0.1.{number}"
         members.update_vms([events.ListedVm(address=address)], 2.0)
     assert len(members.failure_records) <= 10
--- a/pimentoledge/tests/test_placement.py
+++ b/pimentoledge/tests/test_placement.py
@@ -20,7 +20,7 @@
     )
 
 
-def _truth(name, **fields):
+def _status(name, **fields):
     values = {
         "incarnation": "i1",
         "weights": "w1",
@@ -45,10 +45,10 @@
     )
 
 
-def _placer(*truths):
+def _placer(*statuses):
     placer = placement.Placer(seed=1, data_centre="")
-    for truth in truths:
-        placer.learned(truth, 0.0)
+    for status in statuses:
+        placer.record_status(status, 0.0)
     return placer
 
 
@@ -59,7 +59,7 @@
 
 
 SERVERS = [_server("a"), _server("b"), _server("c")]
-TRUTHS = [_truth("a"), _truth("b"), _truth("c")]
+STATUSES = [_status("a"), _status("b"), _status("c")]
 
 
 def _depth(choice, server):
@@ -95,7 +95,7 @@
 
 def test_request_goes_to_the_server_with_its_prefix():
     for name in "abc":
-        placer = _placer(*TRUTHS)
+        placer = _placer(*STATUSES)
         _run(placer, _wanted(), name, 0.0)
         choice = placer.choose(_wanted("r2"), SERVERS, 0.5)
         assert choice.server == name
@@ -110,9 +110,9 @@
     the new incarnation. If hints of the old one stayed valid, all requests
     with the prefix would wait for an unexpected full prefill.
     """
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     _run(placer, _wanted(), "a", 0.0)
-    placer.learned(_truth("a", incarnation="i2"), 0.1)
+    placer.record_status(_status("a", incarnation="i2"), 0.1)
     choice = placer.choose(_wanted("r2"), SERVERS, 0.2)
     assert _depth(choice, "a") == 0
 
@@ -123,28 +123,28 @@
     A request ends and the engine restarts. The entry receives the report of
     the restart before the end of the request.
     """
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     wanted = _wanted()
     placer.choose(wanted, [_server("a")], 0.0)
     placer.sent("a", "r1", 160, 0.0)
-    placer.learned(_truth("a", incarnation="i2"), 0.1)
+    placer.record_status(_status("a", incarnation="i2"), 0.1)
     placer.finished("a", "r1", wanted.blocks, 0, 0.2)
     assert _depth(placer.choose(_wanted("r2"), SERVERS, 0.3), "a") == 0
 
 
 def test_new_weights_invalidate_hints_and_old_weights_are_not_used():
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     _run(placer, _wanted(), "a", 0.0)
-    placer.learned(_truth("a", weights="w2"), 0.1)
+    placer.record_status(_status("a", weights="w2"), 0.1)
     choice = placer.choose(_wanted("r2"), SERVERS, 0.2)
     assert choice.server in {"b", "c"}
-    placer.learned(_truth("a", weights="w1"), 0.3)
+    placer.record_status(_status("a", weights="w1"), 0.3)
     choice = placer.choose(_wanted("r3"), SERVERS, 0.4)
     assert _depth(choice, "a") == 0
 
 
 def test_other_organisation_matches_no_hint():
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     _run(placer, _wanted(), "a", 0.0)
     choice = placer.choose(_wanted("r2", organisation="p"), SERVERS, 0.1)
     assert choice.expected_depth == 0
@@ -152,11 +152,11 @@
 
 def test_ineligible_servers_are_not_candidates():
     truths = [
-        _truth("a", leaving=True),
-        _truth("b", incarnation=""),
-        _truth("c", weights="w2"),
-        _truth("d", adapters=["x"]),
-        _truth("e"),
+        _status("a", leaving=True),
+        _status("b", incarnation=""),
+        _status("c", weights="w2"),
+        _status("d", adapters=["x"]),
+        _status("e"),
     ]
     placer = _placer(*truths)
     servers = [_server(name) for name in "abcde"]
@@ -168,7 +168,7 @@
 
 
 def test_failed_server_is_the_last_resort():
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     placer.failed("a", 1.0)
     placer.failed("b", 1.0)
     assert placer.choose(_wanted(), SERVERS, 1.1).server == "c"
@@ -184,20 +184,20 @@
 
 
 def test_spills_only_when_the_queue_costs_more_than_recomputing():
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     home = _home(placer)
     _run(placer, _wanted(), home, 0.0)
-    placer.learned(_truth(home, queued_tokens=100, received=1), 0.0)
+    placer.record_status(_status(home, queued_tokens=100, received=1), 0.0)
     assert placer.choose(_wanted("r2"), SERVERS, 0.0).server == home
-    placer.learned(_truth(home, queued_tokens=400, received=1), 0.0)
+    placer.record_status(_status(home, queued_tokens=400, received=1), 0.0)
     assert placer.choose(_wanted("r3"), SERVERS, 0.0).server != home
 
 
 def test_batch_work_waits_longer_rather_than_recompute():
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     home = _home(placer)
     _run(placer, _wanted(), home, 0.0)
-    placer.learned(_truth(home, queued_tokens=400, received=1), 0.0)
+    placer.record_status(_status(home, queued_tokens=400, received=1), 0.0)
     batch = _wanted("r2", priority=declarations.Priority.BATCH)
     assert placer.choose(batch, SERVERS, 0.0).server == home
 
@@ -208,15 +208,15 @@
     All queues are long. A request that spills shortens its own wait, but the
     tokens it recomputes lengthen the queues for all others.
     """
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     idle = placer.price(_wanted(), SERVERS, 0.0)
     for name in "abc":
-        placer.learned(_truth(name, queued_tokens=800), 0.0)
+        placer.record_status(_status(name, queued_tokens=800), 0.0)
     assert placer.price(_wanted(), SERVERS, 0.0) == idle + 2.0
 
 
 def test_home_without_a_hint_is_preferred_with_no_expected_cache():
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     choice = placer.choose(_wanted(), SERVERS, 0.0)
     assert choice.server == _home(placer)
     assert choice.expected_depth == 0
@@ -274,14 +274,14 @@
 
 
 def test_own_dispatches_count_until_a_report_covers_them():
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     placer.sent("a", "x", 500, 0.0)
     placer.sent("a", "y", 300, 0.0)
     load = placer.loads["a"]
     assert load.wait_seconds(0.0, 1.0) == 0.8
-    placer.learned(_truth("a", queued_tokens=500, received=1), 0.0)
+    placer.record_status(_status("a", queued_tokens=500, received=1), 0.0)
     assert load.wait_seconds(0.0, 1.0) == 0.8
-    placer.learned(_truth("a", queued_tokens=800, received=2), 0.0)
+    placer.record_status(_status("a", queued_tokens=800, received=2), 0.0)
     assert load.wait_seconds(0.0, 1.0) == 0.8
     assert abs(load.wait_seconds(0.5, 1.0) - 0.3) < 1e-9
 
@@ -292,14 +292,14 @@
     The restarted agent counts the entry's dispatches from 0 again, so its
     reports never cover the higher numbers of earlier dispatches.
     """
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     for number in range(5):
         placer.sent("a", str(number), 1000, 0.0)
-    placer.learned(_truth("a", received=5), 0.0)
+    placer.record_status(_status("a", received=5), 0.0)
     placer.sent("a", "lost", 1000, 0.0)
-    placer.learned(_truth("a", received=0), 0.1)
+    placer.record_status(_status("a", received=0), 0.1)
     placer.sent("a", "new", 10, 0.1)
-    placer.learned(_truth("a", received=1), 0.2)
+    placer.record_status(_status("a", received=1), 0.2)
     assert placer.loads["a"].wait_seconds(0.2, 1.0) == 0.0
 
 
@@ -322,7 +322,7 @@
 
     Neither has a block, and counting the levels accesses the first block.
     """
-    placer = _placer(*TRUTHS)
+    placer = _placer(*STATUSES)
     wanted = attrs.evolve(_wanted(), blocks=[])
     assert placer.choose(wanted, SERVERS, 0.0).server is not None
 
@@ -335,9 +335,9 @@
     """
     load = loads.EstimatedLoad()
     load.sent(100, 1.0)
-    load.reported(_truth("a", received=501), 1.1)
+    load.record_status(_status("a", received=501), 1.1)
     load.sent(4000, 1.2)
-    load.reported(_truth("a", received=501), 1.3)
+    load.record_status(_status("a", received=501), 1.3)
     assert load.backlog == 4000
-    load.reported(_truth("a", received=502), 1.4)
+    load.record_status(_status("a", received=502), 1.4)
     assert load.backlog == 0
--- a/pimentoledge/tests/test_platform_adapter.py
+++ b/pimentoledge/tests/test_platform_adapter.py
@@ -241,7 +241,7 @@
 
 
 def test_one_bad_server_does_not_hide_the_others():
-    view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+    view = cluster_views.ClusterView(name="x", data_centre="a", started_at=0.0)
     takers = view_updaters.ViewUpdater(
         view=view,
         lines=log_lines.Lines(counters=counters.Counters()),
--- a/pimentoledge/tests/test_rollouts.py
+++ b/pimentoledge/tests/test_rollouts.py
@@ -21,7 +21,7 @@
 
 
 def world(count, version=2):
-    view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+    view = cluster_views.ClusterView(name="x", data_centre="a", started_at=0.0)
     for number in range(count):
         view.servers.put(registration(number, place="abc"[number % 3]))
     view.set_wanted_version(MODEL, version, 0.0)
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -91,9 +91,9 @@
 async def test_server_that_backs_off_while_connecting_gets_no_request(world):
     [router] = world.routers
     known = router.view.servers.by_incarnation
-    asked = await world.ask_while_opening("p0", "p1")
+    response = await world.request_while_opening("p0", "p1")
     router.notices.apply(known["p0"], busy(60.0))
-    assert (await asked).status == 200
+    assert (await response).status == 200
     assert not world.servers["p0"].calls
 
 
@@ -196,7 +196,7 @@
 
 
 def test_no_runner_gets_a_load_order_before_its_retry_after():
-    view = cluster_views.ClusterView(name="b", data_centre="a", born=0.0)
+    view = cluster_views.ClusterView(name="b", data_centre="a", started_at=0.0)
     view.set_wanted_version(MODEL, 2, 0.0)
     backend = view.servers.put(REGISTRATION)
     taker(view.servers).apply(backend, busy(60.0))
--- a/pimentoledge/tests/test_router_decisions.py
+++ b/pimentoledge/tests/test_router_decisions.py
@@ -68,9 +68,9 @@
 class TestBudgets:
     """Retry budgets."""
 
-    def budget(self, born=-100.0):
+    def budget(self, started_at=-100.0):
         return retry_budgets.Budget(
-            ratio=0.2, slack=40, window_seconds=10, born=born
+            ratio=0.2, slack=40, window_seconds=10, started_at=started_at
         )
 
     def test_all_routers_together_stay_within_the_limit(self):
@@ -86,7 +86,7 @@
         assert spent <= 0.2 * 400 + 40
 
     def test_a_restarted_router_allows_for_its_former_process(self):
-        old, new = self.budget(), self.budget(born=0.0)
+        old, new = self.budget(), self.budget(started_at=0.0)
         assert new.allowance(0.0, 1) == old.allowance(0.0, 1) / 2
 
     def test_spent_retries_are_available_again_after_the_window(self):
@@ -226,7 +226,9 @@
     """The router's view of weights and servers, and its age."""
 
     def view(self):
-        return cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+        return cluster_views.ClusterView(
+            name="x", data_centre="a", started_at=0.0
+        )
 
     def test_the_earlier_of_two_times_of_an_announcement_is_kept(self):
         """Guards against a restarted router that uses old weights too long."""
@@ -467,44 +469,44 @@
 class TestObjectCaches:
     """Cached copies of the store's objects."""
 
-    def mirror(self):
+    def new_cache(self):
         seen = []
-        held = object_caches.ObjectCache(
+        cache = object_caches.ObjectCache(
             kind="k",
             on_change=lambda changed, removed: seen.append(
                 ([each.name for each in changed], removed)
             ),
         )
-        return held, seen
+        return cache, seen
 
     def stored(self, name, revision):
         return registrations.Stored(name=name, revision=revision, value={})
 
     def test_an_older_listing_of_another_router_is_ignored(self):
-        held, seen = self.mirror()
+        cache, seen = self.new_cache()
         listing = registrations.Listing
-        held.apply(listing(objects=[self.stored("a", 5)], revision=9))
-        held.apply(listing(objects=[], revision=8))
-        assert list(held.objects) == ["a"]
+        cache.apply(listing(objects=[self.stored("a", 5)], revision=9))
+        cache.apply(listing(objects=[], revision=8))
+        assert list(cache.objects) == ["a"]
         assert len(seen) == 1
 
     def test_objects_missing_from_a_new_listing_are_removed(self):
-        held, seen = self.mirror()
+        cache, seen = self.new_cache()
         listing = registrations.Listing
-        held.apply(listing(objects=[self.stored("a", 5)], revision=9))
-        held.apply(listing(objects=[self.stored("b", 10)], revision=10))
+        cache.apply(listing(objects=[self.stored("a", 5)], revision=9))
+        cache.apply(listing(objects=[self.stored("b", 10)], revision=10))
         assert seen[-1] == (["b"], ["a"])
 
     def test_changes_out_of_order_keep_the_newest(self):
-        held, seen = self.mirror()
+        cache, seen = self.new_cache()
         change = registrations.Changes
-        held.apply(
+        cache.apply(
             change(changed=[self.stored("a", 9)], removed=[], revision=9)
         )
-        held.apply(
+        cache.apply(
             change(changed=[self.stored("a", 7)], removed=[], revision=9)
         )
-        assert held.objects["a"].revision == 9
+        assert cache.objects["a"].revision == 9
         assert seen[-1] == ([], [])
 
 
@@ -673,7 +675,7 @@
         chosen = {}
         for place in "abc":
             view = cluster_views.ClusterView(
-                name="x", data_centre=place, born=0.0
+                name="x", data_centre=place, started_at=0.0
             )
             view.configuration = built
             for number in range(30):
@@ -688,7 +690,9 @@
 
     def test_without_a_kv_cache_server_a_prompt_goes_where_its_parts_are(self):
         """Guards against prefilling a part at each runner, as none is saved."""
-        view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+        view = cluster_views.ClusterView(
+            name="x", data_centre="a", started_at=0.0
+        )
         view.configuration = configurations.build(
             version=1,
             routes=[],
@@ -700,7 +704,7 @@
         for number in range(6):
             view.servers.put(registration(str(number), weights={"m": 1}))
         holder = view.servers.by_server["4"]
-        client_request = TestOlderWeights().ask(10.0)
+        client_request = TestOlderWeights().new_request(10.0)
         holder.note_parts("1", client_request.parts, 50000, 10.4)
         found = selections.select(
             view=view,
@@ -753,7 +757,7 @@
     PARTS = (request_types.Part(name="manual", tokens=4000),)
     OWN = request_types.Part(name="own", tokens=100)
 
-    def ask(self, now):
+    def new_request(self, now):
         return request_types.ClientRequest(
             request="q",
             method=b"POST",
@@ -775,7 +779,7 @@
     def sent(self, view, now):
         return selections.dispatch(
             view=view,
-            client_request=self.ask(now),
+            client_request=self.new_request(now),
             route=route(configurations.Repeatability.STREAM),
             organisation=None,
             backend=backend("r", weights={"m": 1}),
@@ -790,7 +794,9 @@
         return sent.fetch_from
 
     def view(self, *, saved):
-        found = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+        found = cluster_views.ClusterView(
+            name="x", data_centre="a", started_at=0.0
+        )
         found.configuration = configurations.build(
             version=1,
             routes=[],
@@ -881,15 +887,17 @@
 class TestAgesOfWeights:
     """The time as of which weights count as announced."""
 
-    def takers(self):
-        view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+    def new_updater(self):
+        view = cluster_views.ClusterView(
+            name="x", data_centre="a", started_at=0.0
+        )
         return view_updaters.ViewUpdater(
             view=view,
             lines=log_lines.Lines(counters=counters.Counters()),
         )
 
-    def age(self, taken):
-        return clocks.now() - taken.view.wanted["m"].since
+    def age(self, updater):
+        return clocks.now() - updater.view.wanted["m"].since
 
     def named(self, version):
         value = {"model": "m", "version": version}
@@ -903,14 +911,14 @@
         count as announced for half of the time after which no request may start
         on older weights.
         """
-        taken = self.takers()
-        taken.apply_weights([], [])
-        taken.apply_weights([self.named(2)], [])
-        assert self.age(taken) < 1.0
+        updater = self.new_updater()
+        updater.apply_weights([], [])
+        updater.apply_weights([self.named(2)], [])
+        assert self.age(updater) < 1.0
 
     def test_a_version_read_at_the_start_may_be_old(self):
-        taken = self.takers()
-        taken.view.born = clocks.now()
-        taken.apply_weights([self.named(2)], [])
-        bound = taken.view.bounds.weights_seconds
-        assert self.age(taken) >= bound - view_updaters.STARTUP_SECONDS
+        updater = self.new_updater()
+        updater.view.started_at = clocks.now()
+        updater.apply_weights([self.named(2)], [])
+        bound = updater.view.bounds.weights_seconds
+        assert self.age(updater) >= bound - view_updaters.STARTUP_SECONDS
--- a/pimentoledge/tests/test_router_delays.py
+++ b/pimentoledge/tests/test_router_delays.py
@@ -71,14 +71,14 @@
     first.view.server_limits.update(
         "p0", 1.0, sent_at=clocks.now(), received_at=clocks.now()
     )
-    told = []
+    sent = []
     reports = first.peers.limit_reports
-    reports.send_all = lambda addresses, message: told.append(message)
+    reports.send_all = lambda addresses, message: sent.append(message)
     reports.send_all_limits("second", clocks.now())
     limits.update(
         "p0", 2.0, sent_at=clocks.now(), received_at=clocks.now() - 1.0
     )
-    deliver(second, first, told[0])
+    deliver(second, first, sent[0])
     assert limits.get("p0") == 2.0
 
 
@@ -86,16 +86,18 @@
 async def test_a_delayed_heartbeat_does_not_refresh_listings(world):
     """Guards against stale listings that count as recent after a partition."""
     first, second = await meet(world)
-    mirror = second.kinds["servers"].cache
-    beat = first.peers._own_heartbeat(clocks.now())
-    mirror.known_at = before = clocks.now() - 4.0
-    deliver(second, first, attrs.evolve(beat, known=_known(beat)))
-    assert mirror.known_at == before
+    cache = second.kinds["servers"].cache
+    heartbeat = first.peers._own_heartbeat(clocks.now())
+    cache.known_at = before = clocks.now() - 4.0
+    deliver(second, first, attrs.evolve(heartbeat, known=_known(heartbeat)))
+    assert cache.known_at == before
 
 
-def _known(beat):
+def _known(heartbeat):
     """Returns the known revisions of a heartbeat, each with an age of 0."""
-    return {kind: (revision, 0) for kind, (revision, _) in beat.known.items()}
+    return {
+        kind: (revision, 0) for kind, (revision, _) in heartbeat.known.items()
+    }
 
 
 @with_world(routers=2, plain=1, runners=1)
--- a/pimentoledge/tests/test_router_faults.py
+++ b/pimentoledge/tests/test_router_faults.py
@@ -59,26 +59,26 @@
     return decorate
 
 
-def ask(world, path="/cards/", **more):
+def send_request(world, path="/cards/", **more):
     headers = {**IDENTITY, **more}
     return world.request(path, body=b"card", headers=headers)
 
 
 @before(reply(b"until the end"))
 async def test_an_answer_without_a_length_ends_with_its_connection(world):
-    got = await ask(world)
+    got = await send_request(world)
     assert (got.status, got.body, got.whole) == (200, b"until the end", True)
 
 
 @before(reply(b"half", length=9))
 async def test_an_answer_that_is_cut_is_not_passed_on(world):
     """Guards against a truncated response passed on as complete."""
-    assert (await ask(world)).status == 502
+    assert (await send_request(world)).status == 502
 
 
 @before(b"this is no answer\r\n\r\n")
 async def test_bytes_that_are_no_answer_are_not_passed_on(world):
-    assert (await ask(world)).status == 502
+    assert (await send_request(world)).status == 502
 
 
 @before(reply(b"first", length=5) + reply(b"second", length=6), hang=True)
@@ -88,7 +88,7 @@
     The connection is closed, so that the leftover bytes can't become the
     response to the next request.
     """
-    got = await ask(world)
+    got = await send_request(world)
     assert got.body == b"first"
     [router] = world.routers
     await asyncio.sleep(0.1)
@@ -97,7 +97,7 @@
 
 @before(reply(b"", length=0).replace(b"Server-Stamp: s\r\n", b""))
 async def test_a_success_without_a_signature_is_not_passed_on(world):
-    assert (await ask(world)).status == 502
+    assert (await send_request(world)).status == 502
 
 
 @before(reply(b"no", length=2, status=503))
@@ -106,14 +106,14 @@
 
     A router's 503 means that the request never ran, but this server's doesn't.
     """
-    assert (await ask(world)).status == 502
+    assert (await send_request(world)).status == 502
 
 
 @before(b"", hang=True)
 async def test_a_silent_server_holds_a_request_only_to_its_deadline(world):
     """Guards against a server that accepts a request and never responds."""
     async with asyncio.timeout(1.5):
-        got = await ask(world, **{"Deadline-Ms": "400"})
+        got = await send_request(world, **{"Deadline-Ms": "400"})
     assert got.status == 504
 
 
--- a/pimentoledge/tests/test_router_first_events.py
+++ b/pimentoledge/tests/test_router_first_events.py
@@ -198,15 +198,15 @@
         ).seconds
     )
     mean = wait_estimates.MeanLoad(busy=5, queued=3, unread=9000, since=1.0)
-    told = wait_estimates.Speeds(
+    speeds = wait_estimates.Speeds(
         base_seconds=0.09, token_seconds=3e-5, remote_means={"b": mean}
     )
     known = wait_estimates.expected_wait(
-        there, wait_estimates.PromptWork(to_read=3000), told, 1.0
+        there, wait_estimates.PromptWork(to_read=3000), speeds, 1.0
     ).seconds
     assert (
         known
         > wait_estimates.expected_wait(
-            here, wait_estimates.PromptWork(to_read=3000), told, 1.0
+            here, wait_estimates.PromptWork(to_read=3000), speeds, 1.0
         ).seconds
     )
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -204,10 +204,10 @@
     server had announced meanwhile that it leaves.
     """
     [router] = world.routers
-    asked = await world.ask_while_opening("p0", "p1")
+    response = await world.request_while_opening("p0", "p1")
     world.write_registration(world.servers["p0"], leaving=True)
     await world.until(lambda: has_seen_leaving(router))
-    assert (await asked).status == 200
+    assert (await response).status == 200
     assert not world.servers["p0"].calls
     assert len(world.servers["p1"].calls) == 1
 
@@ -304,14 +304,14 @@
     await world.until(lambda: second.peers.roster.present(clocks.now()))
     await _all_wait(world)
     copies = second.peers.replicator
-    mirror = copies.watching["servers"].cache
-    beat = first.peers._own_heartbeat(clocks.now())
+    cache = copies.watching["servers"].cache
+    heartbeat = first.peers._own_heartbeat(clocks.now())
     for ahead, age in ((1, -60_000), (0, -120_000)):
         # Negative ages, which no other source produces.
-        beat.known = {"servers": (mirror.revision + ahead, age)}
+        heartbeat.known = {"servers": (cache.revision + ahead, age)}
         now = clocks.now()
-        copies.merge_known(beat, now)
-        assert (mirror.known_at > now + 1) is (ahead == 0)
+        copies.merge_known(heartbeat, now)
+        assert (cache.known_at > now + 1) is (ahead == 0)
 
 
 @with_world(routers=2, plain=2, runners=1)
@@ -330,9 +330,9 @@
         each.reached = False
     first.kinds["servers"].recovered_at = clocks.now()
     world.store.remove("servers", "p0")
-    mirror = second.kinds["servers"].cache
+    cache = second.kinds["servers"].cache
     await world.until(lambda: "p0" in first.updater.lapsed)
-    await world.until(lambda: "p0" not in mirror.objects)
+    await world.until(lambda: "p0" not in cache.objects)
     assert "p0" in second.view.servers.by_incarnation
     await world.until(
         lambda: "p0" not in second.view.servers.by_incarnation,
--- a/pimentoledge/tests/test_router_lives.py
+++ b/pimentoledge/tests/test_router_lives.py
@@ -33,7 +33,7 @@
 
     def __init__(self):
         self.view = cluster_views.ClusterView(
-            name="x", data_centre="a", born=0.0
+            name="x", data_centre="a", started_at=0.0
         )
         self.restarted = []
         self.died = []
--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -21,7 +21,7 @@
 MOST_BELOW = 0.003
 
 
-def played(case, *, routers=22, seed=1, seconds=24.0, **more):
+def simulate(case, *, routers=22, seed=1, seconds=24.0, **more):
     world = quotas.World(
         way=quota_ways.WAYS["lent rights"],
         routers=routers,
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("routers", [3, 22, 68])
 def test_requests_below_the_limits_are_not_refused(routers):
     """Guards against refusals below a limit when all load is below limits."""
-    found = played(quotas.CASES["calm"], routers=routers, seconds=12.0)
+    found = simulate(quotas.CASES["calm"], routers=routers, seconds=12.0)
     assert found.refused_below < MOST_BELOW
     assert found.worst < 1
 
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("name", ["hot", "hot-one"])
 def test_a_hot_organisation_gets_its_limit_and_no_more(name):
     """Guards against an organisation that gets 2.1 times its limit."""
-    found = played(quotas.CASES[name])
+    found = simulate(quotas.CASES[name])
     assert found.refused_below < MOST_BELOW
     assert found.worst < 1
 
@@ -65,7 +65,7 @@
     Both sides of a network partition, or a router before and after its restart,
     may use it.
     """
-    assert played(quotas.CASES[name]).worst < 1
+    assert simulate(quotas.CASES[name]).worst < 1
 
 
 def test_a_lowered_limit_binds_a_window_later():
@@ -88,7 +88,7 @@
 
 def test_an_owner_that_dies_costs_its_organisations_little():
     """Guards against refusals of a limit until its owner is back."""
-    found = played(quotas.CASES["owner-dies"])
+    found = simulate(quotas.CASES["owner-dies"])
     assert found.refused_below < 0.05
 
 
@@ -97,7 +97,7 @@
     case = attrs.evolve(
         quotas.CASES["hot-kills"], kills=(9.0, 11.5, 14.0, 16.5)
     )
-    assert played(case).worst < 1
+    assert simulate(case).worst < 1
 
 
 @settings(max_examples=15, deadline=None)
@@ -126,7 +126,7 @@
         kills=tuple(kills),
         lowered_at=lowered,
     )
-    found = played(case, routers=routers, seed=seed, seconds=18.0)
+    found = simulate(case, routers=routers, seed=seed, seconds=18.0)
     assert found.worst < 1
 
 
--- a/pimentoledge/tests/test_router_rings.py
+++ b/pimentoledge/tests/test_router_rings.py
@@ -164,7 +164,9 @@
     """Heartbeats of the lease holder."""
 
     def parts(self):
-        view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+        view = cluster_views.ClusterView(
+            name="x", data_centre="a", started_at=0.0
+        )
         lease = leases.Lease(holder="me", lease_seconds=3.0, revision=0)
         return (
             holder_heartbeats.HolderHeartbeats(lease=lease, view=view),
@@ -172,7 +174,7 @@
             view,
         )
 
-    def beat(self, of, now):
+    def heartbeat(self, of, now):
         return peer_messages.Heartbeat(
             data_centre="a",
             counted=(1, 0),
@@ -211,13 +213,13 @@
             registrations.Stored(name="", revision=7, value=None), 20.0
         )
         holder.record_own(20.0)
-        early = self.beat(holder, 20.0)
+        early = self.heartbeat(holder, 20.0)
         assert other.merge(early, 20.0)
         assert backend.loading_until == pytest.approx(20.9, abs=0.002)
         holder_view.servers.by_incarnation["r"].loading_until = 0.0
         backend.finish_loading()
         holder.record_own(20.5)
-        assert other.merge(self.beat(holder, 20.5), 20.5)
+        assert other.merge(self.heartbeat(holder, 20.5), 20.5)
         assert not other.merge(early, 20.6)
         assert backend.usable(20.6)
         assert other.holder_is_alive(20.6)
@@ -230,13 +232,13 @@
             registrations.Stored(name="", revision=7, value=None), 20.0
         )
         holder.record_own(20.0)
-        other.merge(self.beat(holder, 20.0), 20.0)
+        other.merge(self.heartbeat(holder, 20.0), 20.0)
         lease.learn(
             registrations.Stored(name="", revision=8, value={"holder": "b"}),
             20.2,
         )
         holder.record_own(20.3)
-        assert other.merge(self.beat(holder, 20.3), 20.3)
+        assert other.merge(self.heartbeat(holder, 20.3), 20.3)
         assert not other.holder_is_alive(20.3)
         before = holder.newest
         holder.record_own(20.8)
@@ -249,7 +251,7 @@
             registrations.Stored(name="", revision=7, value=None), 20.0
         )
         holder.record_own(20.0)
-        other.merge(self.beat(holder, 20.0), 20.0)
+        other.merge(self.heartbeat(holder, 20.0), 20.0)
         assert not other.holder_is_alive(
             20.0 + holder_heartbeats.SILENT_SECONDS
         )
@@ -297,7 +299,7 @@
 class TestForwardedChanges:
     """Copies of stored objects that are updated by forwarded changes."""
 
-    def mirror(self):
+    def new_cache(self):
         cache = object_caches.ObjectCache(
             kind="servers", on_change=lambda changed, gone: None
         )
@@ -315,27 +317,27 @@
         Watchers forward its removal and its return, so that the removal can
         arrive again after the return.
         """
-        mirror = self.mirror()
+        cache = self.new_cache()
         gone = registrations.Changes(
             changed=[], removed=[self.stored("a", 6)], revision=8
         )
         back = registrations.Changes(
             changed=[self.stored("a", 7)], removed=[], revision=8
         )
-        assert mirror.apply(gone)
-        assert mirror.apply(back)
-        assert not mirror.apply(gone)
-        assert "a" in mirror.objects
+        assert cache.apply(gone)
+        assert cache.apply(back)
+        assert not cache.apply(gone)
+        assert "a" in cache.objects
 
     def test_a_removal_counts_as_the_newest_change(self):
-        mirror = self.mirror()
-        assert mirror.changed_at == 3
-        mirror.apply(
+        cache = self.new_cache()
+        assert cache.changed_at == 3
+        cache.apply(
             registrations.Changes(
                 changed=[], removed=[self.stored("a", 6)], revision=9
             )
         )
-        assert (mirror.changed_at, mirror.revision) == (6, 9)
+        assert (cache.changed_at, cache.revision) == (6, 9)
 
 
 def _watching(routers):
@@ -414,7 +416,7 @@
     """Stops a router's watches and its messages to peers."""
     for each in router.watchers:
         each.close()
-    router.peers.beat = lambda now: None
+    router.peers.send_heartbeat = lambda now: None
     router.peers._send = lambda address, message, now: None
 
 
--- a/pimentoledge/tests/test_router_rooms.py
+++ b/pimentoledge/tests/test_router_rooms.py
@@ -16,7 +16,7 @@
 SLOTS = 64
 
 
-ASK = request_types.ClientRequest(
+CLIENT_REQUEST = request_types.ClientRequest(
     request="q",
     method=b"POST",
     host="h",
@@ -56,7 +56,7 @@
 
 def world(*loads, memory=MEMORY):
     """Returns a view of runners that reported these loads."""
-    view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+    view = cluster_views.ClusterView(name="x", data_centre="a", started_at=0.0)
     service = configurations.Service(
         name="s",
         max_connections=0,
@@ -97,7 +97,7 @@
     """Returns the chosen server, or the shortages if there is none."""
     found = selections.select(
         view=view,
-        client_request=ASK,
+        client_request=CLIENT_REQUEST,
         route=route,
         organisation=None,
         without=set(),
@@ -111,7 +111,7 @@
 
 
 def test_shared_tokens_do_not_count_as_memory_of_a_request():
-    assert memory_estimates.unshared_tokens(ASK) == 3050
+    assert memory_estimates.unshared_tokens(CLIENT_REQUEST) == 3050
 
 
 def test_a_runner_with_full_memory_gets_no_requests():
--- a/pimentoledge/tests/test_router_server_limits_fleet.py
+++ b/pimentoledge/tests/test_router_server_limits_fleet.py
@@ -12,7 +12,7 @@
 LEAST_USED = 0.85
 
 
-def played(case, *, routers=22, seed=1, servers=2, **more):
+def simulate(case, *, routers=22, seed=1, servers=2, **more):
     world = server_limits.World(
         routers=routers, case=case, seed=seed, servers=servers
     )
@@ -24,7 +24,7 @@
 def test_a_limit_is_used_and_not_exceeded(name, routers):
     """Guards against a fixed part for each router, too small to be used."""
     case = server_limits.CASES[name]
-    found = played(case, routers=routers, servers=6, seconds=40.0)
+    found = simulate(case, routers=routers, servers=6, seconds=40.0)
     assert found.worst <= 1
     assert found.used > LEAST_USED
 
@@ -32,7 +32,7 @@
 def test_300_routers_share_a_limit_that_is_below_one_request_a_router():
     """Guards against one request of each router at the same time."""
     case = server_limits.CASES["fraction"]
-    found = played(case, routers=300, servers=6, seconds=20.0)
+    found = simulate(case, routers=300, servers=6, seconds=20.0)
     assert found.worst <= 1
     assert found.used > LEAST_USED
     assert found.messages < 15
@@ -57,7 +57,7 @@
 )
 def test_no_fault_and_no_change_exceeds_a_limit(name):
     """Guards against a limit used twice, by two owners or after a restart."""
-    assert played(server_limits.CASES[name]).worst <= 1
+    assert simulate(server_limits.CASES[name]).worst <= 1
 
 
 @settings(max_examples=12, deadline=None)
@@ -113,4 +113,4 @@
         freezes=(freezes, begins, begins + lasts / 2),
         joins=(joins, begins),
     )
-    assert played(case, routers=routers, seed=seed).worst <= 1
+    assert simulate(case, routers=routers, seed=seed).worst <= 1
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -147,11 +147,11 @@
     limiter = router.peers.limiter
     name_limit(router, "p0", 1.0)
     limiter.rights.target = lambda slot, now: "tcp://127.0.0.1:9"
-    asked = asyncio.ensure_future(world.request("/notices/", body=b"n"))
+    response = asyncio.ensure_future(world.request("/notices/", body=b"n"))
     await world.until(lambda: limiter.pending)
     router.view.server_limits.advertised.clear()
     began = clocks.now()
-    await asked
+    await response
     assert clocks.now() - began < 1.0
 
 
@@ -205,13 +205,13 @@
     [router] = world.routers
     runner = world.servers["r0"]
     backend = name_limit(router, "r0", 1.0)
-    asked = []
+    refused = []
     acquire = router.permits.acquire
 
     async def refuse(wanted):
         if wanted is not backend:
             return await acquire(wanted)
-        asked.append(wanted)
+        refused.append(wanted)
         backend.limited_until = clocks.now() + 60.0
         return server_permits.Permit(granted=False)
 
@@ -221,7 +221,7 @@
         router_world.MODEL,
         {"model": router_world.MODEL, "version": 2},
     )
-    await world.until(lambda: asked)
+    await world.until(lambda: refused)
     other = world.servers["r1"]
     await world.until(lambda: other.weights[router_world.MODEL] == 2)
     assert not runner.arrival_times
@@ -249,9 +249,9 @@
     The server was selected for them before it advertised the limit.
     """
     [router] = world.routers
-    asked = await world.ask_while_opening("p0", "p1")
+    response = await world.request_while_opening("p0", "p1")
     name_limit(router, "p0", 1.0)
-    assert (await asked).status == 200
+    assert (await response).status == 200
     assert not world.servers["p0"].calls
 
 
--- a/pimentoledge/tests/test_router_weights.py
+++ b/pimentoledge/tests/test_router_weights.py
@@ -52,7 +52,7 @@
 
 def view_of(*versions):
     """Returns a router's view of runners with these versions."""
-    view = cluster_views.ClusterView(name="x", data_centre="a", born=0.0)
+    view = cluster_views.ClusterView(name="x", data_centre="a", started_at=0.0)
     for number, version in enumerate(versions):
         view.servers.put(registration(number, version))
     return view
@@ -113,23 +113,26 @@
     ),
     strategies.integers(0, 20),
 )
-def test_in_any_order_of_news_no_version_outlives_the_first_after_it(
-    news, version
+def test_in_any_order_of_announcements_no_version_outlives_its_successor(
+    announcements, version
 ):
     named = [
         wanted_weights.NamedVersion(version=number, since=since)
-        for number, since in news
+        for number, since in announcements
     ]
     wanted = wanted_weights.WantedWeights(named[0])
     for each in named:
         wanted.add(each)
-    later = [since for number, since in news if number > version]
+    later = [since for number, since in announcements if number > version]
     found = wanted.superseded(version)
     if not later:
         assert found is None
         return
     assert found <= min(later)
-    if len({number for number, _ in news}) <= wanted_weights.MAX_EARLIER:
+    if (
+        len({number for number, _ in announcements})
+        <= wanted_weights.MAX_EARLIER
+    ):
         assert found == min(later)
 
 
@@ -141,7 +144,9 @@
     def started(self):
         """Returns the view of a router with a long bound at its start."""
         now = clocks.now()
-        view = cluster_views.ClusterView(name="x", data_centre="a", born=now)
+        view = cluster_views.ClusterView(
+            name="x", data_centre="a", started_at=now
+        )
         view.bounds = attrs.evolve(view.bounds, weights_seconds=self.BOUND)
         view.servers.put(registration(0, 1))
         return view
@@ -167,28 +172,28 @@
         self.list_second(view)
         until = view.begins_until(MODEL, 1)
         # The bound applies to a router from this time after its start.
-        assert until <= view.born + 3.0
+        assert until <= view.started_at + 3.0
 
     def test_another_router_s_time_replaces_the_guess_of_a_start(self):
         """Guards against excluding runners whose weights are still allowed."""
         view = self.started()
         self.list_second(view)
-        view.set_wanted_version(MODEL, 2, view.born - 1.0)
-        assert view.begins_until(MODEL, 1) == view.born + 11.0
+        view.set_wanted_version(MODEL, 2, view.started_at - 1.0)
+        assert view.begins_until(MODEL, 1) == view.started_at + 11.0
 
     def test_the_guess_of_a_start_does_not_replace_another_router_s_time(
         self,
     ):
         """Guards against a starting router excluding runners at others."""
         view = self.started()
-        view.set_wanted_version(MODEL, 2, view.born - 1.0)
+        view.set_wanted_version(MODEL, 2, view.started_at - 1.0)
         view.set_wanted_version(
             MODEL,
             2,
-            view.born - 9.0,
+            view.started_at - 9.0,
             source=wanted_weights.Source.GUESSED,
         )
-        assert view.begins_until(MODEL, 1) == view.born + 11.0
+        assert view.begins_until(MODEL, 1) == view.started_at + 11.0
 
     def test_the_guess_of_a_start_does_not_replace_a_known_bound(
         self,
@@ -198,8 +203,10 @@
             (-1.0, wanted_weights.Source.NOT_BEFORE),
             (-9.0, wanted_weights.Source.GUESSED),
         ):
-            view.set_wanted_version(MODEL, 2, view.born + since, source=source)
-        assert view.begins_until(MODEL, 1) == view.born + 11.0
+            view.set_wanted_version(
+                MODEL, 2, view.started_at + since, source=source
+            )
+        assert view.begins_until(MODEL, 1) == view.started_at + 11.0
 
     def test_of_two_lower_bounds_the_later_counts(self):
         """Guards against excluding runners by the oldest of several reads."""
@@ -208,10 +215,10 @@
             view.set_wanted_version(
                 MODEL,
                 2,
-                view.born + since,
+                view.started_at + since,
                 source=wanted_weights.Source.NOT_BEFORE,
             )
-        assert view.begins_until(MODEL, 1) == view.born + 11.0
+        assert view.begins_until(MODEL, 1) == view.started_at + 11.0
 
 
 @with_world(routers=2)
@@ -332,12 +339,12 @@
     margin = cluster_views.WEIGHTS_MARGIN_SECONDS
     await asyncio.sleep(WEIGHTS_SECONDS - margin - 0.3)
     headers = router_world.stream_headers(**{"Deadline-Ms": "5000"})
-    asked = asyncio.ensure_future(world.request(path, headers=headers))
+    response = asyncio.ensure_future(world.request(path, headers=headers))
     await world.until(lambda: server(world) is not None)
-    return asked, named
+    return response, named
 
 
-def _asked_runner(world):
+def _runner_with_request(world):
     """Returns the first runner that got a request, or None."""
     found = [each for each in world.servers.values() if each.calls]
     return found[0] if found else None
@@ -360,8 +367,10 @@
 
     It started them seconds after they were sent.
     """
-    asked, named = await _request_before_bound(world, "/drafts/", _asked_runner)
-    answer = await asked
+    response, named = await _request_before_bound(
+        world, "/drafts/", _runner_with_request
+    )
+    answer = await response
     await asyncio.sleep(1.0)
     assert not _begun_late(world, named)
     # It was sent, so no status may claim that it has not run.
@@ -373,15 +382,15 @@
     world,
 ):
     """Guards against a failure while other runners have the newer weights."""
-    asked, named = await _request_before_bound(
-        world, "/lookups/", _asked_runner
+    response, named = await _request_before_bound(
+        world, "/lookups/", _runner_with_request
     )
-    first = _asked_runner(world)
+    first = _runner_with_request(world)
     for each in world.servers.values():
         if each is not first:
             each.silent_orders = 0
             each.queue_seconds = 0.0
-    answer = await asked
+    answer = await response
     assert answer.status == 200
     assert not _begun_late(world, named)
 
@@ -450,7 +459,7 @@
         b"Transfer-Encoding: chunked\r\n\r\n"
     )
     view = view_of(1)
-    client_request = test_router_decisions.TestOlderWeights().ask(0.0)
+    client_request = test_router_decisions.TestOlderWeights().new_request(0.0)
     attempt = attempts.Attempt(
         client_request=client_request,
         backend=view.servers.by_server["r0"],
@@ -466,7 +475,7 @@
 
 
 @attrs.define(kw_only=True)
-class FormerBeat:
+class FormerHeartbeat:
     """A heartbeat of a former build, with only the newest version."""
 
     data_centre: str
@@ -481,11 +490,11 @@
 
 
 def test_heartbeats_of_the_former_build_are_read_and_the_other_way_round():
-    """Guards against a rolling update in which builds drop each other's beats.
+    """Guards against a rolling update whose builds drop each other's messages.
 
     Each half of the routers then considers the other half dead.
     """
-    told = {
+    fields = {
         "data_centre": "a",
         "counted": (2, 0),
         "wanted": {MODEL: (2, 300)},
@@ -496,12 +505,12 @@
         "lease_ms": 0,
         "leaving": False,
     }
-    former = codecs.Codec(numbers={1: FormerBeat})
+    former = codecs.Codec(numbers={1: FormerHeartbeat})
     given = {"sender": "tcp://x", "configuration": 1}
-    old = former.encode(FormerBeat(**told), **given)
+    old = former.encode(FormerHeartbeat(**fields), **given)
     assert isinstance(peers.CODEC.decode(old), result.Success)
-    beat = peer_messages.Heartbeat(**told, named={MODEL: [(2, 300, 0)]})
-    new = peers.CODEC.encode(beat, **given)
+    heartbeat = peer_messages.Heartbeat(**fields, named={MODEL: [(2, 300, 0)]})
+    new = peers.CODEC.encode(heartbeat, **given)
     assert isinstance(former.decode(new), result.Success)
 
 
@@ -511,7 +520,7 @@
     The store has no version until an operator announces one.
     """
     view = cluster_views.ClusterView(
-        name="x", data_centre="a", born=clocks.now()
+        name="x", data_centre="a", started_at=clocks.now()
     )
     updater = view_updaters.ViewUpdater(
         view=view,
@@ -624,15 +633,15 @@
             return self.CHANGES
 
         async def play():
-            mirror = object_caches.ObjectCache(
+            cache = object_caches.ObjectCache(
                 kind="versions", on_change=lambda changed, removed: None
             )
-            mirror.revision = 5
-            mirror.known_at = clocks.now() - known_age
+            cache.revision = 5
+            cache.known_at = clocks.now() - known_age
             store = stores.StoreClient(address="127.0.0.1:9", caller=None)
             store.watch = watch
             watcher = watchers.Watcher(
-                cache=mirror,
+                cache=cache,
                 store=store,
                 lines=log_lines.Lines(counters=counters.Counters()),
                 bound_seconds=lambda: 8.0,
@@ -641,7 +650,7 @@
             )
             watcher._relist = False
             await watcher._step()
-            return mirror.change_age_seconds
+            return cache.change_age_seconds
 
         return asyncio.run(play())
 
--- a/pimentoledge/tests/test_router_work_reports.py
+++ b/pimentoledge/tests/test_router_work_reports.py
@@ -30,7 +30,7 @@
         names = {f"tcp://r{n}": f"d{n % data_centres}" for n in range(count)}
         for name, data_centre in names.items():
             view = cluster_views.ClusterView(
-                name=name, data_centre=data_centre, born=0.0
+                name=name, data_centre=data_centre, started_at=0.0
             )
             view.configuration = self.configuration()
             for server, where in (("h", "d0"), ("t", "d1")):
--- a/pimentoledge/tests/test_streams.py
+++ b/pimentoledge/tests/test_streams.py
@@ -9,7 +9,7 @@
 from pimentoledge.nodes import messages
 
 REQUEST = "r-1"
-TRUTH = messages.ServerStatus(server="runner-1")
+STATUS = messages.ServerStatus(server="runner-1")
 
 
 def frame(sequence, attempt=1, request=REQUEST, text=None):
@@ -31,7 +31,7 @@
         prompt_tokens=1,
         cached_tokens=0,
         completion_tokens=sequence,
-        truth=TRUTH,
+        truth=STATUS,
     )
 
 
--- a/pimentoledge/tests/test_updates.py
+++ b/pimentoledge/tests/test_updates.py
@@ -278,7 +278,7 @@
 STEPS = strategies.lists(
     strategies.tuples(
         strategies.integers(0, 1),
-        strategies.sampled_from(["ask", "serve", "serve", "serve", "late"]),
+        strategies.sampled_from(["submit", "serve", "serve", "serve", "late"]),
         CALL_OUTCOMES,
     ),
     max_size=60,
@@ -318,7 +318,7 @@
 
     for number, step, call_outcome in steps:
         harness = harnesses[number]
-        if step == "ask":
+        if step == "submit":
             submitted += 1
             current = store.objects.get(PATH)
             expected = current.version if current else 0
--- a/pimentoledge/tests/test_upgrades.py
+++ b/pimentoledge/tests/test_upgrades.py
@@ -73,7 +73,9 @@
         self.entry = entry
         self.answers = []
         self.stopped = False
-        self.threads = [threading.Thread(target=self.ask) for _ in range(count)]
+        self.threads = [
+            threading.Thread(target=self.send_requests) for _ in range(count)
+        ]
 
     def __enter__(self):
         for each in self.threads:
@@ -85,7 +87,7 @@
         for each in self.threads:
             each.join(30.0)
 
-    def ask(self):
+    def send_requests(self):
         while not self.stopped:
             response = test_path.ask(self.entry, tokens=TOKENS)
             if response.status == 200:
