--- a/pimentoledge/decisions/entries.py
+++ b/pimentoledge/decisions/entries.py
@@ -144,7 +144,9 @@
         self.root = self.configuration.root
         peers = [each.mailbox for each in self.configuration.entries()]
         self.quarantine.peers = [each for each in peers if each != self.address]
-        return self.apply_limit_outputs(self.limits.entries(peers, now), now)
+        return self.apply_limit_outputs(
+            self.limits.update_entries(peers, now), now
+        )
 
     def tick(self, now: float) -> Actions:
         """Handles expired timers."""
@@ -217,9 +219,9 @@
             case messages.ProbeAnswer():
                 return self.report(message, event.sender, now)
         ticket = self.current(message, event.sender)
-        truth = getattr(message, "truth", None)
-        if truth is not None:
-            self.learn(truth, now)
+        status = getattr(message, "truth", None)
+        if status is not None:
+            self.learn(status, now)
         if ticket is None:
             return []
         ticket.last_heard_at = now
@@ -252,11 +254,11 @@
             return None
         return ticket
 
-    def learn(self, truth: messages.ServerStatus, now: float) -> None:
+    def learn(self, status: messages.ServerStatus, now: float) -> None:
         """Applies an agent's report about its server unless it is outdated."""
-        order = self.membership.record_report(truth, now)
+        order = self.membership.record_report(status, now)
         if order is not membership.ReportOrder.PAST:
-            self.placer.learned(truth, now)
+            self.placer.record_status(status, now)
 
     def accept(self, event: events.CallerRequest, now: float) -> Actions:
         """Accepts or refuses a caller's request."""
@@ -277,7 +279,7 @@
         self.budget.record_request(now)
         self.tickets[event.request] = ticket
         self.timers.set((_DEADLINE, event.request), ticket.deadline)
-        match self.limits.take(ticket.contract, event.request, now):
+        match self.limits.admit(ticket.contract, event.request, now):
             case limits.Granted(sends=sends):
                 return self.apply_limit_outputs(sends, now) + self.place(
                     ticket, now
