--- a/pimentoledge/tests/fuzz/__main__.py
+++ b/pimentoledge/tests/fuzz/__main__.py
@@ -1,4 +1,4 @@
-"""Fuzzes with a fresh seed: python -m pimentoledge.tests.fuzz."""
+"""Fuzzes with a random seed: python -m pimentoledge.tests.fuzz."""
 
 import argparse
 import secrets
@@ -15,37 +15,39 @@
 
 
 def main() -> int:
-    """Runs a number of examples; returns the exit code."""
+    """Runs the examples; returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--examples", type=int, default=200)
     parser.add_argument("--steps", type=int, default=50)
     parser.add_argument("--seed", type=int, default=None)
-    chosen = parser.parse_args()
-    seed = chosen.seed
+    arguments = parser.parse_args()
+    seed = arguments.seed
     if seed is None:
         seed = secrets.randbits(SEED_BITS)
-    again = f"EXAMPLES={chosen.examples} STEPS={chosen.steps} SEED={seed}"
-    print(f"fuzzing; to replay: make fuzz {again}", flush=True)
+    replay_arguments = (
+        f"EXAMPLES={arguments.examples} STEPS={arguments.steps} SEED={seed}"
+    )
+    print(f"fuzzing; to replay: make fuzz {replay_arguments}", flush=True)
     machine = hypothesis.seed(seed)(machines.Machine)
     settings = hypothesis.settings(
-        max_examples=chosen.examples,
-        stateful_step_count=chosen.steps,
+        max_examples=arguments.examples,
+        stateful_step_count=arguments.steps,
         deadline=None,
         database=None,
         report_multiple_bugs=False,
         suppress_health_check=list(hypothesis.HealthCheck),
     )
-    started = time.monotonic()
+    started_at = time.monotonic()
     try:
         hypothesis.stateful.run_state_machine_as_test(
             machine, settings=settings
         )
-    except Exception:  # Whatever was found is printed, with how to replay.
+    except Exception:  # Any failure is printed with its seed.
         traceback.print_exc()
-        print(f"FAILED; to replay: make fuzz {again}")
+        print(f"FAILED; to replay: make fuzz {replay_arguments}")
         return 1
-    seconds = time.monotonic() - started
-    print(f"{chosen.examples} examples passed in {seconds:.0f} s")
+    seconds = time.monotonic() - started_at
+    print(f"{arguments.examples} examples passed in {seconds:.0f} s")
     return 0
 
 
--- a/pimentoledge/tests/fuzz/machines.py
+++ b/pimentoledge/tests/fuzz/machines.py
@@ -1,4 +1,4 @@
-"""The state machine that hypothesis drives: every fault at any moment."""
+"""The Hypothesis state machine: injects any fault at any time."""
 
 from hypothesis import strategies
 import hypothesis.stateful
@@ -14,14 +14,17 @@
 from pimentoledge.tests.fuzz import worlds
 
 ORGANISATIONS = ("acme", "zenith")
-MANUAL = "A service manual of brand {} says how the part fits a frame. "
+PROMPT_PREFIX = "A service manual of brand {} says how the part fits a frame. "
 DEADLINE_SECONDS = 6.0
-# Entries that all restart together ask each other, and one reads the store.
-READY_SECONDS = 0.2
-# With the store down they have to find agents that have a copy of it.
-OUTAGE_SECONDS = 2.5
-# A load takes half a second; a permit of an agent that has died, ten until it
-# counts no longer, and a number that another life took, ten more.
+# Time in which entries that restart together must serve again. They ask one
+# another for the configuration, and one of them reads the store.
+RESTART_SECONDS = 0.2
+# The same while the store is down: they must first find agents that have a
+# copy of the configuration.
+RESTART_WITHOUT_STORE_SECONDS = 2.5
+# Time for a rollout to end. A load takes half a second, the permit of an
+# agent that ended counts for ten seconds, and one under a fencing number that
+# a later start of the agent replaced counts for ten more.
 UPGRADE_SECONDS = 60.0
 BLOCK_TOKENS = worlds.BLOCK_BYTES // 4
 NUMBER = strategies.integers(0, 11)
@@ -29,59 +32,67 @@
 
 
 def prompt_of(brand: int, model: int) -> str:
-    """Returns a prompt; those of one brand share most of their text."""
-    return MANUAL.format(brand) * 30 + f" Model {model}: which part? " * 12
+    """Returns a prompt; prompts of one brand share a long prefix."""
+    return (
+        PROMPT_PREFIX.format(brand) * 30 + f" Model {model}: which part? " * 12
+    )
 
 
 class Driver:
-    """What callers, operators and faults do to a world, by plain numbers."""
+    """Applies callers' and operators' requests and faults to a world.
+
+    Entries and agents are selected by numbers of any size.
+    """
 
     def __init__(self, **sizes):
         self.world = worlds.World(**sizes)
         self.oracle = self.world.oracle
 
-    def pick(self, items, number):
-        """Returns one of the items, or None if there is none."""
+    def pick(self, items, selector):
+        """Returns one of the items, or None if there are none."""
         items = list(items)
-        return items[number % len(items)] if items else None
-
-    def entry(self, number) -> worlds.Process:
-        """Returns the present life of an entry that is not paused."""
-        live = [self.world.processes[each] for each in self.world.entries]
-        awake = [each for each in live if not each.paused]
-        if not awake:
-            live[0].paused = False
-        return self.pick(awake or live[:1], number)
-
-    def agent(self, number) -> worlds.Process:
-        """Returns the present life of an agent."""
+        return items[selector % len(items)] if items else None
+
+    def entry(self, selector) -> worlds.Process:
+        """Returns a current entry process that isn't paused.
+
+        If all of them are paused, it resumes the first.
+        """
+        current = [self.world.processes[each] for each in self.world.entries]
+        active = [each for each in current if not each.paused]
+        if not active:
+            current[0].paused = False
+        return self.pick(active or current[:1], selector)
+
+    def agent(self, selector) -> worlds.Process:
+        """Returns the current process of an agent."""
         addresses = self.world.runners + self.world.services
-        return self.world.processes[self.pick(addresses, number)]
+        return self.world.processes[self.pick(addresses, selector)]
 
     def send_request(
         self, entry, organisation, *, seconds=DEADLINE_SECONDS, **fields
     ):
-        """Sends a caller's request to an entry; returns what is known."""
-        request = f"r{next(self.world.requests)}"
-        key = worlds.KEY.format(organisation)
+        """Sends a caller's request to an entry; returns its record."""
+        request = f"r{next(self.world.request_numbers)}"
+        key = worlds.KEY_TEMPLATE.format(organisation)
         event = events.CallerRequest(
             request=request,
             key_digest=declarations.key_digest(key),
             seconds=seconds,
             **fields,
         )
-        asked = oracles.TrackedRequest(
+        tracked = oracles.TrackedRequest(
             event=event,
             organisation=organisation,
             entry=entry,
             deadline=self.world.now + seconds,
         )
-        self.oracle.submitted(asked)
+        self.oracle.record_request(tracked)
         self.world.give(entry, event)
-        return asked
+        return tracked
 
     def complete(self, entry, organisation, prompt, tokens=6, **fields):
-        """Asks for a completion."""
+        """Sends a request for a completion."""
         wanted = messages.Completion(
             model="m", prompt=prompt, max_tokens=tokens
         )
@@ -90,7 +101,7 @@
         )
 
     def call(self, entry, organisation, key, method="POST"):
-        """Makes a call to a plain service."""
+        """Sends a call to a plain service."""
         call = messages.ServiceCall(
             service="cards",
             method=method,
@@ -102,7 +113,7 @@
         )
 
     def busy(self):
-        """Returns the present processes that have requests or runs."""
+        """Returns the current processes that have open requests or runs."""
         return [
             each
             for each in self.world.processes.values()
@@ -110,8 +121,8 @@
         ]
 
     def change_contract(self, entry, path, version):
-        """An operator changes a contract, on condition of its version."""
-        number = next(self.world.requests)
+        """Sends an operator's conditional update of a contract."""
+        number = next(self.world.request_numbers)
         event = events.OperatorRequest(
             request=f"o{number}",
             key_digest=declarations.key_digest(worlds.OPERATOR_KEY),
@@ -122,12 +133,12 @@
             expected=version,
         )
         self.oracle.changes[event.request] = oracles.Change(
-            path=path, expected=version, mark=b"%d" % (100000 + number)
+            path=path, expected=version, marker=b"%d" % (100000 + number)
         )
         self.world.give(entry, event)
 
-    def heal(self):
-        """Ends every fault, and lets what is under way end."""
+    def end_faults(self):
+        """Ends all faults and delivers all pending messages."""
         world = self.world
         for channel in world.channels.values():
             channel.blocked = False
@@ -137,17 +148,17 @@
         for process in world.active_processes():
             process.paused = False
             if not process.is_entry():
-                self.heal_backend(process.backend)
+                self.repair_backend(process.backend)
         world.deliver_all()
-        for process in world.former:
-            # Whoever replaced it ends it, once it can be reached again.
-            world.end_former(process)
+        for process in world.replaced:
+            # A replaced process is ended once it is reachable again.
+            world.stop_replaced(process)
         for process in list(world.processes.values()):
             if not process.alive:
                 world.restart(process)
 
-    def heal_backend(self, backend):
-        """Ends the faults of an engine or service."""
+    def repair_backend(self, backend):
+        """Ends the faults of an engine or a service."""
         if isinstance(backend, fake_services.FakeService):
             backend.down = False
             backend.lose_answers = backend.lose_requests = 0
@@ -155,99 +166,114 @@
         backend.restart(self.world.now)
 
     def check_healed(self):
-        """Checks what must hold once there is no fault."""
-        self.heal()
+        """Ends all faults; checks that requests end and changes propagate."""
+        self.end_faults()
         self.world.settle(DEADLINE_SECONDS + oracles.FORCE_SECONDS)
-        for asked in self.oracle.asked.values():
-            if not (asked.ended or asked.lost):
-                self.oracle.fail("answered", f"{asked.event.request} hangs")
-        self.oracle.check_in_force()
+        for tracked in self.oracle.asked.values():
+            if not (tracked.ended or tracked.lost):
+                self.oracle.fail(
+                    "answered", f"{tracked.event.request} has no answer"
+                )
+        self.oracle.check_propagation()
 
     def check_service(self):
-        """Checks that healthy and restarted processes serve, and share.
+        """Checks that healthy and restarted processes serve, and share caches.
 
-        All entries restart together; each must serve soon, and
-        what one has had computed must not be computed for another.
+        All entries restart together. Each must soon serve again, and a prompt
+        that was computed for one entry must be read from the cache for the
+        others.
         """
         self.check_healed()
         world = self.world
         for name in [worlds.name_of(each) for each in world.runners]:
             self.declare(name, declarations.ServerState.IN)
-        self.heal()
-        self.upgrade_all()
+        self.end_faults()
+        self.wait_for_upgrade()
         if len(world.entries) > 1:
             self.check_restart_without_store()
         self.check_all_restart_without_store()
         for address in world.entries:
             world.restart(world.processes[address])
-        world.settle(READY_SECONDS)
-        # A prompt that no engine has seen yet.
+        world.settle(RESTART_SECONDS)
+        # No engine has this prompt in its cache yet.
         prompt = prompt_of(100 + self.oracle.steps, 0)
         for number in range(2 * len(world.entries)):
-            asked = self.complete(self.entry(number), "acme", prompt)
+            tracked = self.complete(self.entry(number), "acme", prompt)
             world.settle(1.0)
-            if not isinstance(asked.ended, actions.ReplyEnd):
-                self.oracle.fail("restart", f"{asked.event.request} not served")
-            wanted = asked.ended.prompt_tokens - 2 * BLOCK_TOKENS
-            if number and asked.ended.cached_tokens < wanted:
-                self.oracle.fail("shared", f"{asked.ended} computed again")
+            if not isinstance(tracked.ended, actions.ReplyEnd):
+                self.oracle.fail(
+                    "restart", f"{tracked.event.request} not served"
+                )
+            wanted = tracked.ended.prompt_tokens - 2 * BLOCK_TOKENS
+            if number and tracked.ended.cached_tokens < wanted:
+                self.oracle.fail(
+                    "shared", f"{tracked.ended} was computed again"
+                )
 
     def check_restart_without_store(self):
-        """An entry restarts while the store is down; its peer knows all."""
+        """Checks that a restarted entry serves while the store is down.
+
+        It gets the configuration from another entry.
+        """
         self.world.objects.down = True
         entry = self.world.restart(self.entry(0))
         self.world.settle(0.5)
-        asked = self.complete(entry, "acme", prompt_of(0, 0))
+        tracked = self.complete(entry, "acme", prompt_of(0, 0))
         self.world.settle(1.0)
-        if not isinstance(asked.ended, actions.ReplyEnd):
-            self.oracle.fail("restart", f"{asked.event.request} not served")
+        if not isinstance(tracked.ended, actions.ReplyEnd):
+            self.oracle.fail("restart", f"{tracked.event.request} not served")
         self.world.objects.down = False
 
     def check_all_restart_without_store(self):
-        """All entries restart while the store is down; the agents know all."""
+        """Checks that all entries can restart while the store is down.
+
+        They get the configuration from the agents.
+        """
         world = self.world
         world.objects.down = True
         for address in world.entries:
             world.restart(world.processes[address])
-        world.settle(OUTAGE_SECONDS)
+        world.settle(RESTART_WITHOUT_STORE_SECONDS)
         for address in world.entries:
             entry = world.processes[address]
-            asked = self.complete(entry, "acme", prompt_of(0, 0))
+            tracked = self.complete(entry, "acme", prompt_of(0, 0))
             world.settle(1.0)
-            if not isinstance(asked.ended, actions.ReplyEnd):
-                self.oracle.fail("restart", f"{asked.event.request} not served")
+            if not isinstance(tracked.ended, actions.ReplyEnd):
+                self.oracle.fail(
+                    "restart", f"{tracked.event.request} not served"
+                )
         world.objects.down = False
 
-    def upgrade_all(self):
-        """Waits until every engine has the declared weights."""
+    def wait_for_upgrade(self):
+        """Waits until every engine has loaded the declared weights."""
         world = self.world
-        wanted = world.declared(declarations.Model, "m").weights
+        wanted = world.read_declaration(declarations.Model, "m").weights
         end = world.now + UPGRADE_SECONDS
         engines = [world.processes[each].backend for each in world.runners]
         while any(each.weights != wanted for each in engines):
             world.settle(1.0)
             if world.now > end:
-                self.oracle.fail("upgrade", f"{wanted} is not everywhere")
+                self.oracle.fail("upgrade", f"not all engines loaded {wanted}")
         world.settle(3.0)
 
-    def load(self, engine, weights):
-        """Loads weights by hand; an engine refuses while it works."""
+    def load_weights(self, engine, weights):
+        """Orders an engine to load weights; it refuses while it is busy."""
         order = runner_messages.Order(
             kind="load", value=weights, fencing=engine.fencing + 1
         )
         engine.order(order, self.world.now)
 
     def declare(self, name, state):
-        """Declares a backend server's state, if the store takes it."""
-        declared = self.world.declared(declarations.BackendServer, name)
+        """Declares a backend server's state; the store may refuse the write."""
+        declared = self.world.read_declaration(declarations.BackendServer, name)
         declared.state = state
         self.world.declare(declared)
-        declared = self.world.declared(declarations.BackendServer, name)
-        left = declared.state is declarations.ServerState.LEAVING
-        if not left:
-            self.oracle.left.pop(name, None)
-        elif name not in self.oracle.left:
-            self.oracle.left[name] = self.world.now
+        declared = self.world.read_declaration(declarations.BackendServer, name)
+        leaving = declared.state is declarations.ServerState.LEAVING
+        if not leaving:
+            self.oracle.leaving_since.pop(name, None)
+        elif name not in self.oracle.leaving_since:
+            self.oracle.leaving_since[name] = self.world.now
 
 
 class Machine(Driver, hypothesis.stateful.RuleBasedStateMachine):
--- a/pimentoledge/tests/fuzz/mutations.py
+++ b/pimentoledge/tests/fuzz/mutations.py
@@ -1,8 +1,8 @@
-"""Deliberate faults of the decisions, each with a scenario that shows it.
+"""Deliberate defects of the decisions, each with a scenario that reveals it.
 
-A check that can't fail proves nothing. Each mutation takes away what guards
-one line of oracles.LINES; its scenario passes without it, and with it must
-be stopped by the check of that very line.
+A check that can't fail proves nothing. Each mutation removes a safeguard of one
+of oracles.INVARIANTS. Its scenario passes without the mutation; with it, the
+check of exactly that invariant must fail.
 """
 
 from collections.abc import Callable
@@ -40,35 +40,35 @@
 
 @attrs.frozen(kw_only=True)
 class Mutation:
-    """One deliberate fault.
+    """One deliberate defect.
 
     Attributes:
-        name: what is broken.
-        line: key of oracles.LINES that must catch it.
-        apply: breaks the decisions, given pytest's monkeypatch.
-        scenario: does what shows it, given a Driver.
+        name: description of the defect; also a test id.
+        invariant: key of oracles.INVARIANTS that the defect violates.
+        apply: function that introduces the defect, given pytest's monkeypatch.
+        scenario: function that reveals the defect, given a Driver.
         sizes: arguments of the World.
     """
 
     name: str
-    line: str
+    invariant: str
     apply: Callable
     scenario: Callable
     sizes: dict = attrs.field(factory=dict)
 
 
-def evolve_dispatch(monkeypatch, **fields):
-    """Makes admission see other beliefs than the entry had."""
+def override_dispatch(monkeypatch, **fields):
+    """Replaces fields of a dispatch before admission checks it."""
     real = admission.Admission._find_mismatch
 
-    def untrue(self, dispatch, truth):
+    def find_mismatch(self, dispatch, truth):
         return real(self, attrs.evolve(dispatch, **fields), truth)
 
-    monkeypatch.setattr(admission.Admission, "_find_mismatch", untrue)
+    monkeypatch.setattr(admission.Admission, "_find_mismatch", find_mismatch)
 
 
 def stale_dispatch(driver):
-    """An engine restarts, and an entry doesn't know it yet."""
+    """Sends a request before its entry learns of an engine's restart."""
     world = driver.world
     driver.complete(driver.entry(0), "acme", PROMPT)
     world.settle(1.0)
@@ -82,54 +82,58 @@
 
 
 def older_weights(driver):
-    """An operator loads other weights by hand; the entry knows the old ones.
+    """Loads other weights by an order, while the entry expects the old ones.
 
-    The store is down, so that the agent doesn't load the declared ones again.
+    The store is down, so that the agent doesn't reload the declared weights.
     """
     world = driver.world
     world.objects.down = True
     driver.complete(driver.entry(0), "acme", PROMPT)
     world.settle(1.0)
-    driver.load(driver.agent(0).backend, "w2")
+    driver.load_weights(driver.agent(0).backend, "w2")
     world.settle(2.0)
     driver.complete(driver.entry(0), "acme", PROMPT)
     world.settle(3.0)
 
 
-def grant_loads(monkeypatch):
-    """Grants every permit to load, whoever else loads."""
+def grant_all_loads(monkeypatch):
+    """Grants every load permit, regardless of other loads."""
     monkeypatch.setattr(permits.LoadPermits, "_denial_reason", lambda *_: "")
 
 
-def release_early(monkeypatch):
-    """Lets any number of a model's runners be out of service at a time."""
+def release_all_runners(monkeypatch):
+    """Allows all runners of a model to be out of service at once."""
     monkeypatch.setattr(permits, "_may_leave_service", lambda *_: True)
 
 
-def upgrade(loads):
-    """Returns a scenario: new weights are declared for all runners."""
+def upgrade_scenario(loads):
+    """Returns a scenario that declares new weights and waits for them.
+
+    Args:
+        loads: maximum number of concurrent loads.
+    """
 
     def scenario(driver):
         driver.world.declare_weights("w2", loads)
-        driver.upgrade_all()
+        driver.wait_for_upgrade()
 
     return scenario
 
 
 def share_salt(monkeypatch):
-    """Lets all organisations share cached blocks."""
+    """Makes all organisations share cached blocks."""
     monkeypatch.setattr(runs.Run, "salt", lambda self, weights: "all")
 
 
-def two_organisations(driver):
-    """Two organisations send the same prompt."""
+def send_same_prompt(driver):
+    """Sends the same prompt for two organisations."""
     for organisation in machines.ORGANISATIONS:
         driver.complete(driver.entry(0), organisation, PROMPT)
         driver.world.settle(1.0)
 
 
-def accept_short(monkeypatch):
-    """Takes a stream for complete though the engine counts more tokens."""
+def accept_short_streams(monkeypatch):
+    """Accepts a stream as complete although the engine counted more tokens."""
     real = agents.Agent.engine_ended
 
     def engine_ended(self, event, now):
@@ -141,10 +145,10 @@
     monkeypatch.setattr(agents.Agent, "engine_ended", engine_ended)
 
 
-def lose_word(driver):
-    """One piece of a stream is lost between the engine and its agent."""
+def lose_engine_text(driver):
+    """Drops a piece of a stream between the engine and its agent."""
     world = driver.world
-    asked = driver.complete(driver.entry(0), "acme", PROMPT)
+    tracked = driver.complete(driver.entry(0), "acme", PROMPT)
     world.deliver_all()
     lost = []
     for _ in range(200):
@@ -157,23 +161,23 @@
                     process.backend_events.remove(event)
         world.deliver_all()
     assert lost
-    assert isinstance(asked.ended, actions.ReplyEnd)
+    assert isinstance(tracked.ended, actions.ReplyEnd)
 
 
-def relay_late(monkeypatch):
-    """Takes frames of any attempt and agent."""
+def relay_late_frames(monkeypatch):
+    """Accepts frames from any attempt and agent."""
     real = streams.Stream.accept
 
     def accept(self, frame):
         return real(self, attrs.evolve(frame, attempt=self.attempt))
 
     def frames(self, batch, sender, now):
-        todo = []
+        action_list = []
         for frame in batch:
             ticket = self.tickets.get(frame.request)
             if ticket is not None:
-                todo += real_frames(self, [frame], ticket.agent, now)
-        return todo
+                action_list += real_frames(self, [frame], ticket.agent, now)
+        return action_list
 
     real_frames = entries.Entry.frames
     monkeypatch.setattr(streams.Stream, "accept", accept)
@@ -181,12 +185,12 @@
 
 
 def late_frames(driver):
-    """An agent is cut off in mid-stream; its frames come after a retry."""
+    """Delays the frames of a disconnected agent until after a retry."""
     world = driver.world
-    asked = driver.complete(driver.entry(0), "acme", PROMPT, tokens=12)
+    tracked = driver.complete(driver.entry(0), "acme", PROMPT, tokens=12)
     world.settle(0.08)
-    assert asked.text
-    assert asked.ended is None
+    assert tracked.text
+    assert tracked.ended is None
     first = next(
         each
         for each in world.processes.values()
@@ -202,20 +206,20 @@
     (channel,) = [
         each
         for each in world.channels.values()
-        if each.source is first and each.target == asked.entry.address
+        if each.source is first and each.target == tracked.entry.address
     ]
     late = list(channel.queue)
     channel.queue.clear()
     assert late
-    world.give(asked.entry, events.Unreachable(address=first.address))
+    world.give(tracked.entry, events.Unreachable(address=first.address))
     world.settle(0.08)
     channel.queue.extend(late)
     world.settle(2.0)
-    assert isinstance(asked.ended, actions.ReplyEnd)
+    assert isinstance(tracked.ended, actions.ReplyEnd)
 
 
-def cross_answers(monkeypatch):
-    """Gives an answer to whichever request waits for that agent."""
+def mix_up_answers(monkeypatch):
+    """Assigns an answer to any request that waits for the same agent."""
 
     def current(self, message, sender):
         waiting = [
@@ -234,8 +238,8 @@
     monkeypatch.setattr(entries.Entry, "answered", answered)
 
 
-def two_calls(driver):
-    """Two calls are out; the second is answered first."""
+def answer_calls_out_of_order(driver):
+    """Sends two calls, of which the second is answered first."""
     world = driver.world
     for card in ("a", "b"):
         driver.call(driver.entry(0), "acme", card)
@@ -246,15 +250,15 @@
     world.settle(1.0)
 
 
-def say_not_run(monkeypatch):
-    """Forgets that an earlier attempt ran."""
+def report_not_run(monkeypatch):
+    """Ignores that an earlier attempt ran."""
     monkeypatch.setattr(
         retries, "_worse", lambda one, other: results.Ran.NOT_RUN
     )
 
 
-def say_ran(monkeypatch):
-    """Tells every caller that its request ran."""
+def report_ran(monkeypatch):
+    """Reports in every error that the request ran."""
     real = entries.Entry.end_error
 
     def end_error(self, ticket, error, now):
@@ -263,15 +267,15 @@
     monkeypatch.setattr(entries.Entry, "end_error", end_error)
 
 
-def all_crash(driver):
-    """The engine dies while it runs a request, and no other is left."""
+def crash_only_engine(driver):
+    """Crashes the only engine while it runs a request."""
     world = driver.world
     driver.complete(driver.entry(0), "acme", "POISON" * 100)
     world.settle(5.0)
 
 
-def none_up(driver):
-    """No engine is up when a request comes."""
+def stop_all_engines(driver):
+    """Sends a request while all engines are down."""
     world = driver.world
     for address in world.runners:
         world.processes[address].backend.crash(world.now)
@@ -281,7 +285,7 @@
 
 
 def skip_claim(monkeypatch):
-    """Grants each call without a record in the store."""
+    """Grants each call without a claim record in the store."""
 
     def claim(self, dispatch, **_):
         granted = claim_verdicts.Granted(
@@ -293,7 +297,7 @@
 
 
 def trust_lost_write(monkeypatch):
-    """Takes a write whose answer was lost for done."""
+    """Treats a write whose answer was lost as successful."""
     real = claim_shards.ShardClaims.answer
 
     def answer(self, answer, now):
@@ -306,8 +310,8 @@
     monkeypatch.setattr(claim_shards.ShardClaims, "answer", answer)
 
 
-def lost_claim(driver):
-    """A claim's write is lost, its agent restarts, the caller resends."""
+def lose_claim_write(driver):
+    """Loses a claim's write; restarts the agents and sends the call again."""
     world = driver.world
     world.objects.lose_requests = 1
     driver.call(driver.entry(0), "acme", "k")
@@ -321,18 +325,18 @@
 
 
 def retry_calls(monkeypatch):
-    """Tries each call again, though a service may have run it."""
+    """Retries each call, although a service may have run it."""
     monkeypatch.setattr(request_tickets.Ticket, "repeatable", lambda _: True)
 
 
 def retry_unclaimed(monkeypatch):
-    """Takes both guards of a call away."""
+    """Removes both safeguards against running a call twice."""
     retry_calls(monkeypatch)
     skip_claim(monkeypatch)
 
 
 def lost_service_answer(driver):
-    """A service runs a call, and its answer is lost."""
+    """Loses the answer to a call that a service ran."""
     world = driver.world
     for address in world.services:
         world.processes[address].backend.lose_answers = 1
@@ -340,15 +344,15 @@
     world.settle(8.0)
 
 
-def resend(driver):
-    """A caller sends its call again with the same key."""
+def send_call_twice(driver):
+    """Sends a call twice with the same key."""
     for _ in range(2):
         driver.call(driver.entry(0), "acme", "k")
         driver.world.settle(2.0)
 
 
 def ignore_leaving(monkeypatch):
-    """Takes every declared server for one that stays."""
+    """Treats every declared server as in service."""
     real = declarations.decode
 
     def decode(path, stored):
@@ -361,20 +365,20 @@
     monkeypatch.setattr(declarations, "decode", decode)
 
 
-def leave(driver):
-    """The only runner is declared as leaving; requests go on coming."""
+def remove_only_runner(driver):
+    """Declares the only runner as leaving, and then sends a request."""
     world = driver.world
-    server = world.declared(declarations.BackendServer, "r0")
+    server = world.read_declaration(declarations.BackendServer, "r0")
     server.state = declarations.ServerState.LEAVING
     world.declare(server)
-    driver.oracle.left["r0"] = world.now
+    driver.oracle.leaving_since["r0"] = world.now
     world.settle(6.0)
     driver.complete(driver.entry(0), "acme", PROMPT)
     world.settle(1.0)
 
 
 def always_idle(kind):
-    """Returns what makes a process end before its work has."""
+    """Returns a mutation that ends a process before its work has ended."""
 
     def apply(monkeypatch):
         monkeypatch.setattr(kind, "idle", lambda self: True)
@@ -382,21 +386,25 @@
     return apply
 
 
-def drain(which):
-    """Returns a scenario: a process is told to end while it serves."""
+def drain_scenario(group):
+    """Returns a scenario that drains a process while it serves.
+
+    Args:
+        group: attribute of the World that lists the process's address first.
+    """
 
     def scenario(driver):
         world = driver.world
         driver.complete(driver.entry(0), "acme", PROMPT, tokens=30)
         world.settle(0.1)
-        world.drain(world.processes[getattr(world, which)[0]])
+        world.drain(world.processes[getattr(world, group)[0]])
         world.settle(3.0)
 
     return scenario
 
 
-def take_older(monkeypatch):
-    """Takes every version that comes for the newest."""
+def accept_older_versions(monkeypatch):
+    """Treats every version that arrives as the newest."""
     monkeypatch.setattr(
         configuration.Configuration,
         "is_newer",
@@ -404,32 +412,32 @@
     )
 
 
-def older_versions(driver):
-    """News of a declaration comes late, behind news of a newer version."""
+def deliver_older_versions(driver):
+    """Delivers messages again after a newer version of a declaration."""
     world = driver.world
-    seen = []
-    give = world.give
+    handled = []
+    handle_event = world.give
 
-    def note(process, event):
-        seen.append((process, event))
-        give(process, event)
+    def record(process, event):
+        handled.append((process, event))
+        handle_event(process, event)
 
-    world.give = note
+    world.give = record
     for weights in ("w2", "w3"):
         world.declare(declarations.Model(name="m", weights=weights))
         world.settle(2.0)
-    for process, event in seen:
+    for process, event in handled:
         if isinstance(event, events.FromNode):
-            give(process, event)
+            handle_event(process, event)
 
 
-def never_late(monkeypatch):
-    """Lets deadlines pass."""
+def ignore_deadlines(monkeypatch):
+    """Sends no error at a request's deadline."""
     monkeypatch.setattr(entries.Entry, "too_late", lambda *_: [])
 
 
-def stuck_service(driver):
-    """A service takes a call and never answers it."""
+def lose_service_call(driver):
+    """Loses a call on its way to a service, which never answers it."""
     world = driver.world
     driver.call(driver.entry(0), "acme", "k")
     while not world.work:
@@ -440,7 +448,7 @@
 
 
 def answer_twice(monkeypatch):
-    """Forgets that a request was answered."""
+    """Keeps the ticket of a request that was answered."""
 
     def end(self, ticket, now):
         return []
@@ -448,14 +456,14 @@
     monkeypatch.setattr(entries.Entry, "end", end)
 
 
-def one_request(driver):
-    """One request, and its deadline passes."""
+def send_request(driver):
+    """Sends one request and waits beyond its deadline."""
     driver.complete(driver.entry(0), "acme", PROMPT)
     driver.world.settle(8.0)
 
 
-def place_anywhere(monkeypatch):
-    """Chooses servers by chance."""
+def place_randomly(monkeypatch):
+    """Chooses servers at random."""
     rng = random.Random(1)
     real = placement.Placer.candidate
 
@@ -465,19 +473,19 @@
     monkeypatch.setattr(placement.Placer, "candidate", candidate)
 
 
-def check_service(driver):
-    """Nothing is wrong, and all that must then hold is checked."""
+def check_healthy_service(driver):
+    """Checks the service without faults."""
     for _ in range(3):
         driver.check_service()
 
 
-def never_poison(monkeypatch):
-    """Forgets at once what ran in an engine that died."""
+def forget_suspects(monkeypatch):
+    """Doesn't record the requests that ran in a crashed engine."""
     monkeypatch.setattr(quarantine.Quarantine, "_add", lambda *_: None)
 
 
-def poison(driver):
-    """A caller sends a request again and again that crashes each engine."""
+def repeat_poison(driver):
+    """Sends a request that crashes its engine again and again."""
     world = driver.world
     for number in range(6):
         prompt = oracles.POISON * 100
@@ -488,8 +496,8 @@
         world.settle(1.0)
 
 
-def own_whole_limit(monkeypatch):
-    """Gives each entry the whole limit of each contract."""
+def grant_whole_limit(monkeypatch):
+    """Grants each entry the whole limit of each contract."""
     monkeypatch.setattr(
         limits.ContractLimits,
         "owner_of",
@@ -497,8 +505,8 @@
     )
 
 
-def many_at_once(driver):
-    """One organisation sends more than its limit through both entries."""
+def exceed_limit(driver):
+    """Sends more requests than an organisation's limit to both entries."""
     for number in range(12):
         prompt = machines.prompt_of(number, 0)
         driver.complete(driver.entry(number), "zenith", prompt, tokens=20)
@@ -506,8 +514,8 @@
     driver.world.settle(2.0)
 
 
-def claim_all_cached(monkeypatch):
-    """Tells callers that their whole prompt was cached."""
+def report_all_cached(monkeypatch):
+    """Reports to callers that their whole prompt was cached."""
     real = entries.Entry.finished
 
     def finished(self, ticket, message, now):
@@ -519,13 +527,13 @@
     monkeypatch.setattr(entries.Entry, "finished", finished)
 
 
-def start_slowly(monkeypatch):
-    """Refuses everything in the first five seconds of a life."""
+def refuse_after_start(monkeypatch):
+    """Refuses all requests in the first five seconds after a start."""
     real = entries.Entry.accept
-    born = {}
+    started_at = {}
 
     def accept(self, event, now):
-        if now < born.setdefault(id(self), now) + 5.0:
+        if now < started_at.setdefault(id(self), now) + 5.0:
             error = results.Error(code=results.Code.SHUTTING_DOWN)
             return [actions.ReplyError(request=event.request, error=error)]
         return real(self, event, now)
@@ -533,185 +541,185 @@
     monkeypatch.setattr(entries.Entry, "accept", accept)
 
 
-def keep_copies(monkeypatch):
-    """Makes agents give nobody the declarations that they have."""
+def withhold_declarations(monkeypatch):
+    """Makes agents ignore requests for their copies of declarations."""
     monkeypatch.setattr(subscription.Subscriber, "_answer_fetch", lambda *_: [])
 
 
-def all_restart(driver):
-    """All entries restart while the store is down."""
+def restart_all_entries(driver):
+    """Restarts all entries while the store is down."""
     driver.check_all_restart_without_store()
 
 
 def drop_incarnation(monkeypatch):
-    """Admits whatever engine life the entry meant."""
-    evolve_dispatch(monkeypatch, incarnation="")
+    """Admits requests for any incarnation of the engine."""
+    override_dispatch(monkeypatch, incarnation="")
 
 
 def drop_weights(monkeypatch):
-    """Admits whatever weights the entry meant."""
-    evolve_dispatch(monkeypatch, weights="")
+    """Admits requests for any weights."""
+    override_dispatch(monkeypatch, weights="")
 
 
 MUTATIONS = [
     Mutation(
         name="drop the incarnation check",
-        line="cache",
+        invariant="cache",
         apply=drop_incarnation,
         scenario=stale_dispatch,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="drop the weights check",
-        line="cache",
+        invariant="cache",
         apply=drop_weights,
         scenario=older_weights,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="share the prefix salt across organisations",
-        line="cache",
+        invariant="cache",
         apply=share_salt,
-        scenario=two_organisations,
+        scenario=send_same_prompt,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="accept a short stream",
-        line="stream",
-        apply=accept_short,
-        scenario=lose_word,
+        invariant="stream",
+        apply=accept_short_streams,
+        scenario=lose_engine_text,
     ),
     Mutation(
         name="relay a late frame",
-        line="stream",
-        apply=relay_late,
+        invariant="stream",
+        apply=relay_late_frames,
         scenario=late_frames,
     ),
     Mutation(
         name="serve only after five seconds",
-        line="restart",
-        apply=start_slowly,
-        scenario=check_service,
+        invariant="restart",
+        apply=refuse_after_start,
+        scenario=check_healthy_service,
     ),
     Mutation(
         name="keep the agents' copies from restarted entries",
-        line="restart",
-        apply=keep_copies,
-        scenario=all_restart,
+        invariant="restart",
+        apply=withhold_declarations,
+        scenario=restart_all_entries,
     ),
     Mutation(
         name="give an answer to another request",
-        line="own",
-        apply=cross_answers,
-        scenario=two_calls,
+        invariant="own_answer",
+        apply=mix_up_answers,
+        scenario=answer_calls_out_of_order,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name='say "not run" after a run',
-        line="not_run",
-        apply=say_not_run,
-        scenario=all_crash,
+        invariant="not_run",
+        apply=report_not_run,
+        scenario=crash_only_engine,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="skip the claim",
-        line="once",
+        invariant="once",
         apply=skip_claim,
-        scenario=resend,
+        scenario=send_call_twice,
     ),
     Mutation(
         name="trust a claim whose write was lost",
-        line="once",
+        invariant="once",
         apply=trust_lost_write,
-        scenario=lost_claim,
+        scenario=lose_claim_write,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="retry a call that may have run, and skip its claim",
-        line="once",
+        invariant="once",
         apply=retry_unclaimed,
         scenario=lost_service_answer,
     ),
     Mutation(
         name="ignore leaving",
-        line="leaving",
+        invariant="leaving",
         apply=ignore_leaving,
-        scenario=leave,
+        scenario=remove_only_runner,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="end an entry before its requests",
-        line="drain",
+        invariant="drain",
         apply=always_idle(entries.Entry),
-        scenario=drain("entries"),
+        scenario=drain_scenario("entries"),
     ),
     Mutation(
         name="end an agent before its runs",
-        line="drain",
+        invariant="drain",
         apply=always_idle(agents.Agent),
-        scenario=drain("runners"),
+        scenario=drain_scenario("runners"),
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="take an older configuration",
-        line="configuration",
-        apply=take_older,
-        scenario=older_versions,
+        invariant="configuration",
+        apply=accept_older_versions,
+        scenario=deliver_older_versions,
     ),
     Mutation(
         name="let the deadline pass",
-        line="answered",
-        apply=never_late,
-        scenario=stuck_service,
+        invariant="answered",
+        apply=ignore_deadlines,
+        scenario=lose_service_call,
         sizes=ONE_RUNNER,
     ),
     Mutation(
         name="answer twice",
-        line="answered",
+        invariant="answered",
         apply=answer_twice,
-        scenario=one_request,
+        scenario=send_request,
     ),
     Mutation(
         name="place by chance",
-        line="shared",
-        apply=place_anywhere,
-        scenario=check_service,
+        invariant="shared",
+        apply=place_randomly,
+        scenario=check_healthy_service,
     ),
     Mutation(
         name="forget what crashed an engine",
-        line="poison",
-        apply=never_poison,
-        scenario=poison,
+        invariant="poison",
+        apply=forget_suspects,
+        scenario=repeat_poison,
     ),
     Mutation(
         name="give each entry the whole limit",
-        line="limits",
-        apply=own_whole_limit,
-        scenario=many_at_once,
+        invariant="limits",
+        apply=grant_whole_limit,
+        scenario=exceed_limit,
     ),
     Mutation(
         name="grant every permit to load",
-        line="loads",
-        apply=grant_loads,
-        scenario=upgrade(1),
+        invariant="loads",
+        apply=grant_all_loads,
+        scenario=upgrade_scenario(1),
     ),
     Mutation(
         name="let all runners of a model load at one time",
-        line="upgrade",
-        apply=release_early,
-        scenario=upgrade(3),
+        invariant="upgrade",
+        apply=release_all_runners,
+        scenario=upgrade_scenario(3),
     ),
     Mutation(
         name="report a prompt as cached that was not",
-        line="told",
-        apply=claim_all_cached,
-        scenario=one_request,
+        invariant="reported",
+        apply=report_all_cached,
+        scenario=send_request,
     ),
     Mutation(
         name='say "ran" of what never ran',
-        line="told",
-        apply=say_ran,
-        scenario=none_up,
+        invariant="reported",
+        apply=report_ran,
+        scenario=stop_all_engines,
         sizes=ONE_RUNNER,
     ),
 ]
--- a/pimentoledge/tests/test_fuzz.py
+++ b/pimentoledge/tests/test_fuzz.py
@@ -1,4 +1,7 @@
-"""A bounded number of fuzzing examples, and the proof that they can fail."""
+"""Runs a fixed set of fuzzing examples, and checks each oracle check.
+
+Each mutation breaks the decisions, and the oracle must detect it.
+"""
 
 import hypothesis
 import pytest
@@ -17,7 +20,7 @@
     stateful_step_count=STEPS,
     derandomize=True,
     deadline=None,
-    # Shrinking a failure takes minutes; make fuzz does it.
+    # Shrinking a failure takes minutes; `make fuzz` does it instead.
     phases=[hypothesis.Phase.generate],
     report_multiple_bugs=False,
     suppress_health_check=list(hypothesis.HealthCheck),
@@ -32,12 +35,12 @@
 
 @pytest.mark.parametrize("mutation", mutations.MUTATIONS, ids=NAMES)
 def test_the_mutation_is_caught(mutation, monkeypatch):
-    """A guard is taken away, and its scenario must break that very line."""
+    """Without its safeguard, a scenario must violate exactly its invariant."""
     mutation.apply(monkeypatch)
     driver = machines.Driver(**mutation.sizes)
     with pytest.raises(oracles.ViolationError) as caught:
         mutation.scenario(driver)
-    assert caught.value.line == mutation.line
+    assert caught.value.invariant == mutation.invariant
 
 
 @pytest.mark.parametrize(
@@ -45,10 +48,11 @@
     [(mutations.retry_calls, True), (mutations.skip_claim, False)],
 )
 def test_one_guard_of_a_call_is_enough(apply, again, monkeypatch):
-    """A service ran a call and its answer is lost; one guard is missing.
+    """Guards against calls that run twice if one safeguard fails.
 
-    An entry that tries it again meets the first attempt's claim; without
-    claims no second attempt is made. Only with both gone it runs twice.
+    A service runs a call and its answer is lost. An entry that retries the
+    call is refused by the first attempt's claim; without claims the entry
+    doesn't retry. The call runs twice only without both safeguards.
     """
     apply(monkeypatch)
     driver = machines.Driver()
@@ -56,9 +60,9 @@
     history = driver.oracle.history
     sent = [each for each in history if " -> Dispatch(" in each]
     assert (len(sent) > 1) is again
-    assert sum(driver.oracle.key_ran.values()) == 1
+    assert sum(driver.oracle.key_run_counts.values()) == 1
 
 
-def test_each_line_has_a_mutation():
-    caught = {each.line for each in mutations.MUTATIONS}
-    assert caught == set(oracles.LINES)
+def test_each_invariant_has_a_mutation():
+    caught = {each.invariant for each in mutations.MUTATIONS}
+    assert caught == set(oracles.INVARIANTS)
