--- a/pimentoledge/tests/test_fuzz.py
+++ b/pimentoledge/tests/test_fuzz.py
@@ -6,6 +6,7 @@
 import hypothesis
 import pytest
 
+from pimentoledge.decisions import actions
 from pimentoledge.tests.fuzz import machines
 from pimentoledge.tests.fuzz import mutations
 from pimentoledge.tests.fuzz import oracles
@@ -63,6 +64,30 @@
     assert sum(driver.oracle.key_run_counts.values()) == 1
 
 
+def test_a_draining_agent_leaves_no_run_at_a_restarted_engine():
+    """A draining agent ends while its engine still runs an attempt.
+
+    The engine crashes and restarts after the agent submits the attempt and
+    before the engine receives it, so that the new incarnation runs it. The
+    agent takes the new incarnation for the death of an engine that ran the
+    attempt: it fails the attempt as ENGINE_DIED and forgets it, but doesn't
+    cancel it at the engine. It then reports idle and ends.
+    """
+    driver = machines.Driver(entry_count=1, runners=2, services=1)
+    world = driver.world
+    prompt = machines.prompt_of(0, 0)
+    tracked = driver.complete(driver.entry(0), "acme", prompt)
+    world.deliver_messages()
+    (agent,) = [each for each in driver.busy() if not each.is_entry()]
+    (submission,) = world.work
+    assert isinstance(submission[1], actions.RunCompletion)
+    agent.backend.crash(world.now)
+    agent.backend.restart(world.now)
+    world.drain(agent)
+    world.settle(3.0)
+    assert isinstance(tracked.ended, actions.ReplyEnd)
+
+
 def test_each_invariant_has_a_mutation():
     caught = {each.invariant for each in mutations.MUTATIONS}
     assert caught == set(oracles.INVARIANTS)
