--- a/pimentoledge/tests/soak/__main__.py
+++ b/pimentoledge/tests/soak/__main__.py
@@ -1,4 +1,7 @@
-"""Soaks with a fresh seed: python -m pimentoledge.tests.soak."""
+"""Runs a soak test: python -m pimentoledge.tests.soak.
+
+The seed is random unless one is given.
+"""
 
 import argparse
 import pathlib
@@ -14,54 +17,59 @@
 
 
 def main() -> int:
-    """Plays one run; returns the exit code."""
+    """Executes one run and returns the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=25.0)
     parser.add_argument("--seed", type=int, default=None)
     parser.add_argument(
         "--faults",
         default=",".join(plans.KINDS),
-        help="kinds of faults, with commas between",
+        help="kinds of faults, separated by commas",
     )
     parser.add_argument(
         "--routers",
         type=int,
         default=None,
-        help="how many routers there are; the first four have clients",
+        help="number of routers; only the first four have clients",
     )
     parser.add_argument(
         "--report",
         type=pathlib.Path,
         default=None,
-        help="draws the run into this file, such as soak.svg",
+        help="file to write charts of the run to, such as soak.svg",
     )
-    chosen = parser.parse_args()
-    kinds = tuple(chosen.faults.split(","))
+    arguments = parser.parse_args()
+    kinds = tuple(arguments.faults.split(","))
     unknown = set(kinds) - set(plans.KINDS)
     if unknown:
         parser.error(f"unknown faults {unknown}; known: {plans.KINDS}")
-    seed = chosen.seed
+    seed = arguments.seed
     if seed is None:
         seed = secrets.randbits(SEED_BITS)
-    again = f"SECONDS={chosen.seconds:g} SEED={seed} FAULTS={chosen.faults}"
-    if chosen.routers is not None:
-        again += f" ROUTERS={chosen.routers}"
-    print(f"soaking; to replay: make soak {again}", flush=True)
-    # Ends the routers, too, when the soak is told to end.
+    replay_arguments = (
+        f"SECONDS={arguments.seconds:g} SEED={seed} FAULTS={arguments.faults}"
+    )
+    if arguments.routers is not None:
+        replay_arguments += f" ROUTERS={arguments.routers}"
+    print(f"soaking; to replay: make soak {replay_arguments}", flush=True)
+    # SIGTERM raises KeyboardInterrupt, so that the routers are ended as well.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     run = runs.Run(
-        seed=seed, seconds=chosen.seconds, kinds=kinds, routers=chosen.routers
+        seed=seed,
+        seconds=arguments.seconds,
+        kinds=kinds,
+        routers=arguments.routers,
     )
     folder = RESULTS / f"soak-{seed}"
-    found = run.execute(folder)
+    violations = run.execute(folder)
     print(run.summary())
-    if chosen.report is not None:
-        run.draw(chosen.report)
-    for text in found[: runs.MOST_PRINTED]:
+    if arguments.report is not None:
+        run.draw(arguments.report)
+    for text in violations[: runs.MAX_PRINTED]:
         print(text)
-    if found:
-        print(f"FAILED with {len(found)} findings; logs: {folder}")
-        print(f"to replay: make soak {again}")
+    if violations:
+        print(f"FAILED with {len(violations)} findings; logs: {folder}")
+        print(f"to replay: make soak {replay_arguments}")
         return 1
     print("passed")
     return 0
--- a/pimentoledge/tests/soak/checks.py
+++ b/pimentoledge/tests/soak/checks.py
@@ -1,4 +1,4 @@
-"""What must hold of a run, judged by what clients and servers saw."""
+"""Invariants of a run, checked against what clients and servers recorded."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -13,143 +13,152 @@
 from pimentoledge.tests.soak import records
 from pimentoledge.tests.soak import servers
 
-LINES = {
+INVARIANTS = {
     "once": "an unsafe request runs at most once",
-    "not_run": "what is answered 408, 421, 429 or 503 never ran",
-    "whole": "a 2xx is a server's whole right answer to that request",
-    "stream": "a stream has each event once, in order, and ends when whole",
-    "answered": "an accepted request is answered, also around a SIGTERM",
-    "exit": "a router ends with 0 within its grace time after SIGTERM",
-    "drain": "no request reaches a server later than drain-ms after its word",
-    "rest": "a runner that asks for a rest gets at most two requests",
-    "limit": "a server gets no more from routers that it told than its limit",
-    "weights": "no request begins on older weights later than weights-ms",
-    "configuration": "no request runs by a configuration of before config-ms",
-    "recovery": "some seconds after the last fault every request is served",
+    "not_run": "a request answered with 408, 421, 429 or 503 never ran",
+    "whole": "a 2xx is a server's complete, correct answer to its request",
+    "stream": "a stream has each event once, in order, and ends when complete",
+    "answered": "an accepted request is answered, even around a SIGTERM",
+    "exit": "a router exits with 0 within its grace period after SIGTERM",
+    "drain": "no request reaches a server drain-ms after it announced leaving",
+    "rest": "a runner gets at most two requests in a backoff that it asks for",
+    "limit": "routers that know a server's limit together send no more than it",
+    "weights": "no request begins on old weights later than weights-ms",
+    "configuration": "no request uses a configuration replaced config-ms ago",
+    "recovery": "every request is served some seconds after the last fault",
 }
-# A router that restarted, was frozen or cut off within it may know less.
-TOUCH_SECONDS = 3.0
+# A router that was restarted, frozen or disconnected from the store within this
+# time may have outdated information.
+UNDISTURBED_SECONDS = 3.0
 DRAIN_SECONDS = 2.0
 WEIGHTS_SECONDS = 5.0
 CONFIGURATION_SECONDS = 2.0
-# A rest is to be known so long after its word.
-REST_KNOWN_SECONDS = 0.5
-MOST_IN_REST = 2
-# A limit counts so long after a server first names it, for routers that passed
-# its word on so long ago.
-LIMIT_KNOWN_SECONDS = 3.0
-LIMIT_TOLD_SECONDS = 0.5
+# Time after a refusal from which the router must observe its Retry-After.
+BACKOFF_APPLY_SECONDS = 0.5
+MAX_IN_BACKOFF = 2
+# Time after a server first announces a limit from which requests are counted.
+LIMIT_SETTLE_SECONDS = 3.0
+# Time after a router first relays a limit from which it must apply it.
+LIMIT_APPLY_SECONDS = 0.5
 LIMIT_WINDOW_SECONDS = 4.0
-LIMIT_OVER = 0.5
-LIMIT_SLACK = 5
-# From the last fault until all is served.
+# Tolerated excess over a limit: a part of the limit, and some requests.
+LIMIT_OVERSHOOT = 0.5
+LIMIT_SLACK_REQUESTS = 5
+# Time after the last fault from which every request must be served.
 RECOVERY_SECONDS = 6.0
-# After SIGTERM new connections are accepted for so long.
+# Time after SIGTERM during which a router still accepts new connections.
 ACCEPTING_SECONDS = 2.0
-EVENTS = 5
+STREAM_EVENTS = 5
 
 
 @attrs.frozen(kw_only=True)
 class Violation:
-    """Something that must always hold did not.
+    """One case in which an invariant did not hold.
 
     Attributes:
-        line: key of LINES.
-        at: when, in seconds of time.monotonic.
-        about: what it is about: ids, with spaces between.
-        text: what was seen.
+        invariant: key of INVARIANTS.
+        at: time of the violation, in seconds of time.monotonic.
+        subject: ids of the request, server or router, separated by spaces.
+        text: what was observed.
     """
 
-    line: str
+    invariant: str
     at: float
-    about: str
+    subject: str
     text: str
 
 
 Check = Callable[[records.SoakRecord], Iterator[Violation]]
 
 
-def violations(record: records.SoakRecord) -> list[Violation]:
-    """Returns all violations that a record shows, in order of time."""
+def find_violations(record: records.SoakRecord) -> list[Violation]:
+    """Returns all violations in a record, in order of time."""
     found = [each for check in CHECKS for each in check(record)]
     return sorted(found, key=lambda each: each.at)
 
 
-def in_touch(record: records.SoakRecord, router: str, at: float) -> bool:
-    """Returns whether a router ran and reached the store for some seconds."""
-    begin = at - TOUCH_SECONDS
+def was_undisturbed(record: records.SoakRecord, router: str, at: float) -> bool:
+    """Returns whether a router ran with access to the store recently.
+
+    It must not have been frozen, restarted or disconnected from the store in
+    the last UNDISTURBED_SECONDS.
+    """
+    begin = at - UNDISTURBED_SECONDS
     disturbed = any(
-        each.touches(router, begin, at)
+        each.overlaps(router, begin, at)
         for each in (*record.freezes, *record.outages)
     )
-    return not disturbed and not restarted(record, router, begin, at)
+    return not disturbed and not was_restarted(record, router, begin, at)
 
 
-def restarted(
+def was_restarted(
     record: records.SoakRecord, router: str, begin: float, end: float
 ) -> bool:
-    """Returns whether a process of a router was started within a time."""
-    lives = record.process_runs[router]
-    return any(begin <= each.started <= end for each in lives)
+    """Returns whether a router process was started within a period."""
+    process_runs = record.process_runs[router]
+    return any(begin <= each.started <= end for each in process_runs)
 
 
-def frozen(
+def was_frozen(
     record: records.SoakRecord, router: str, begin: float, end: float
 ) -> bool:
-    """Returns whether a router was stopped within a time."""
-    return any(each.touches(router, begin, end) for each in record.freezes)
+    """Returns whether a router was stopped by SIGSTOP within a period."""
+    return any(each.overlaps(router, begin, end) for each in record.freezes)
 
 
-def _known(
+def _arrivals_with_requests(
     record: records.SoakRecord,
 ) -> Iterator[tuple[records.Arrival, records.Request]]:
-    """Yields what reached servers, with what was sent."""
+    """Yields each arrival of a client's request together with the request."""
     for arrival in list(record.arrivals):
         request = record.requests.get(arrival.request)
         if request is not None:
             yield arrival, request
 
 
-def _runs(record: records.SoakRecord) -> dict[str, list[records.Arrival]]:
-    found: dict[str, list[records.Arrival]] = {}
+def _runs_by_request(
+    record: records.SoakRecord,
+) -> dict[str, list[records.Arrival]]:
+    """Returns the arrivals that servers ran, by id of the request."""
+    runs: dict[str, list[records.Arrival]] = {}
     for arrival in list(record.arrivals):
         if arrival.ran:
-            found.setdefault(arrival.request, []).append(arrival)
-    return found
+            runs.setdefault(arrival.request, []).append(arrival)
+    return runs
 
 
-def once(record: records.SoakRecord) -> Iterator[Violation]:
+def check_runs_at_most_once(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that unsafe requests ran at most once."""
-    for identity, runs in _runs(record).items():
+    for identity, runs in _runs_by_request(record).items():
         request = record.requests.get(identity)
         if request and request.route == "cards" and len(runs) > 1:
-            where = ", ".join(each.server for each in runs)
+            where_run = ", ".join(each.server for each in runs)
             yield Violation(
-                line="once",
+                invariant="once",
                 at=runs[1].at,
-                about=identity,
-                text=f"ran at {where}",
+                subject=identity,
+                text=f"ran at {where_run}",
             )
 
 
-def not_run(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that what was promised not to have run did not."""
-    for identity, runs in _runs(record).items():
+def check_refused_not_run(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that no server ran a request that was answered as not run."""
+    for identity, runs in _runs_by_request(record).items():
         request = record.requests.get(identity)
         if request and request.status in router_responses.NOT_RUN_STATUSES:
             yield Violation(
-                line="not_run",
+                invariant="not_run",
                 at=request.ended,
-                about=identity,
+                subject=identity,
                 text=f"answered {request.status}, ran at {runs[0].server}",
             )
 
 
-def _wrong(
+def _describe_error(
     record: records.SoakRecord, request: records.Request, runs: list
 ) -> str | None:
-    """Returns what is wrong with a 2xx, or None."""
-    server = request.headers.get(servers.SERVER.decode().lower())
+    """Returns what is wrong with a 2xx answer, or None if it is correct."""
+    server = request.headers.get(servers.INCARNATION_HEADER.decode().lower())
     if request.headers.get("request-id") != request.identity:
         return "another request's id"
     if "server-stamp" not in request.headers:
@@ -163,214 +172,225 @@
     return None
 
 
-def whole(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that each 2xx is right."""
-    ran = _runs(record)
+def check_complete_answers(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that each 2xx answer is correct."""
+    runs = _runs_by_request(record)
     for request in list(record.requests.values()):
         if request.ended is None or not 200 <= (request.status or 0) < 300:
             continue
-        wrong = _wrong(record, request, ran.get(request.identity, []))
-        if wrong is not None:
+        error = _describe_error(record, request, runs.get(request.identity, []))
+        if error is not None:
             yield Violation(
-                line="whole",
+                invariant="whole",
                 at=request.ended,
-                about=request.identity,
-                text=wrong,
+                subject=request.identity,
+                text=error,
             )
 
 
-def stream(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks the events of streams."""
+def check_stream_events(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that streams have the expected events."""
     for request in list(record.requests.values()):
         if request.route not in clients.STREAMS or request.status != 200:
             continue
         expected = b"".join(
-            servers.piece(number, request.body)
-            for number in range(1, EVENTS + 1)
+            servers.encode_event(number, request.body)
+            for number in range(1, STREAM_EVENTS + 1)
         )
-        right = expected.startswith(request.answer)
+        correct = expected.startswith(request.answer)
         if request.whole:
-            right = request.answer == expected
-        if not right:
+            correct = request.answer == expected
+        if not correct:
             yield Violation(
-                line="stream",
+                invariant="stream",
                 at=request.ended,
-                about=request.identity,
+                subject=request.identity,
                 text=f"whole: {request.whole}, got {request.answer!r}",
             )
 
 
-def _excused(
+def _may_be_incomplete(
     record: records.SoakRecord, request: records.Request, arrivals: list
 ) -> bool:
-    """Returns whether a request may stay without its whole answer."""
-    life = record.process_runs[request.router][request.process_run]
-    if life.killed is not None and life.killed <= request.ended:
+    """Returns whether a request may end without a complete answer."""
+    process_run = record.process_runs[request.router][request.process_run]
+    if process_run.killed is not None and process_run.killed <= request.ended:
         return True
-    if frozen(record, request.router, request.sent, request.ended):
+    if was_frozen(record, request.router, request.sent, request.ended):
         return True
     if request.status is not None:
-        # A stream that has begun can't be answered otherwise.
+        # Once a stream has begun, the router can't send another answer.
         return any(each.harmed for each in arrivals)
     if arrivals or request.timed_out:
         return False
-    if life.terminated_at is None or request.sent < life.terminated_at:
+    if (
+        process_run.terminated_at is None
+        or request.sent < process_run.terminated_at
+    ):
         return False
-    # The connection may have ended while the request was on its way.
+    # The router may have closed the connection while the request was in
+    # transit.
     return (
         not request.first
-        or request.sent > life.terminated_at + ACCEPTING_SECONDS
+        or request.sent > process_run.terminated_at + ACCEPTING_SECONDS
     )
 
 
-def answered(record: records.SoakRecord) -> Iterator[Violation]:
+def check_accepted_answered(record: records.SoakRecord) -> Iterator[Violation]:
     """Checks that accepted requests are answered."""
-    arrived: dict[str, list[records.Arrival]] = {}
+    arrivals_by_request: dict[str, list[records.Arrival]] = {}
     for arrival in list(record.arrivals):
-        arrived.setdefault(arrival.request, []).append(arrival)
+        arrivals_by_request.setdefault(arrival.request, []).append(arrival)
     for request in list(record.requests.values()):
         if request.ended is None or request.whole:
             continue
-        arrivals = arrived.get(request.identity, [])
-        if not _excused(record, request, arrivals):
-            where = ", ".join(each.server for each in arrivals)
+        arrivals = arrivals_by_request.get(request.identity, [])
+        if not _may_be_incomplete(record, request, arrivals):
+            reached = ", ".join(each.server for each in arrivals)
             yield Violation(
-                line="answered",
+                invariant="answered",
                 at=request.ended,
-                about=request.identity,
+                subject=request.identity,
                 text=f"status {request.status}, timed out: "
-                f"{request.timed_out}, reached {where or 'no server'}",
+                f"{request.timed_out}, reached {reached or 'no server'}",
             )
 
 
-def _used(record: records.SoakRecord) -> set[tuple[str, int]]:
-    """Returns routers and numbers of processes that accepted a request."""
+def _used_processes(record: records.SoakRecord) -> set[tuple[str, int]]:
+    """Returns router and process number of all processes that got a request."""
     return {
         (each.router, each.process_run)
         for each in list(record.requests.values())
     }
 
 
-def ends(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks how routers ended after SIGTERM."""
-    used = _used(record)
-    for router, lives in record.process_runs.items():
-        for number, life in enumerate(list(lives)):
-            if life.ended is None:
+def check_exits(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that routers end only after SIGTERM, with 0 and in time."""
+    used_processes = _used_processes(record)
+    for router, process_runs in record.process_runs.items():
+        for number, process_run in enumerate(list(process_runs)):
+            if process_run.ended is None:
                 continue
-            # Told before it had set the signal's handler and its sockets.
-            unborn = (
-                life.terminated_at is not None
-                and life.status == -signal.SIGTERM
-                and (router, number) not in used
+            # Terminated before it had installed its signal handler and opened
+            # its sockets.
+            before_startup = (
+                process_run.terminated_at is not None
+                and process_run.status == -signal.SIGTERM
+                and (router, number) not in used_processes
             )
-            wrong = life.overdue and not frozen(
-                record, router, life.terminated_at, life.ended
+            wrong = process_run.overdue and not was_frozen(
+                record, router, process_run.terminated_at, process_run.ended
             )
-            if life.killed is None:
-                wrong = life.terminated_at is None or not (
-                    life.status == 0 or unborn
+            if process_run.killed is None:
+                wrong = process_run.terminated_at is None or not (
+                    process_run.status == 0 or before_startup
                 )
             if wrong:
                 yield Violation(
-                    line="exit",
-                    at=life.ended,
-                    about=f"{router} {number}",
+                    invariant="exit",
+                    at=process_run.ended,
+                    subject=f"{router} {number}",
                     text=(
-                        f"ended with {life.status},"
-                        f" told at {life.terminated_at}"
+                        f"ended with {process_run.status},"
+                        f" SIGTERM at {process_run.terminated_at}"
                     ),
                 )
 
 
-def _words(
+def _first_relayed(
     record: records.SoakRecord,
     header: bytes,
     begin: float = -math.inf,
     end: float = math.inf,
 ) -> dict[tuple[str, str, int], float]:
-    """Returns when a router's process first passed a server's header on.
+    """Returns when router processes first relayed a server's header.
 
     Args:
-        record: what was seen.
+        record: the record of the run.
         header: the header's name.
-        begin: only answers from then on count.
-        end: only answers until then count.
+        begin: time from which answers count.
+        end: time until which answers count.
 
     Returns:
-        the times by server, router and number of the process.
+        The times by server, router and number of the process.
     """
     found: dict[tuple[str, str, int], float] = {}
     for request in list(record.requests.values()):
-        headed = request.headed
-        if headed is None or header.decode() not in request.headers:
+        head_at = request.headed
+        if head_at is None or header.decode() not in request.headers:
             continue
-        if begin <= headed <= end:
-            server = request.headers.get(servers.SERVER.decode().lower())
+        if begin <= head_at <= end:
+            server = request.headers.get(
+                servers.INCARNATION_HEADER.decode().lower()
+            )
             key = (server, request.router, request.process_run)
-            found[key] = min(found.get(key, headed), headed)
+            found[key] = min(found.get(key, head_at), head_at)
     return found
 
 
-def drain(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that leaving servers are left alone."""
-    words = _words(record, names.SERVER_LEAVING)
-    for arrival, request in _known(record):
+def check_drain(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that routers send no requests to servers that leave."""
+    relayed_times = _first_relayed(record, names.SERVER_LEAVING)
+    for arrival, request in _arrivals_with_requests(record):
         router, server = request.router, arrival.server
         known = {}
-        told = words.get((server, router, request.process_run))
-        if told and not frozen(record, router, told, arrival.at):
-            known["an answer"] = told
-        wrote = record.leaving.get(server)
-        if wrote and in_touch(record, router, arrival.at):
-            known["the store"] = wrote
-        for teller, since in known.items():
+        relayed_at = relayed_times.get((server, router, request.process_run))
+        if relayed_at and not was_frozen(
+            record, router, relayed_at, arrival.at
+        ):
+            known["an answer"] = relayed_at
+        stored_at = record.leaving.get(server)
+        if stored_at and was_undisturbed(record, router, arrival.at):
+            known["the store"] = stored_at
+        for source, since in known.items():
             if request.sent > since + DRAIN_SECONDS:
                 yield Violation(
-                    line="drain",
+                    invariant="drain",
                     at=arrival.at,
-                    about=f"{server} {router} by {teller}",
-                    text=f"{request.identity} came"
-                    f" {arrival.at - since:.3f} s after its word",
+                    subject=f"{server} {router} by {source}",
+                    text=f"{request.identity} arrived"
+                    f" {arrival.at - since:.3f} s after the announcement",
                 )
 
 
-def rest(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that runners that ask for a rest get it."""
-    known = list(_known(record))
-    for refused, sent in known:
-        if refused.rest_seconds is None:
+def check_backoff(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that routers back off from runners as long as requested."""
+    pairs = list(_arrivals_with_requests(record))
+    for refused_arrival, refused_request in pairs:
+        if refused_arrival.rest_seconds is None:
             continue
-        begin = refused.at + REST_KNOWN_SECONDS
-        end = refused.at + refused.rest_seconds
-        gone = record.gone.get(refused.server, [])
-        end = min([end, *(each for each in gone if each > refused.at)])
-        router = sent.router
-        if restarted(record, router, refused.at, end) or frozen(
-            record, router, refused.at, end
+        begin = refused_arrival.at + BACKOFF_APPLY_SECONDS
+        end = refused_arrival.at + refused_arrival.rest_seconds
+        crash_times = record.gone.get(refused_arrival.server, [])
+        end = min(
+            [end, *(each for each in crash_times if each > refused_arrival.at)]
+        )
+        router = refused_request.router
+        if was_restarted(record, router, refused_arrival.at, end) or was_frozen(
+            record, router, refused_arrival.at, end
         ):
             continue
         inside = [
             arrival
-            for arrival, request in known
-            if arrival.server == refused.server
+            for arrival, request in pairs
+            if arrival.server == refused_arrival.server
             and request.router == router
             and begin <= arrival.at < end
         ]
-        if len(inside) > MOST_IN_REST:
+        if len(inside) > MAX_IN_BACKOFF:
             yield Violation(
-                line="rest",
-                at=inside[MOST_IN_REST].at,
-                about=f"{refused.server} {router}",
-                text=f"asked for {refused.rest_seconds} s by"
-                f" {refused.request}, got {len(inside)}",
+                invariant="rest",
+                at=inside[MAX_IN_BACKOFF].at,
+                subject=f"{refused_arrival.server} {router}",
+                text=f"asked for {refused_arrival.rest_seconds} s of backoff"
+                f" in answer to {refused_arrival.request}, got {len(inside)}",
             )
 
 
-def _limited_times(
+def _limited_periods(
     record: records.SoakRecord, server: str
 ) -> Iterator[tuple[float, float]]:
-    """Yields from when to when a server named limits without a break."""
+    """Yields begin and end of each period in which a server has a limit."""
     begin = None
     for at, per_second in record.limits[server]:
         if per_second is not None and begin is None:
@@ -385,76 +405,88 @@
 def _highest_limit(
     record: records.SoakRecord, server: str, begin: float, end: float
 ) -> float:
-    """Returns the highest limit that a server named within a time."""
-    words = record.limits[server]
-    ends = [at for at, _ in words[1:]] + [math.inf]
+    """Returns the highest limit that applies to a server within a period."""
+    limits = record.limits[server]
+    period_ends = [at for at, _ in limits[1:]] + [math.inf]
     return max(
         per_second or 0.0
-        for (at, per_second), until in zip(words, ends, strict=True)
-        if at <= end and until + LIMIT_TOLD_SECONDS >= begin
+        for (at, per_second), until in zip(limits, period_ends, strict=True)
+        if at <= end and until + LIMIT_APPLY_SECONDS >= begin
     )
 
 
-def limit(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that servers get no more than the limits that they name.
+def check_limits(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that servers get no more requests than their limits allow.
 
-    Calls of the routers' own count whoever made them.
+    Calls that routers make on their own behalf count, whichever router makes
+    them.
     """
-    known = list(_known(record))
+    pairs = list(_arrivals_with_requests(record))
     for server in list(record.limits):
-        for begin, end in _limited_times(record, server):
-            told = _words(record, names.SERVER_LIMIT, begin, end)
-            came = [
+        for begin, end in _limited_periods(record, server):
+            relayed_times = _first_relayed(
+                record, names.SERVER_LIMIT, begin, end
+            )
+            arrival_times = [
                 arrival.at
-                for arrival, request in known
+                for arrival, request in pairs
                 if arrival.server == server
-                and _counts(record, request, arrival, told)
+                and _knew_limit(record, request, arrival, relayed_times)
             ] + list(record.own_calls.get(server, ()))
-            since = begin + LIMIT_KNOWN_SECONDS
-            inside = sorted(at for at in came if since <= at <= end)
-            yield from _overfull(record, server, inside)
+            since = begin + LIMIT_SETTLE_SECONDS
+            inside = sorted(at for at in arrival_times if since <= at <= end)
+            yield from _limit_violations(record, server, inside)
 
 
-def _counts(
+def _knew_limit(
     record: records.SoakRecord,
     request: records.Request,
     arrival: records.Arrival,
-    told: dict[tuple[str, str, int], float],
+    relayed_times: dict[tuple[str, str, int], float],
 ) -> bool:
-    """Returns whether a request is one of a router that knew of a limit."""
+    """Returns whether a request was sent by a router that knew the limit."""
     at = arrival.at
-    when = told.get((arrival.server, request.router, request.process_run))
-    if when is None or at < when + LIMIT_TOLD_SECONDS:
+    relayed_at = relayed_times.get(
+        (arrival.server, request.router, request.process_run)
+    )
+    if relayed_at is None or at < relayed_at + LIMIT_APPLY_SECONDS:
         return False
-    begin = at - TOUCH_SECONDS
-    return not frozen(record, request.router, begin, at) and not restarted(
+    begin = at - UNDISTURBED_SECONDS
+    return not was_frozen(
         record, request.router, begin, at
-    )
+    ) and not was_restarted(record, request.router, begin, at)
 
 
-def _overfull(
-    record: records.SoakRecord, server: str, came: list[float]
+def _limit_violations(
+    record: records.SoakRecord, server: str, arrival_times: list[float]
 ) -> Iterator[Violation]:
-    for first in came:
-        inside = [at for at in came if 0 <= at - first <= LIMIT_WINDOW_SECONDS]
+    """Yields a violation for each time window with too many requests."""
+    for first in arrival_times:
+        inside = [
+            at
+            for at in arrival_times
+            if 0 <= at - first <= LIMIT_WINDOW_SECONDS
+        ]
         highest = _highest_limit(record, server, first, inside[-1])
-        most = (1 + LIMIT_OVER) * highest * LIMIT_WINDOW_SECONDS + LIMIT_SLACK
-        if len(inside) > most:
+        allowed = (
+            1 + LIMIT_OVERSHOOT
+        ) * highest * LIMIT_WINDOW_SECONDS + LIMIT_SLACK_REQUESTS
+        if len(inside) > allowed:
             yield Violation(
-                line="limit",
+                invariant="limit",
                 at=first,
-                about=server,
+                subject=server,
                 text=f"got {len(inside)} in {LIMIT_WINDOW_SECONDS:g} s with a"
-                f" limit of {highest} a second; allowed {most:g}",
+                f" limit of {highest} per second; allowed {allowed:g}",
             )
 
 
-def weights(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that requests begin on weights that are new enough."""
-    for arrival, request in _known(record):
+def check_weights(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that requests begin on sufficiently new weights."""
+    for arrival, request in _arrivals_with_requests(record):
         if not arrival.ran or arrival.resumed or arrival.weights is None:
             continue
-        if not in_touch(record, request.router, arrival.at):
+        if not was_undisturbed(record, request.router, arrival.at):
             continue
         for version, at in record.named:
             older = arrival.weights < version
@@ -466,19 +498,19 @@
             )
             if older and late and undisturbed:
                 yield Violation(
-                    line="weights",
+                    invariant="weights",
                     at=arrival.at,
-                    about=f"{arrival.server} {request.router}",
+                    subject=f"{arrival.server} {request.router}",
                     text=f"{request.identity} began on {arrival.weights},"
                     f" {arrival.at - at:.3f} s after {version} was named",
                 )
                 break
 
 
-def configuration(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that requests run by a configuration that may be in force."""
-    for arrival, request in _known(record):
-        if not in_touch(record, request.router, arrival.at):
+def check_configuration(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that requests use a configuration that may be current."""
+    for arrival, request in _arrivals_with_requests(record):
+        if not was_undisturbed(record, request.router, arrival.at):
             continue
         begin = request.sent - CONFIGURATION_SECONDS
         changes = record.changes
@@ -494,16 +526,16 @@
         )
         if not allowed:
             yield Violation(
-                line="configuration",
+                invariant="configuration",
                 at=arrival.at,
-                about=f"{request.route} {request.key}",
-                text=f"{request.identity} reached {arrival.server} by"
+                subject=f"{request.route} {request.key}",
+                text=f"{request.identity} reached {arrival.server} via"
                 f" {request.router}",
             )
 
 
-def recovery(record: records.SoakRecord) -> Iterator[Violation]:
-    """Checks that everything is served again after the last fault."""
+def check_recovery(record: records.SoakRecord) -> Iterator[Violation]:
+    """Checks that every request is served again after the last fault."""
     if record.quiet_from is None:
         return
     keys = record.changes[-1].keys
@@ -514,24 +546,24 @@
         expected = 200 if request.key in keys else 401
         if request.status != expected or not request.whole:
             yield Violation(
-                line="recovery",
+                invariant="recovery",
                 at=request.ended,
-                about=f"{request.router} {request.route}",
+                subject=f"{request.router} {request.route}",
                 text=f"{request.identity} got {request.status}",
             )
 
 
 CHECKS: tuple[Check, ...] = (
-    once,
-    not_run,
-    whole,
-    stream,
-    answered,
-    ends,
-    drain,
-    rest,
-    limit,
-    weights,
-    configuration,
-    recovery,
+    check_runs_at_most_once,
+    check_refused_not_run,
+    check_complete_answers,
+    check_stream_events,
+    check_accepted_answered,
+    check_exits,
+    check_drain,
+    check_backoff,
+    check_limits,
+    check_weights,
+    check_configuration,
+    check_recovery,
 )
--- a/pimentoledge/tests/soak/clients.py
+++ b/pimentoledge/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients that keep their connections until the router's process is gone."""
+"""Clients that keep their connections open until the router process ends."""
 
 import asyncio
 import random
@@ -10,38 +10,38 @@
 ROUTES = ("cards", "notices", "lookups", "drafts")
 STREAMS = ("lookups", "drafts")
 PAUSE_SECONDS = (0.05, 0.4)
-# Before a client tries again to open a connection.
+# Time until a client retries to open a connection.
 REOPEN_SECONDS = 0.2
-PARTS = ("aa:600", "bb:900", "cc:300", "own:40")
+PROMPT_BLOCKS = ("aa:600", "bb:900", "cc:300", "own:40")
 
 
 class Connection(router_world.Client):
-    """A connection that notes when an answer's head came.
+    """A connection that records when a response's headers arrived.
 
     Attributes:
-        headed: when the last head had come, or None.
+        head_at: when the headers of the last response had arrived, or None.
     """
 
-    headed: float | None = None
+    head_at: float | None = None
 
     async def _head(self):
-        self.headed = None
+        self.head_at = None
         found = await super()._head()
         if found is not None:
-            self.headed = time.monotonic()
+            self.head_at = time.monotonic()
         return found
 
 
 class Client:
-    """Sends one request after the other to one router.
+    """Sends requests to one router, one at a time.
 
     Attributes:
-        name: its name, which begins its requests' ids.
+        name: its name, the prefix of its requests' ids.
         router: name of its router.
         address: IP:PORT of the router.
         key: key of its organisation.
-        record: where its requests are kept.
-        chooser: chooses routes and pauses.
+        record: the record of the run, to which it adds its requests.
+        chooser: random generator of routes and pauses.
     """
 
     def __init__(
@@ -63,40 +63,43 @@
         self._number = 0
 
     async def run(self, stopped: asyncio.Event) -> None:
-        """Sends requests until told to stop."""
+        """Sends requests until `stopped` is set."""
         while not stopped.is_set():
             connection = Connection(self.address)
-            life = self._life()
+            process_run = self._newest_process_run()
             try:
                 await connection.open()
             except OSError:
                 await asyncio.sleep(REOPEN_SECONDS)
                 continue
             try:
-                # Otherwise it isn't known which process has accepted it.
-                if life == self._life():
-                    await self._use(connection, stopped, life)
+                # If the router has restarted, either process may have
+                # accepted the connection.
+                if process_run == self._newest_process_run():
+                    await self._send_requests(connection, stopped, process_run)
             finally:
                 connection.close()
 
-    def _life(self) -> int:
-        """Returns the number of the router's newest process."""
+    def _newest_process_run(self) -> int:
+        """Returns the number of the router's latest process."""
         return len(self.record.process_runs[self.router]) - 1
 
-    async def _use(
-        self, connection: Connection, stopped: asyncio.Event, life: int
+    async def _send_requests(
+        self, connection: Connection, stopped: asyncio.Event, process_run: int
     ) -> None:
+        """Sends requests until `stopped` is set or the connection ends."""
         first = True
         while not stopped.is_set():
-            request = self._next(life, first)
+            request = self._next_request(process_run, first)
             first = False
-            await self._ask(connection, request)
+            await self._send(connection, request)
             await asyncio.sleep(self.chooser.uniform(*PAUSE_SECONDS))
             closes = request.headers.get("connection") == "close"
             if not request.whole or closes:
                 return
 
-    def _next(self, life: int, first: bool) -> records.Request:
+    def _next_request(self, process_run: int, first: bool) -> records.Request:
+        """Returns a new request, which it adds to the record."""
         self._number += 1
         identity = f"{self.name}-{self._number}"
         request = records.Request(
@@ -105,20 +108,22 @@
             key=self.key,
             body=f"body of {identity}".encode(),
             router=self.router,
-            process_run=life,
+            process_run=process_run,
             first=first,
             sent=time.monotonic(),
         )
         self.record.requests[identity] = request
         return request
 
-    async def _ask(
+    async def _send(
         self, connection: Connection, request: records.Request
     ) -> None:
         headers = {"Request-Id": request.identity}
         if request.route in STREAMS:
-            count = self.chooser.randint(1, len(PARTS))
-            headers |= router_world.stream_headers(",".join(PARTS[:count]))
+            count = self.chooser.randint(1, len(PROMPT_BLOCKS))
+            headers |= router_world.stream_headers(
+                ",".join(PROMPT_BLOCKS[:count])
+            )
         try:
             answer = await connection.request(
                 f"/{request.route}/",
@@ -133,5 +138,5 @@
             request.headers = answer.headers
             request.answer = answer.body
             request.whole = answer.whole
-        request.headed = connection.headed
+        request.headed = connection.head_at
         request.ended = time.monotonic()
--- a/pimentoledge/tests/soak/plans.py
+++ b/pimentoledge/tests/soak/plans.py
@@ -1,11 +1,11 @@
-"""Plans of faults: what is played when, from a seed."""
+"""Plans of faults: which fault is injected when, generated from a seed."""
 
 import random
 
 import attrs
 
 ROUTER_KINDS = ("term", "stop", "kill")
-# An odd count disturbs the store for one router only.
+# With an odd count, an outage of the store affects one router only.
 STORE_KINDS = ("store_silent", "store_refuses", "store_slow", "watches_cut")
 SERVER_KINDS = (
     "server_leaves",
@@ -17,22 +17,22 @@
     "stream_cut",
 )
 CHANGE_KINDS = ("version", "versions", "key", "route")
-# A server that leaves says so in its answers only.
+# A server announces in its answers, and not in the store, that it leaves.
 ANSWER_KINDS = ("answers_leave",)
-# A runner refuses and asks for a rest.
-REST_KINDS = ("rest",)
-# A runner stays on its weights for some seconds.
+# A runner refuses requests with a Retry-After header.
+BACKOFF_KINDS = ("rest",)
+# A runner drops its orders, and so keeps its weights, for some seconds.
 ORDER_KINDS = ("orders_lost",)
-# Newer weights, named while the store is silent to one router.
+# Newer weights are named while the store doesn't answer one router.
 SILENT_VERSION_KINDS = ("version_in_silence",)
-# A server names a limit in its answers, and perhaps another one later.
+# A server announces a limit in its answers, and possibly another one later.
 LIMIT_KINDS = ("limit",)
-# Another router starts, and clients of its own.
+# Another router starts, with clients of its own.
 JOIN_KINDS = ("join",)
-# The links between routers and a server are late, lose the answers, lose all,
-# or reset; the routers go through a proxy then.
+# The connections between routers and a server are delayed, lose answers, lose
+# all data or are reset. With these kinds, routers reach servers via proxies.
 LINK_KINDS = ("link_slow", "link_mute", "link_silent", "link_resets")
-# The store forgets its changes, or takes writes whose answers get lost.
+# The store drops its history of changes, or applies writes without answering.
 HISTORY_KINDS = ("store_forgets", "store_loses")
 KINDS = (
     *ROUTER_KINDS,
@@ -40,7 +40,7 @@
     *SERVER_KINDS,
     *CHANGE_KINDS,
     *ANSWER_KINDS,
-    *REST_KINDS,
+    *BACKOFF_KINDS,
     *ORDER_KINDS,
     *SILENT_VERSION_KINDS,
     *LIMIT_KINDS,
@@ -49,16 +49,16 @@
     *HISTORY_KINDS,
 )
 
-FIRST_SECONDS = 1.0
-# Between two faults; the longest is drawn for each run, so that some runs have
-# undisturbed stretches.
-SHORTEST_GAP_SECONDS = 0.2
-LONGEST_GAP_SECONDS = (1.0, 2.0, 4.0)
-# Of a fault that follows another in a series.
+FIRST_FAULT_SECONDS = 1.0
+# Bounds on the gap between two faults. The upper bound is drawn for each run,
+# so that some runs have undisturbed periods.
+MIN_GAP_SECONDS = 0.2
+MAX_GAP_SECONDS = (1.0, 2.0, 4.0)
+# Gap between two faults of a series.
 SERIES_GAP_SECONDS = (0.05, 0.5)
-SERIES_SHARE = 0.3
-LENGTH_SECONDS = (0.5, 3.0)
-MOST_COUNT = 4
+SERIES_PROBABILITY = 0.3
+DURATION_SECONDS = (0.5, 3.0)
+MAX_COUNT = 4
 TARGETS = 1 << 16
 
 
@@ -69,9 +69,9 @@
     Attributes:
         at: when it begins, in seconds from the first request.
         kind: one of KINDS.
-        target: number that chooses among those that it can act on.
-        seconds: how long it lasts, where it lasts.
-        count: how many requests it acts on, where it acts on requests.
+        target: number that selects one of the possible targets.
+        seconds: its duration, for kinds that have one.
+        count: number of affected requests, for kinds that affect requests.
     """
 
     at: float
@@ -81,30 +81,32 @@
     count: int
 
 
-def plan(*, seed: int, seconds: float, kinds: tuple[str, ...]) -> list[Fault]:
-    """Returns the faults of a run, in order of time.
+def plan_faults(
+    *, seed: int, seconds: float, kinds: tuple[str, ...]
+) -> list[Fault]:
+    """Returns the faults of a run, in order of their begin.
 
     Args:
-        seed: of the generator.
-        seconds: no fault begins later.
+        seed: seed of the random generator.
+        seconds: time before which all faults begin.
         kinds: kinds to choose from.
     """
-    chooser = random.Random(seed)
+    generator = random.Random(seed)
     faults: list[Fault] = []
-    at = FIRST_SECONDS
-    longest = chooser.choice(LONGEST_GAP_SECONDS)
+    at = FIRST_FAULT_SECONDS
+    max_gap = generator.choice(MAX_GAP_SECONDS)
     while at < seconds:
         faults.append(
             Fault(
                 at=at,
-                kind=chooser.choice(kinds),
-                target=chooser.randrange(TARGETS),
-                seconds=chooser.uniform(*LENGTH_SECONDS),
-                count=chooser.randint(1, MOST_COUNT),
+                kind=generator.choice(kinds),
+                target=generator.randrange(TARGETS),
+                seconds=generator.uniform(*DURATION_SECONDS),
+                count=generator.randint(1, MAX_COUNT),
             )
         )
-        at += chooser.uniform(SHORTEST_GAP_SECONDS, longest)
-        while chooser.random() < SERIES_SHARE and at < seconds:
+        at += generator.uniform(MIN_GAP_SECONDS, max_gap)
+        while generator.random() < SERIES_PROBABILITY and at < seconds:
             faults.append(attrs.evolve(faults[-1], at=at))
-            at += chooser.uniform(*SERIES_GAP_SECONDS)
+            at += generator.uniform(*SERIES_GAP_SECONDS)
     return faults
--- a/pimentoledge/tests/soak/records.py
+++ b/pimentoledge/tests/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, servers and the operator saw in a run.
+"""Records of what clients, servers and the operator observed in a run.
 
 Times are in seconds of time.monotonic.
 """
@@ -11,24 +11,24 @@
 
 @attrs.define(kw_only=True)
 class Request:
-    """A request as its client saw it.
+    """A request as observed by its client.
 
     Attributes:
         identity: its id.
         route: name of its route.
-        key: the organisation's key that it bore.
+        key: the organisation's key that it was sent with.
         body: its body.
         router: name of the router that it was sent to.
-        process_run: number of that router's process.
+        process_run: number of the router's process.
         first: whether it was the first on its connection.
         sent: when it was sent.
-        headed: when the answer's head had come, or None.
+        headed: when the answer's headers had arrived, or None.
         ended: when the client stopped waiting, or None.
-        status: HTTP status, or None without an answer.
+        status: HTTP status, or None if there was no answer.
         headers: the answer's headers, by lower-case name.
-        answer: the answer's body as far as it came.
-        whole: whether the answer had its end.
-        timed_out: whether the client gave up without an end.
+        answer: the part of the answer's body that arrived.
+        whole: whether the answer was complete.
+        timed_out: whether the client gave up before the answer's end.
     """
 
     identity: str
@@ -50,18 +50,18 @@
 
 @attrs.define(kw_only=True)
 class Arrival:
-    """A request as it reached a server.
+    """The arrival of a request at a server.
 
     Attributes:
         request: its id.
         server: the server's incarnation.
         service: the server's service.
-        at: when it came.
-        resumed: whether it asked for a stream's rest.
-        ran: whether the server worked on it.
+        at: when it arrived.
+        resumed: whether it asked for the remaining events of a stream.
+        ran: whether the server ran it.
         weights: version of the weights that it began on, or None.
-        rest_seconds: rest that the server asked for, or None.
-        harmed: whether the server cut or lost its answer.
+        rest_seconds: backoff that the server asked for, or None.
+        harmed: whether a fault may have cut off or lost its answer.
     """
 
     request: str
@@ -83,8 +83,8 @@
         started: when it was started.
         terminated_at: when it was first sent SIGTERM, or None.
         killed: when it was sent SIGKILL, or None.
-        overdue: whether it was sent SIGKILL since it had not ended in time.
-        ended: when it was found ended, or None.
+        overdue: whether it was sent SIGKILL because it had not ended in time.
+        ended: when its end was detected, or None.
         status: its exit status, or None.
     """
 
@@ -98,32 +98,32 @@
 
 @attrs.define(kw_only=True)
 class Span:
-    """A time in which something was disturbed.
+    """A period in which a fault was active.
 
     Attributes:
-        router: name of the router, or None for all.
-        begin: its begin.
-        end: its end; infinite until it is known.
+        router: name of the affected router, or None for all routers.
+        begin: begin of the period.
+        end: end of the period; infinite until it has ended.
     """
 
     router: str | None
     begin: float
     end: float = math.inf
 
-    def touches(self, router: str, begin: float, end: float) -> bool:
-        """Returns whether it disturbed a router within a time."""
-        mine = self.router in (None, router)
-        return mine and self.begin <= end and self.end >= begin
+    def overlaps(self, router: str, begin: float, end: float) -> bool:
+        """Returns whether it affected a router within a period."""
+        affects_router = self.router in (None, router)
+        return affects_router and self.begin <= end and self.end >= begin
 
 
 @attrs.frozen(kw_only=True)
 class ConfigurationChange:
-    """A configuration as it was put in force.
+    """A configuration that the operator stored.
 
     Attributes:
-        at: when the store took it.
-        keys: keys that are valid.
-        services: service by name of route.
+        at: when it was stored.
+        keys: valid keys of organisations.
+        services: service of each route, by name of the route.
     """
 
     at: float
@@ -133,24 +133,26 @@
 
 @attrs.define(kw_only=True)
 class SoakRecord:
-    """Everything that was seen.
+    """Everything that was observed in a run.
 
     Attributes:
-        requests: by id.
-        arrivals: in order.
-        process_runs: processes by name of router, in order.
-        freezes: times in which routers were stopped.
-        outages: times in which the store was disturbed.
-        named: version and time of each naming of weights.
-        leaving: when the store took a server's word, by incarnation.
+        requests: requests of clients, by id.
+        arrivals: arrivals at servers, in order.
+        process_runs: processes of each router in order, by name of the router.
+        freezes: periods in which routers were stopped.
+        outages: periods with a fault of the store.
+        named: version and time of each change of the wanted weights.
+        leaving: when a server's registration was marked as leaving, by
+            incarnation.
         gone: when a server's process ended, by incarnation.
-        limits: limits that a server named, or None for none any more, each with
-            the time since when, by incarnation.
-        own_calls: when routers' own calls reached a server, by incarnation.
+        limits: time and value of each change of a server's limit, by
+            incarnation; the value is None when a limit ends.
+        own_calls: arrival times of orders to a server and of requests for its
+            report, by incarnation.
         changes: configurations in order.
-        faults: time and text of each fault, in order.
+        faults: time and description of each fault, in order.
         quiet_from: when the last fault had ended, or None.
-        stopped: when clients sent nothing more, or None.
+        stopped: when clients stopped sending requests, or None.
     """
 
     requests: dict[str, Request] = attrs.field(factory=dict)
@@ -170,6 +172,6 @@
     quiet_from: float | None = None
     stopped: float | None = None
 
-    def note(self, text: str) -> None:
-        """Notes what a fault does."""
+    def add_fault(self, text: str) -> None:
+        """Records the description of a fault with the current time."""
         self.faults.append((time.monotonic(), text))
--- a/pimentoledge/tests/soak/reports.py
+++ b/pimentoledge/tests/soak/reports.py
@@ -1,4 +1,4 @@
-"""A run as a picture: what was served when, and how quickly."""
+"""Charts of a run: requests and faults over time, and latencies."""
 
 import collections
 import pathlib
@@ -13,13 +13,13 @@
 
 OUTCOMES = ("served", "refused", "failed")
 COLOURS = ("tab:green", "tab:orange", "tab:red")
-BINS = 60
-# Of a fault's text, in points.
-TEXT_SIZE = 5
+HISTOGRAM_BINS = 60
+# Font size of the faults' descriptions.
+FAULT_TEXT_POINTS = 5
 
 
-def outcome(request: records.Request) -> str:
-    """Returns which of OUTCOMES a request came to."""
+def classify(request: records.Request) -> str:
+    """Returns the outcome of a request, one of OUTCOMES."""
     if request.whole and 200 <= (request.status or 0) < 300:
         return "served"
     if request.status in router_responses.NOT_RUN_STATUSES:
@@ -28,12 +28,12 @@
 
 
 def draw(record: records.SoakRecord, began: float, path: pathlib.Path) -> None:
-    """Writes a picture; its format is by the file's suffix, such as svg.
+    """Writes charts of a run to a file.
 
     Args:
-        record: what was seen.
-        began: when the first request was sent.
-        path: the file.
+        record: the record of the run.
+        began: when the run began, in seconds of time.monotonic.
+        path: the file; its suffix, such as svg, determines the format.
     """
     figure, (over_time, latency) = pyplot.subplots(2, 1, figsize=(12, 9))
     ended = [each for each in record.requests.values() if each.ended]
@@ -50,9 +50,9 @@
     faults: list[tuple[float, str]],
     began: float,
 ) -> None:
-    """Draws requests by the second in which they were sent, and the faults."""
+    """Draws requests per second by time sent, and the faults."""
     counts = collections.Counter(
-        (int(each.sent - began), outcome(each)) for each in ended
+        (int(each.sent - began), classify(each)) for each in ended
     )
     seconds = range(max((second for second, _ in counts), default=0) + 1)
     stacked = [
@@ -67,7 +67,7 @@
             top,
             text,
             rotation=90,
-            fontsize=TEXT_SIZE,
+            fontsize=FAULT_TEXT_POINTS,
             verticalalignment="top",
         )
     axis.set_xlabel("sent, s")
@@ -76,12 +76,14 @@
 
 
 def _draw_latency(axis, ended: list[records.Request]) -> None:
-    """Draws how long answers took to their end, by outcome."""
+    """Draws a histogram of the time to the answer's end, for each outcome."""
     for name, colour in zip(OUTCOMES, COLOURS, strict=True):
-        took = [
-            each.ended - each.sent for each in ended if outcome(each) == name
+        latencies = [
+            each.ended - each.sent for each in ended if classify(each) == name
         ]
-        axis.hist(took, bins=BINS, label=name, color=colour, alpha=0.6)
+        axis.hist(
+            latencies, bins=HISTOGRAM_BINS, label=name, color=colour, alpha=0.6
+        )
     axis.set_yscale("log")
     axis.set_xlabel("to the answer's end, s")
     axis.set_ylabel("requests")
--- a/pimentoledge/tests/soak/runs.py
+++ b/pimentoledge/tests/soak/runs.py
@@ -1,4 +1,4 @@
-"""One run: plays a plan, watches the checks, and keeps logs of a failure."""
+"""Executes a plan of faults, checks the invariants and logs a failure."""
 
 import asyncio
 import pathlib
@@ -15,29 +15,30 @@
 from pimentoledge.tests.soak import records
 from pimentoledge.tests.soak import worlds
 
-ROUTERS = (2, 4)
-# So few that the runners' slots are never short.
+ROUTER_COUNTS = (2, 4)
+# Few enough for the runners' slots always to suffice.
 CLIENTS_PER_ROUTER = 4
-CLIENTS_PER_JOINED = 1
-# One client of each router has the key that comes and goes.
-GUEST = 0
+CLIENTS_PER_JOINED_ROUTER = 1
+# Number of the client of each router that has the guest's key, which the "key"
+# fault revokes and restores.
+GUEST_CLIENT = 0
 CHECK_SECONDS = 2.0
-# After the recovery's bound, for requests that must all be served.
-SERVED_SECONDS = 2.0
-MOST_PRINTED = 20
+# Time after the recovery in which every request must be served.
+RECOVERED_SECONDS = 2.0
+MAX_PRINTED = 20
 
 
 class Run:
     """A seeded run.
 
     Attributes:
-        seed: of the plan and of the clients' choices.
-        routers: how many there are; drawn if None.
-        linked: whether routers reach servers through proxies.
+        seed: seed of the plan and of the clients' choices.
+        routers: number of routers; None if the seed determines it.
+        proxied: whether routers reach servers through proxies.
         faults: the plan.
-        record: what is seen.
-        found: violations, each matter once, by line and what it is about.
-        world: the stand-ins and processes.
+        record: the record of the run.
+        violations: the first violation of each invariant by each subject.
+        world: the stand-ins and router processes.
     """
 
     def __init__(
@@ -50,57 +51,59 @@
     ):
         self.seed = seed
         self.routers = routers
-        self.linked = not set(plans.LINK_KINDS).isdisjoint(kinds)
-        self.faults = plans.plan(seed=seed, seconds=seconds, kinds=kinds)
+        self.proxied = not set(plans.LINK_KINDS).isdisjoint(kinds)
+        self.faults = plans.plan_faults(seed=seed, seconds=seconds, kinds=kinds)
         self.record = records.SoakRecord()
-        self.found: dict[tuple[str, str], checks.Violation] = {}
+        self.violations: dict[tuple[str, str], checks.Violation] = {}
         self.world: worlds.World | None = None
         self._began = 0.0
 
     def execute(self, folder: pathlib.Path | None = None) -> list[str]:
-        """Plays the run; returns the violations as text.
+        """Executes the run and returns the descriptions of all violations.
 
         Args:
-            folder: where logs are kept if it fails, or None.
+            folder: directory to write logs to if it fails, or None.
         """
         with tempfile.TemporaryDirectory() as settings:
-            asyncio.run(self._play(pathlib.Path(settings)))
-        if self.found and folder is not None:
-            self._keep(folder)
-        return self._texts()
-
-    async def _play(self, settings: pathlib.Path) -> None:
-        count = self.routers or random.Random(self.seed).randint(*ROUTERS)
-        self.world = worlds.World(record=self.record, linked=self.linked)
+            asyncio.run(self._run_in_world(pathlib.Path(settings)))
+        if self.violations and folder is not None:
+            self._write_logs(folder)
+        return self._violation_texts()
+
+    async def _run_in_world(self, settings: pathlib.Path) -> None:
+        count = self.routers or random.Random(self.seed).randint(*ROUTER_COUNTS)
+        self.world = worlds.World(record=self.record, proxied=self.proxied)
         try:
             await self.world.start(count, settings)
-            await self._use()
+            await self._run_clients()
         finally:
             await self.world.close()
 
-    async def _use(self) -> None:
+    async def _run_clients(self) -> None:
         self._began = time.monotonic()
         stopped = asyncio.Event()
-        judge = asyncio.create_task(self._judge())
-        async with asyncio.TaskGroup() as everyone:
+        checker = asyncio.create_task(self._check_periodically())
+        async with asyncio.TaskGroup() as client_tasks:
 
-            def use(router: fleets.Router, count: int) -> None:
+            def start_clients(router: fleets.Router, count: int) -> None:
                 for client in self._clients(router, count):
-                    everyone.create_task(client.run(stopped))
+                    client_tasks.create_task(client.run(stopped))
 
             for number, router in enumerate(self.world.fleet.routers):
-                many = number < ROUTERS[1]
-                use(router, CLIENTS_PER_ROUTER if many else 0)
-            self.world.joined = lambda router: use(router, CLIENTS_PER_JOINED)
-            async with asyncio.TaskGroup() as faults:
+                has_clients = number < ROUTER_COUNTS[1]
+                start_clients(router, CLIENTS_PER_ROUTER if has_clients else 0)
+            self.world.on_joined = lambda router: start_clients(
+                router, CLIENTS_PER_JOINED_ROUTER
+            )
+            async with asyncio.TaskGroup() as fault_tasks:
                 for fault in self.faults:
-                    faults.create_task(self._fault(fault))
-            self.world.heal()
+                    fault_tasks.create_task(self._inject_when_due(fault))
+            self.world.clear_pending_faults()
             self.record.quiet_from = time.monotonic()
-            await asyncio.sleep(checks.RECOVERY_SECONDS + SERVED_SECONDS)
+            await asyncio.sleep(checks.RECOVERY_SECONDS + RECOVERED_SECONDS)
             stopped.set()
-        judge.cancel()
-        self._look()
+        checker.cancel()
+        self._check()
 
     def _clients(
         self, router: fleets.Router, count: int
@@ -110,56 +113,60 @@
                 name=f"{router.name}-{number}",
                 router=router.name,
                 address=router.address,
-                key=worlds.GUEST_KEY if number == GUEST else worlds.KEY,
+                key=worlds.GUEST_KEY if number == GUEST_CLIENT else worlds.KEY,
                 record=self.record,
                 seed=f"{self.seed} {router.name} {number}",
             )
             for number in range(count)
         ]
 
-    async def _fault(self, fault: plans.Fault) -> None:
+    async def _inject_when_due(self, fault: plans.Fault) -> None:
         await asyncio.sleep(self._began + fault.at - time.monotonic())
         await self.world.inject(fault)
 
-    async def _judge(self) -> None:
-        """Checks what was seen so far, again and again."""
+    async def _check_periodically(self) -> None:
+        """Checks the record so far at regular intervals."""
         while True:
             await asyncio.sleep(CHECK_SECONDS)
-            self._look()
+            self._check()
 
-    def _look(self) -> None:
-        for each in checks.violations(self.record):
-            self.found.setdefault((each.line, each.about), each)
+    def _check(self) -> None:
+        for each in checks.find_violations(self.record):
+            self.violations.setdefault((each.invariant, each.subject), each)
 
-    def _texts(self) -> list[str]:
+    def _violation_texts(self) -> list[str]:
         return [
-            f"{each.at - self._began:.3f} s {each.line}: "
-            f"{checks.LINES[each.line]}: {each.about}: {each.text}"
-            for each in sorted(self.found.values(), key=lambda each: each.at)
+            f"{each.at - self._began:.3f} s {each.invariant}: "
+            f"{checks.INVARIANTS[each.invariant]}: {each.subject}: {each.text}"
+            for each in sorted(
+                self.violations.values(), key=lambda each: each.at
+            )
         ]
 
-    def _keep(self, folder: pathlib.Path) -> None:
-        """Writes what was seen, and each process's output."""
+    def _write_logs(self, folder: pathlib.Path) -> None:
+        """Writes faults, violations, the record and each process's output."""
         folder.mkdir(parents=True, exist_ok=True)
         faults = [
             f"{at - self._began:.3f} s {text}"
             for at, text in self.record.faults
         ]
         (folder / "faults.txt").write_text("\n".join(faults) + "\n")
-        (folder / "violations.txt").write_text("\n".join(self._texts()) + "\n")
+        (folder / "violations.txt").write_text(
+            "\n".join(self._violation_texts()) + "\n"
+        )
         (folder / "began.txt").write_text(f"{self._began}\n")
         (folder / "record.json").write_bytes(msgspec.json.encode(self.record))
         for name, lines in self.world.fleet.logs.items():
             (folder / f"{name}.log").write_text("".join(lines))
 
     def draw(self, path: pathlib.Path) -> None:
-        """Writes the run as a picture."""
+        """Writes charts of the run to a file."""
         from pimentoledge.tests.soak import reports  # noqa: PLC0415
 
         reports.draw(self.record, self._began, path)
 
     def summary(self) -> str:
-        """Returns how much was played and served, as text."""
+        """Returns the numbers of routers, faults and requests by status."""
         statuses: dict[str, int] = {}
         for request in self.record.requests.values():
             name = str(request.status)
@@ -167,9 +174,11 @@
         counts = ", ".join(
             f"{count} of {name}" for name, count in sorted(statuses.items())
         )
-        lives = sum(len(each) for each in self.record.process_runs.values())
+        process_count = sum(
+            len(each) for each in self.record.process_runs.values()
+        )
         return (
-            f"{len(self.record.process_runs)} routers with {lives} processes,"
-            f" {len(self.faults)} faults, {len(self.record.requests)}"
-            f" requests by status: {counts}"
+            f"{len(self.record.process_runs)} routers with"
+            f" {process_count} processes, {len(self.faults)} faults,"
+            f" {len(self.record.requests)} requests by status: {counts}"
         )
--- a/pimentoledge/tests/soak/servers.py
+++ b/pimentoledge/tests/soak/servers.py
@@ -1,4 +1,4 @@
-"""Backend servers that keep a record of what reaches them."""
+"""Stand-ins for backend servers that record the requests they receive."""
 
 import threading
 import time
@@ -9,68 +9,68 @@
 from pimentoledge.tests.soak import links
 from pimentoledge.tests.soak import records
 
-# Bears the incarnation of the server that answers.
-SERVER = b"Soak-Server"
+# Response header with the incarnation of the server.
+INCARNATION_HEADER = b"Soak-Server"
 
 
 class Server(stand_in_servers.StandInServer):
-    """A stand-in that can crash, leave, and ask for a rest.
+    """A stand-in that records arrivals and can crash.
 
     Attributes:
-        record: where arrivals are kept.
-        draining: whether its entry in the store says that it leaves.
-        alive: whether its process runs.
-        link: the proxy by which routers reach it, or None.
+        record: the record of the run, to which it adds arrivals.
+        draining: whether its registration in the store says that it leaves.
+        running: whether its simulated process runs.
+        link: the proxy through which routers reach it, or None.
     """
 
-    def __init__(self, *, record: records.SoakRecord, **given):
-        super().__init__(**given)
+    def __init__(self, *, record: records.SoakRecord, **options):
+        super().__init__(**options)
         self.record = record
         self.link: links.Link | None = None
         self.draining = False
-        self.alive = False
-        self._present: dict[object, records.Arrival] = {}
-        self._guard = threading.Lock()
+        self.running = False
+        self._in_progress: dict[object, records.Arrival] = {}
+        self._in_progress_lock = threading.Lock()
 
     def start(self) -> None:
-        """Listens."""
-        self.alive = True
+        """Starts to listen."""
+        self.running = True
         super().start()
 
     def crash(self) -> None:
         """Cuts all connections and stops listening."""
-        self.alive = False
+        self.running = False
         self.record.gone.setdefault(self.incarnation, []).append(
             time.monotonic()
         )
-        for request in self.harm():
+        for request in self.mark_harmed():
             fake_http.cut_socket(request.conn.socket)
         self.close()
 
-    def harm(self) -> list:
-        """Notes that what it works on may be lost; returns the requests."""
-        with self._guard:
-            present = list(self._present.items())
-        for _, arrival in present:
+    def mark_harmed(self) -> list:
+        """Marks all requests in progress as harmed and returns them."""
+        with self._in_progress_lock:
+            in_progress = list(self._in_progress.items())
+        for _, arrival in in_progress:
             arrival.harmed = True
-        return [request for request, _ in present]
+        return [request for request, _ in in_progress]
 
-    def name_limit(self, per_second: float | None) -> None:
-        """Names a limit in all answers from now on, or none any more."""
+    def set_limit(self, per_second: float | None) -> None:
+        """Announces a limit in all answers from now on, or none if None."""
         self.limit = "" if per_second is None else str(per_second)
         self.record.limits.setdefault(self.incarnation, []).append(
             (time.monotonic(), per_second)
         )
 
     def entry(self, *, leaving: bool = False) -> dict:
-        """Returns what it writes of itself into the store."""
-        found = super().entry(leaving=leaving or self.draining)
+        """Returns its registration for the store."""
+        entry = super().entry(leaving=leaving or self.draining)
         if self.link is not None:
-            found["address"] = self.link.address
-        return found
+            entry["address"] = self.link.address
+        return entry
 
     def handle(self, request) -> None:
-        """Answers one request and records it."""
+        """Answers one request and records its arrival."""
         path = fake_http.path_of(request)
         if path in (names.ORDER_PATH, names.REPORT_PATH):
             self.record.own_calls.setdefault(self.incarnation, []).append(
@@ -88,22 +88,22 @@
             at=time.monotonic(),
             resumed=names.LAST_EVENT_ID in headers,
         )
-        with self._guard:
-            self._present[request] = arrival
+        with self._in_progress_lock:
+            self._in_progress[request] = arrival
         self.record.arrivals.append(arrival)
         try:
-            if self.alive:
+            if self.running:
                 super().handle(request)
             else:
                 arrival.harmed = True
                 fake_http.cut_connection(request)
         finally:
             arrival.harmed |= request.close_connection
-            with self._guard:
-                del self._present[request]
+            with self._in_progress_lock:
+                del self._in_progress[request]
 
     def _run(self, request, call) -> None:
-        arrival = self._present[request]
+        arrival = self._in_progress[request]
         if self.lose:
             arrival.harmed = True
         arrival.weights = call.weights
@@ -112,23 +112,23 @@
 
     def _stream(self, request, call, head) -> None:
         if self.cut_after is not None:
-            self._present[request].harmed = True
+            self._in_progress[request].harmed = True
         super()._stream(request, call, head)
 
     def _head(self, headers: dict[str, str]) -> list[tuple[bytes, bytes]]:
         head = super()._head(headers)
-        head.append((SERVER, self.incarnation.encode()))
+        head.append((INCARNATION_HEADER, self.incarnation.encode()))
         return head
 
     def _piece(self, call, number: int) -> bytes:
-        return piece(number, call.body)
+        return encode_event(number, call.body)
 
     def _not_run(self, request, headers, status: int) -> None:
         if status == 503 and self.retry_after:
-            self._present[request].rest_seconds = float(self.retry_after)
+            self._in_progress[request].rest_seconds = float(self.retry_after)
         super()._not_run(request, headers, status)
 
 
-def piece(number: int, body: bytes) -> bytes:
-    """Returns an event of the stream that answers a body."""
+def encode_event(number: int, body: bytes) -> bytes:
+    """Returns an event of the stream that answers a request with this body."""
     return b"id: %d\ndata: piece %d of %b\n\n" % (number, number, body)
--- a/pimentoledge/tests/soak/worlds.py
+++ b/pimentoledge/tests/soak/worlds.py
@@ -1,4 +1,4 @@
-"""The stand-ins and router processes of a run, and the faults on them."""
+"""The stand-ins and router processes of a run, and the faults of each kind."""
 
 import asyncio
 import collections
@@ -18,77 +18,79 @@
 
 MODEL = stand_in_platforms.MODEL
 KEY = stand_in_platforms.KEY
-# Key of an organisation that comes and goes.
+# Key of an organisation that the "key" fault removes and adds.
 GUEST_KEY = "key-of-guest"
 SERVICES = ("plain", "plain", "runners", "runners", "runners")
-EVENT_SECONDS = 0.02
+EVENT_INTERVAL_SECONDS = 0.02
 WORK_SECONDS = 0.01
-# Longer than clients wait.
-LATE_SECONDS = 3.0
-# How long a server goes on serving after it began to leave.
+# Longer than clients wait for an answer.
+SLOW_WORK_SECONDS = 3.0
+# Time for which a server still serves after it starts to leave.
 LEAVE_SECONDS = 4.5
-# After that, when only its answers have said so before.
-TOLD_SECONDS = 1.0
-# A crashed server's entry stays in the store for so long.
-GONE_SECONDS = 0.5
-SHORTEST_REST_SECONDS = 2
-# The store's disturbances are longer than the routers' by this factor.
+# Additional time after its registration says so, too, if at first only its
+# answers did.
+ANNOUNCED_SECONDS = 1.0
+# Time for which a crashed server's registration stays in the store.
+STALE_ENTRY_SECONDS = 0.5
+MIN_BACKOFF_SECONDS = 2
+# Factor by which outages of the store are longer than a fault's duration.
 OUTAGE_FACTOR = 2.5
-SLOW_SECONDS = 0.4
-# Requests a second that servers name as limits.
-LIMITS = (0.3, 1.0, 1.1, 2.0, 5.0)
-# A limit holds for so long, and as long as an outage would besides.
+STORE_LATENCY_SECONDS = 0.4
+# Limits that servers announce, in requests per second.
+LIMITS_PER_SECOND = (0.3, 1.0, 1.1, 2.0, 5.0)
+# Duration of a limit, in addition to that of an outage of the store.
 LIMIT_SECONDS = 4.0
-MOST_ROUTERS = 8
-# From the begin of a silence to the naming of weights in it.
-SILENT_SECONDS = 0.2
-# Between two namings of newer weights.
-RENAME_SECONDS = 0.4
+MAX_ROUTERS = 8
+# Time from the begin of an outage until newer weights are named.
+SILENCE_BEFORE_VERSION_SECONDS = 0.2
+# Time between two changes of the wanted weights.
+VERSION_GAP_SECONDS = 0.4
 
 
 class World:
     """A store, servers and router processes.
 
     Attributes:
-        record: what is seen.
-        platform: the stand-ins; routers reach the store elsewhere.
+        record: the record of the run.
+        platform: the stand-ins. Each router reaches the store at an address of
+            its own, not at the platform's.
         fleet: the routers.
-        joined: called with a router that has joined the fleet.
-        linked: whether routers reach servers through proxies.
+        on_joined: called with each router that has joined the fleet.
+        proxied: whether routers reach servers through proxies.
     """
 
-    def __init__(self, *, record: records.SoakRecord, linked: bool = False):
+    def __init__(self, *, record: records.SoakRecord, proxied: bool = False):
         self.record = record
-        self.linked = linked
+        self.proxied = proxied
         self.platform = stand_in_platforms.StandInPlatform()
         self.fleet = fleets.Fleet(record=record)
-        self.joined = lambda router: None
+        self.on_joined = lambda router: None
         self._stores = []
         self._weights = 1
         self._configurations = 1
-        self._guest = True
-        self._moved = False
-        self._lives = collections.Counter()
-        self._telling = threading.Lock()
-        # How many faults act, by kind and by router or server.
-        self._acting = collections.Counter()
+        self._guest_allowed = True
+        self._notices_moved = False
+        self._incarnation_counts = collections.Counter()
+        self._registration_lock = threading.Lock()
+        # Number of active faults, by kind and by router or server.
+        self._active_faults = collections.Counter()
 
     async def start(self, count: int, folder: pathlib.Path) -> None:
         """Starts everything; returns when each router is ready.
 
         Args:
-            count: of routers.
-            folder: where settings are written.
+            count: number of routers.
+            folder: directory to write settings files to.
         """
         self.platform.start(plain=0, runners=0)
-        self._configure()
+        self._apply_next_configuration()
         for service in SERVICES:
             await self._add_server(service)
         stores = [self._add_store() for _ in range(count)]
         await self.fleet.start(stores, folder)
 
     def _add_store(self) -> stand_in_stores.StandInStore:
-        """Starts another address of the store."""
+        """Starts and returns another address of the store."""
         store = self.platform.store.another_address()
         store.start()
         self._stores.append(store)
@@ -105,46 +107,50 @@
         await asyncio.to_thread(self.platform.close)
 
     async def inject(self, fault: plans.Fault) -> None:
-        """Plays one fault to its end."""
+        """Injects one fault; returns when it has ended."""
         await getattr(self, f"_{fault.kind}")(fault)
 
-    def heal(self) -> None:
-        """Takes back what waits for requests that it acts on."""
+    def clear_pending_faults(self) -> None:
+        """Clears faults that still wait for requests to act on."""
         for server in self.platform.servers.values():
             server.refuse = server.lose = 0
             server.cut_after = None
 
     # Routers.
 
-    def _router(self, fault: plans.Fault) -> fleets.Router:
+    def _choose_router(self, fault: plans.Fault) -> fleets.Router:
         return self.fleet.routers[fault.target % len(self.fleet.routers)]
 
     async def _term(self, fault: plans.Fault) -> None:
-        await self.fleet.terminate(self._router(fault))
+        await self.fleet.terminate(self._choose_router(fault))
 
     async def _kill(self, fault: plans.Fault) -> None:
-        await self.fleet.kill(self._router(fault))
+        await self.fleet.kill(self._choose_router(fault))
 
     async def _stop(self, fault: plans.Fault) -> None:
-        await self.fleet.stop(self._router(fault), fault.seconds)
+        await self.fleet.freeze(self._choose_router(fault), fault.seconds)
 
     async def _join(self, fault: plans.Fault) -> None:
-        if len(self.fleet.routers) >= MOST_ROUTERS:
+        if len(self.fleet.routers) >= MAX_ROUTERS:
             return
         router = await self.fleet.join(self._add_store())
-        self.record.note(f"{router.name} joins")
-        self.joined(router)
+        self.record.add_fault(f"{router.name} joins")
+        self.on_joined(router)
 
     # The store.
 
     @contextlib.asynccontextmanager
-    async def _outage(self, fault: plans.Fault, kind: str, one: bool):
-        """Disturbs the store for all routers, or for one; yields seconds."""
+    async def _outage(self, fault: plans.Fault, kind: str, one_router: bool):
+        """Makes the store faulty for one or all routers; yields the seconds."""
         seconds = OUTAGE_FACTOR * fault.seconds
-        routers = [self._router(fault)] if one else self.fleet.routers
-        whom = routers[0].name if one else None
-        self.record.note(f"store {kind} to {whom or 'all'}, {seconds:.1f} s")
-        span = records.Span(router=whom, begin=time.monotonic())
+        routers = (
+            [self._choose_router(fault)] if one_router else self.fleet.routers
+        )
+        router_name = routers[0].name if one_router else None
+        self.record.add_fault(
+            f"store {kind} to {router_name or 'all'}, {seconds:.1f} s"
+        )
+        span = records.Span(router=router_name, begin=time.monotonic())
         self.record.outages.append(span)
         for each in routers:
             self._disturb(each, kind, 1)
@@ -156,223 +162,238 @@
             span.end = time.monotonic()
 
     def _disturb(self, router: fleets.Router, kind: str, change: int) -> None:
-        """Adds or takes one disturbance of a router's address of the store."""
-        self._acting[kind, router.name] += change
-        acts = self._acting[kind, router.name] > 0
+        """Changes the number of active faults of a router's store address."""
+        self._active_faults[kind, router.name] += change
+        active = self._active_faults[kind, router.name] > 0
         match kind:
             case "silent":
-                router.store.silent = acts
+                router.store.silent = active
             case "refuses":
-                router.store.refused = {"127.0.0.1"} if acts else set()
+                router.store.refused = {"127.0.0.1"} if active else set()
             case "slow":
-                router.store.objects.latency = SLOW_SECONDS if acts else 0.0
+                router.store.objects.latency = (
+                    STORE_LATENCY_SECONDS if active else 0.0
+                )
 
     async def _store_silent(self, fault: plans.Fault) -> None:
-        one = bool(fault.count % 2)
-        async with self._outage(fault, "silent", one) as seconds:
+        one_router = bool(fault.count % 2)
+        async with self._outage(fault, "silent", one_router) as seconds:
             await asyncio.sleep(seconds)
 
     async def _store_refuses(self, fault: plans.Fault) -> None:
-        one = bool(fault.count % 2)
-        async with self._outage(fault, "refuses", one) as seconds:
+        one_router = bool(fault.count % 2)
+        async with self._outage(fault, "refuses", one_router) as seconds:
             await asyncio.sleep(seconds)
 
     async def _store_slow(self, fault: plans.Fault) -> None:
-        async with self._outage(fault, "slow", one=False) as seconds:
+        async with self._outage(fault, "slow", one_router=False) as seconds:
             await asyncio.sleep(seconds)
 
     async def _watches_cut(self, fault: plans.Fault) -> None:
-        router = self._router(fault)
-        self.record.note(f"watches of {router.name} cut")
+        router = self._choose_router(fault)
+        self.record.add_fault(f"watches of {router.name} cut")
         now = time.monotonic()
         cut = records.Span(router=router.name, begin=now, end=now)
         self.record.outages.append(cut)
         router.store.cut_watches()
 
     async def _store_forgets(self, fault: plans.Fault) -> None:
-        self.record.note("the store forgets its changes")
+        self.record.add_fault("the store forgets its changes")
         revision = self.platform.store.objects.revision
         for each in self._stores:
             each.history_from = revision + 1
             each.cut_watches()
 
     async def _store_loses(self, fault: plans.Fault) -> None:
-        self.record.note(f"answers to {fault.count} writes get lost")
+        self.record.add_fault(f"answers to {fault.count} writes get lost")
         self.platform.store.objects.lose_answers += fault.count
 
     # Servers.
 
     async def _add_server(self, service: str) -> None:
-        self._lives[service] += 1
+        self._incarnation_counts[service] += 1
         server = servers.Server(
             record=self.record,
-            incarnation=f"{service}-{self._lives[service]}",
+            incarnation=f"{service}-{self._incarnation_counts[service]}",
             service=service,
             weights={MODEL: self._weights} if service == "runners" else None,
         )
-        server.event_seconds = EVENT_SECONDS
+        server.event_seconds = EVENT_INTERVAL_SECONDS
         server.work_seconds = WORK_SECONDS
-        server.on_loaded = lambda: self._tell(server)
+        server.on_loaded = lambda: self._write_registration(server)
         server.start()
-        if self.linked:
+        if self.proxied:
             server.link = links.Link(lambda: server.address)
             await server.link.start()
         self.platform.servers[server.incarnation] = server
-        self._tell(server)
+        self._write_registration(server)
 
-    def _tell(self, server: servers.Server) -> None:
-        """Writes a server's entry; runners' threads do so, too."""
-        with self._telling:
-            if server.alive:
+    def _write_registration(self, server: servers.Server) -> None:
+        """Writes a server's registration; also called by runners' threads."""
+        with self._registration_lock:
+            if server.running:
                 self.platform.write_registration(server)
 
-    def _usable(self, service: str) -> list[servers.Server]:
-        """Returns servers that live and don't leave."""
+    def _usable_servers(self, service: str) -> list[servers.Server]:
+        """Returns a service's servers that run and don't leave."""
         return [
             each
             for each in self.platform.servers.values()
-            if each.service == service and each.alive and not each.leaving
+            if each.service == service and each.running and not each.leaving
         ]
 
-    def _server(self, fault: plans.Fault) -> servers.Server:
-        """Returns the server that a fault acts on."""
-        usable = self._usable("plain") + self._usable("runners")
+    def _choose_server(self, fault: plans.Fault) -> servers.Server:
+        """Returns the server that a fault affects."""
+        usable = self._usable_servers("plain") + self._usable_servers("runners")
         return usable[fault.target % len(usable)]
 
-    def _runner(self, fault: plans.Fault) -> servers.Server:
-        usable = self._usable("runners")
+    def _choose_runner(self, fault: plans.Fault) -> servers.Server:
+        usable = self._usable_servers("runners")
         return usable[fault.target % len(usable)]
 
-    def _spare(self, fault: plans.Fault) -> servers.Server | None:
-        """Returns a server without which its service can go on, or None."""
-        server = self._server(fault)
-        return server if len(self._usable(server.service)) > 1 else None
+    def _choose_spare_server(self, fault: plans.Fault) -> servers.Server | None:
+        """Returns the affected server if its service has another, or None."""
+        server = self._choose_server(fault)
+        return server if len(self._usable_servers(server.service)) > 1 else None
 
     async def _replace(self, server: servers.Server) -> None:
-        """Ends a server; later its entry goes, and another one starts."""
+        """Crashes a server, then removes its entry and starts another one."""
         await asyncio.to_thread(server.crash)
-        await asyncio.sleep(GONE_SECONDS)
-        with self._telling:
+        await asyncio.sleep(STALE_ENTRY_SECONDS)
+        with self._registration_lock:
             self.platform.store.remove(names.SERVER_KIND, server.incarnation)
         del self.platform.servers[server.incarnation]
         if server.link is not None:
             await server.link.close()
         await self._add_server(server.service)
 
-    def _leave(self, server: servers.Server) -> None:
-        """Lets a server's entry say that it leaves."""
+    def _announce_leaving(self, server: servers.Server) -> None:
+        """Marks a server as leaving in its registration."""
         server.draining = True
-        self._tell(server)
+        self._write_registration(server)
         self.record.leaving[server.incarnation] = time.monotonic()
 
     async def _is_last(
         self, kind: str, server: servers.Server, seconds: float
     ) -> bool:
-        """Waits; returns whether no other fault of the kind acts then."""
+        """Waits; returns whether no other fault of the kind is active then."""
         key = (kind, server.incarnation)
-        self._acting[key] += 1
+        self._active_faults[key] += 1
         await asyncio.sleep(seconds)
-        self._acting[key] -= 1
-        return not self._acting[key]
+        self._active_faults[key] -= 1
+        return not self._active_faults[key]
 
     async def _server_leaves(self, fault: plans.Fault) -> None:
-        server = self._spare(fault)
+        server = self._choose_spare_server(fault)
         if server is not None:
-            self.record.note(f"{server.incarnation} leaves")
+            self.record.add_fault(f"{server.incarnation} leaves")
             server.leaving = True
-            self._leave(server)
+            self._announce_leaving(server)
             await asyncio.sleep(LEAVE_SECONDS)
             await self._replace(server)
 
     async def _answers_leave(self, fault: plans.Fault) -> None:
-        server = self._spare(fault)
+        server = self._choose_spare_server(fault)
         if server is not None:
-            self.record.note(f"{server.incarnation} leaves, by answers only")
+            self.record.add_fault(
+                f"{server.incarnation} leaves, by answers only"
+            )
             server.leaving = True
             await asyncio.sleep(LEAVE_SECONDS)
-            self._leave(server)
-            await asyncio.sleep(TOLD_SECONDS)
+            self._announce_leaving(server)
+            await asyncio.sleep(ANNOUNCED_SECONDS)
             await self._replace(server)
 
     async def _server_crashes(self, fault: plans.Fault) -> None:
-        server = self._spare(fault)
+        server = self._choose_spare_server(fault)
         if server is not None:
-            self.record.note(f"{server.incarnation} crashes")
+            self.record.add_fault(f"{server.incarnation} crashes")
             await self._replace(server)
 
     async def _server_restarts(self, fault: plans.Fault) -> None:
-        server = self._spare(fault)
+        server = self._choose_spare_server(fault)
         if server is not None:
-            self.record.note(f"{server.incarnation} crashes and comes back")
+            self.record.add_fault(
+                f"{server.incarnation} crashes and comes back"
+            )
             await asyncio.to_thread(server.crash)
             await asyncio.sleep(fault.seconds / 2)
             await asyncio.to_thread(server.start)
-            self._tell(server)
+            self._write_registration(server)
 
     async def _server_refuses(self, fault: plans.Fault) -> None:
-        server = self._server(fault)
-        self.record.note(f"{server.incarnation} refuses {fault.count}")
+        server = self._choose_server(fault)
+        self.record.add_fault(f"{server.incarnation} refuses {fault.count}")
         server.refuse += fault.count
 
     async def _server_loses(self, fault: plans.Fault) -> None:
-        server = self._server(fault)
-        self.record.note(f"{server.incarnation} loses an answer")
+        server = self._choose_server(fault)
+        self.record.add_fault(f"{server.incarnation} loses an answer")
         server.lose += 1
 
     async def _server_slow(self, fault: plans.Fault) -> None:
-        server = self._server(fault)
-        self.record.note(f"{server.incarnation} is late, {fault.seconds:.1f} s")
-        server.work_seconds = LATE_SECONDS
+        server = self._choose_server(fault)
+        self.record.add_fault(
+            f"{server.incarnation} is late, {fault.seconds:.1f} s"
+        )
+        server.work_seconds = SLOW_WORK_SECONDS
         if await self._is_last("late", server, fault.seconds):
             server.work_seconds = WORK_SECONDS
 
     async def _stream_cut(self, fault: plans.Fault) -> None:
-        server = self._runner(fault)
-        self.record.note(f"{server.incarnation} cuts after {fault.count}")
+        server = self._choose_runner(fault)
+        self.record.add_fault(f"{server.incarnation} cuts after {fault.count}")
         server.cut_after = fault.count
 
-    async def _link(self, fault: plans.Fault, name: str) -> None:
-        """Disturbs the links to a server; what is under way may be lost."""
-        server = self._server(fault)
+    async def _disturb_link(self, fault: plans.Fault, name: str) -> None:
+        """Makes a server's link faulty.
+
+        Requests in progress at the begin or the end may lose their answers.
+        """
+        server = self._choose_server(fault)
         if server.link is None:
             return
-        what = f"link to {server.incarnation} {name}, {fault.seconds:.1f} s"
-        self.record.note(what)
-        server.harm()
+        text = f"link to {server.incarnation} {name}, {fault.seconds:.1f} s"
+        self.record.add_fault(text)
+        server.mark_harmed()
         setattr(server.link, name, True)
         if await self._is_last(name, server, fault.seconds):
             setattr(server.link, name, False)
-        server.harm()
+        server.mark_harmed()
 
     async def _link_slow(self, fault: plans.Fault) -> None:
-        await self._link(fault, "slow")
+        await self._disturb_link(fault, "slow")
 
     async def _link_mute(self, fault: plans.Fault) -> None:
-        await self._link(fault, "mute")
+        await self._disturb_link(fault, "mute")
 
     async def _link_silent(self, fault: plans.Fault) -> None:
-        await self._link(fault, "silent")
+        await self._disturb_link(fault, "silent")
 
     async def _link_resets(self, fault: plans.Fault) -> None:
-        server = self._server(fault)
+        server = self._choose_server(fault)
         if server.link is None:
             return
-        self.record.note(f"link to {server.incarnation} resets")
-        server.harm()
+        self.record.add_fault(f"link to {server.incarnation} resets")
+        server.mark_harmed()
         server.link.reset()
 
     async def _orders_lost(self, fault: plans.Fault) -> None:
-        server = self._runner(fault)
+        server = self._choose_runner(fault)
         seconds = OUTAGE_FACTOR * fault.seconds
-        self.record.note(f"{server.incarnation}: no orders, {seconds:.1f} s")
+        self.record.add_fault(
+            f"{server.incarnation}: no orders, {seconds:.1f} s"
+        )
         server.silent_orders = plans.TARGETS
         if await self._is_last("orders", server, seconds):
             server.silent_orders = 0
 
     async def _rest(self, fault: plans.Fault) -> None:
-        server = self._runner(fault)
-        seconds = SHORTEST_REST_SECONDS + fault.count // 2
-        self.record.note(f"{server.incarnation} asks for {seconds} s of rest")
+        server = self._choose_runner(fault)
+        seconds = MIN_BACKOFF_SECONDS + fault.count // 2
+        self.record.add_fault(
+            f"{server.incarnation} asks for {seconds} s of backoff"
+        )
         server.retry_after = str(seconds)
         server.refuse = plans.TARGETS
         if await self._is_last("rest", server, seconds):
@@ -380,74 +401,79 @@
             server.refuse = 0
 
     async def _limit(self, fault: plans.Fault) -> None:
-        server = self._server(fault)
+        server = self._choose_server(fault)
         seconds = LIMIT_SECONDS + OUTAGE_FACTOR * fault.seconds
-        first = fault.target % len(LIMITS)
-        self._name_limit(server, LIMITS[first])
+        first = fault.target % len(LIMITS_PER_SECOND)
+        self._set_limit(server, LIMITS_PER_SECOND[first])
         if fault.count % 2:
             await asyncio.sleep(seconds / 2)
-            self._name_limit(server, LIMITS[first - fault.count])
+            self._set_limit(server, LIMITS_PER_SECOND[first - fault.count])
         if await self._is_last("limit", server, seconds):
-            self._name_limit(server, None)
+            self._set_limit(server, None)
 
-    def _name_limit(
+    def _set_limit(
         self, server: servers.Server, per_second: float | None
     ) -> None:
-        self.record.note(f"{server.incarnation} names limit {per_second}")
-        server.name_limit(per_second)
+        self.record.add_fault(
+            f"{server.incarnation} announces limit {per_second}"
+        )
+        server.set_limit(per_second)
 
     # The operator.
 
     async def _version(self, fault: plans.Fault) -> None:
         self._weights += 1
-        self.record.note(f"weights {self._weights} named")
+        self.record.add_fault(f"weights {self._weights} named")
         named = {"model": MODEL, "version": self._weights}
         self.platform.store.put(names.WEIGHT_VERSION_KIND, MODEL, named)
         self.record.named.append((self._weights, time.monotonic()))
 
     async def _versions(self, fault: plans.Fault) -> None:
         await self._version(fault)
-        await asyncio.sleep(RENAME_SECONDS)
+        await asyncio.sleep(VERSION_GAP_SECONDS)
         await self._version(fault)
 
     async def _version_in_silence(self, fault: plans.Fault) -> None:
-        async with self._outage(fault, "silent", one=True) as seconds:
-            await asyncio.sleep(SILENT_SECONDS)
+        async with self._outage(fault, "silent", one_router=True) as seconds:
+            await asyncio.sleep(SILENCE_BEFORE_VERSION_SECONDS)
             await self._version(fault)
             await asyncio.sleep(seconds)
 
     async def _key(self, fault: plans.Fault) -> None:
-        self._guest = not self._guest
-        self._configure()
+        self._guest_allowed = not self._guest_allowed
+        self._apply_next_configuration()
 
     async def _route(self, fault: plans.Fault) -> None:
-        self._moved = not self._moved
-        self._configure()
+        self._notices_moved = not self._notices_moved
+        self._apply_next_configuration()
 
-    def _configure(self) -> None:
-        """Puts the next configuration in force."""
+    def _apply_next_configuration(self) -> None:
+        """Stores the next configuration."""
         self._configurations += 1
-        moved = "runners" if self._moved else "plain"
+        notices_service = "runners" if self._notices_moved else "plain"
         tenants = [{"name": "acme", "apiKeys": [KEY], "priority": 2}]
-        if self._guest:
+        if self._guest_allowed:
             tenants.append({"name": "guest", "apiKeys": [GUEST_KEY]})
-        found = stand_in_platforms.configuration(
+        configuration = stand_in_platforms.configuration(
             self._configurations,
             kv_address=self.platform.kv_server.address,
             tenants=tenants,
         )
-        for route in found["routes"]:
+        for route in configuration["routes"]:
             if route["name"] == "notices":
-                route["service"] = moved
+                route["service"] = notices_service
         self.platform.store.put(
-            names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, found
+            names.CONFIGURATION_KIND, names.CONFIGURATION_NAME, configuration
         )
         change = records.ConfigurationChange(
             at=time.monotonic(),
             keys=frozenset(each["apiKeys"][0] for each in tenants),
             services={
-                each["name"]: each["service"] for each in found["routes"]
+                each["name"]: each["service"]
+                for each in configuration["routes"]
             },
         )
         self.record.changes.append(change)
-        self.record.note(f"notices to {moved}, keys: {sorted(change.keys)}")
+        self.record.add_fault(
+            f"notices to {notices_service}, keys: {sorted(change.keys)}"
+        )
--- a/pimentoledge/tests/test_soak.py
+++ b/pimentoledge/tests/test_soak.py
@@ -7,7 +7,7 @@
 
 SERVERS = (*plans.ROUTER_KINDS, *plans.SERVER_KINDS, *plans.CHANGE_KINDS)
 STORE = (*plans.ROUTER_KINDS, *plans.STORE_KINDS, *plans.CHANGE_KINDS)
-NOTICES = (*plans.ANSWER_KINDS, *plans.REST_KINDS)
+NOTICES = (*plans.ANSWER_KINDS, *plans.BACKOFF_KINDS)
 LIMITS = (
     *plans.ROUTER_KINDS,
     *plans.LIMIT_KINDS,
@@ -28,6 +28,6 @@
         pytest.param(8, 6.0, LIMITS, id="limits"),
     ],
 )
-def test_clients_and_servers_see_every_promise_kept(seed, seconds, kinds):
+def test_soak_run_violates_no_invariant(seed, seconds, kinds):
     run = runs.Run(seed=seed, seconds=seconds, kinds=kinds)
     assert not run.execute(), run.summary()
--- a/pimentoledge/tests/test_soak_reports.py
+++ b/pimentoledge/tests/test_soak_reports.py
@@ -1,4 +1,4 @@
-"""The picture of a soak's run."""
+"""Charts of a soak run."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from pimentoledge.tests.soak import reports
 
 
-def request(number, *, status, whole=True):
+def make_request(number, *, status, whole=True):
     return records.Request(
         identity=f"q-{number}",
         route="cards",
@@ -32,14 +32,17 @@
         (None, False, "failed"),
     ],
 )
-def test_a_request_counts_by_what_its_client_got(status, whole, expected):
-    assert reports.outcome(request(0, status=status, whole=whole)) == expected
+def test_request_is_classified_by_its_answer(status, whole, expected):
+    assert (
+        reports.classify(make_request(0, status=status, whole=whole))
+        == expected
+    )
 
 
-def test_a_run_is_drawn_with_its_faults(tmp_path):
+def test_draw_writes_one_svg_of_a_run_with_faults(tmp_path):
     record = records.SoakRecord()
     for number, status in enumerate((200, 200, 503, 502)):
-        record.requests[str(number)] = request(number, status=status)
+        record.requests[str(number)] = make_request(number, status=status)
     record.faults.append((101.0, "SIGKILL to router-0"))
     path = tmp_path / "run.svg"
     reports.draw(record, 100.0, path)
