--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -394,7 +394,7 @@
             server="runner-5", versions=versions, held=[]
         )
         sender = server(5).agent
-        one = functools.partial(served.polled, poll, sender, 1.0)
+        one = functools.partial(served.on_poll, poll, sender, 1.0)
         (answer,) = one()
         poll.held = answer.message.held
         times.append((servers, cpu(one, 500)))
