--- a/benches/admission.py
+++ b/benches/admission.py
@@ -35,117 +35,121 @@
 
 @attrs.define(kw_only=True)
 class Job:
-    """One request of a workload, and what became of it.
+    """One request of a workload and its outcome.
 
     Attributes:
         name: request id.
-        organisation: whose it is.
-        batch: its priority.
-        arrived: when it comes.
-        tokens: length of its answer.
+        organisation: organisation that sends it.
+        batch: whether its priority is batch instead of interactive.
+        arrived_at: arrival time.
+        answer_tokens: length of its answer.
         prompt: its prompt.
-        started: when the engine first took it; -1 before.
-        first: when its first token came; -1 before.
-        ended: when it was complete; -1 before.
-        refused: why it was not run.
-        made: tokens generated so far.
+        started_at: when the engine first started it; -1 before.
+        first_token_at: when its first token was generated; -1 before.
+        ended_at: when it was complete; -1 before.
+        refusal: name of the code it was refused with; empty if it was not.
+        generated_tokens: tokens generated so far.
     """
 
     name: str
     organisation: str
     batch: bool
-    arrived: float
-    tokens: int
+    arrived_at: float
+    answer_tokens: int
     prompt: str
-    started: float = -1.0
-    first: float = -1.0
-    ended: float = -1.0
-    refused: str = ""
-    made: int = 0
+    started_at: float = -1.0
+    first_token_at: float = -1.0
+    ended_at: float = -1.0
+    refusal: str = ""
+    generated_tokens: int = 0
 
 
 class Runner:
-    """An engine with its admission, driven in virtual time.
+    """An engine with its admission control, run in virtual time.
 
     Attributes:
-        admitting: the admission under measurement.
+        admission: the admission control under measurement.
         engine: the engine.
         jobs: jobs by name.
-        blind: whether priorities and organisations are hidden from
+        fifo: whether priorities and organisations are hidden from
             admission, which makes it first come, first served.
     """
 
     def __init__(
         self,
         *,
-        admitting: admission.Admission,
-        blind: bool = False,
+        admission_control: admission.Admission,
+        fifo: bool = False,
     ):
-        self.admitting = admitting
+        self.admission = admission_control
         self.engine = fake_engines.FakeEngine(
-            slots=admitting.slots,
+            slots=admission_control.slots,
             cache_blocks=CACHE_BLOCKS,
             token_seconds=TOKEN_SECONDS,
             step_seconds=STEP_SECONDS,
         )
         self.jobs: dict[str, Job] = {}
-        self.blind = blind
+        self.fifo = fifo
 
     def run(self, jobs: list[Job], until: float) -> None:
-        """Runs a workload, in order of arrival, until a time."""
+        """Runs jobs that are sorted by arrival until `until`."""
         self.jobs = {each.name: each for each in jobs}
-        coming = collections.deque(jobs)
+        arrivals = collections.deque(jobs)
         now = 0.0
         while now < until:
-            wakes = [self.engine.next_wake(), self.admitting.next_wake()]
-            if coming:
-                wakes.append(coming[0].arrived)
-            due = [each for each in wakes if each is not None]
+            wake_times = [self.engine.next_wake(), self.admission.next_wake()]
+            if arrivals:
+                wake_times.append(arrivals[0].arrived_at)
+            due = [each for each in wake_times if each is not None]
             if not due:
                 return
             now = max(now, min(due))
-            while coming and coming[0].arrived <= now:
-                self.arrive(coming.popleft(), now)
-            self.engine_says(now)
-            self.settle(now)
-
-    def arrive(self, job: Job, now: float) -> None:
-        """Offers a job."""
-        tokens = len(job.prompt) // TOKEN_BYTES
+            while arrivals and arrivals[0].arrived_at <= now:
+                self.offer(arrivals.popleft(), now)
+            self.process_engine_events(now)
+            self.update_queue(now)
+
+    def offer(self, job: Job, now: float) -> None:
+        """Offers a job to admission, and submits it if it is admitted."""
+        prompt_tokens = len(job.prompt) // TOKEN_BYTES
         dispatch = messages.Dispatch(
             request=job.name,
             attempt=1,
-            organisation="all" if self.blind else job.organisation,
-            priority="batch" if job.batch and not self.blind else "interactive",
+            organisation="all" if self.fifo else job.organisation,
+            priority="batch" if job.batch and not self.fifo else "interactive",
             seconds_left=3600.0,
             server="r1",
-            prompt_tokens=tokens,
+            prompt_tokens=prompt_tokens,
             completion=messages.Completion(
-                model="m", prompt=job.prompt, max_tokens=job.tokens
+                model="m", prompt=job.prompt, max_tokens=job.answer_tokens
             ),
         )
-        truth = messages.ServerStatus(
+        status = messages.ServerStatus(
             server="r1",
             incarnation=self.engine.incarnation,
             token_seconds=TOKEN_SECONDS,
         )
-        verdict = self.admitting.offer(dispatch, SENDER, truth, now)
+        verdict = self.admission.offer(dispatch, SENDER, status, now)
         match verdict:
             case admission.Admit(pause=pause):
                 for request, attempt in pause:
                     self.engine.cancel(request, attempt, now)
                 self.submit(dispatch, now)
             case admission.Refuse(code=code):
-                job.refused = code.name
-        self.engine_says(now)
-        self.settle(now)
+                job.refusal = code.name
+        self.process_engine_events(now)
+        self.update_queue(now)
 
     def submit(self, dispatch: messages.Dispatch, now: float) -> None:
-        """Hands a dispatch to the engine."""
+        """Submits a dispatch to the engine, which continues paused jobs."""
         job = self.jobs[dispatch.request]
-        continued = fake_engines.expected_text(job.prompt, 0, job.made)
+        generated_text = fake_engines.expected_text(
+            job.prompt, 0, job.generated_tokens
+        )
         completion = attrs.evolve(
-            dispatch.completion, continued=continued, continued_tokens=job.made
+            dispatch.completion,
+            continued=generated_text,
+            continued_tokens=job.generated_tokens,
         )
         run = actions.RunCompletion(
             request=job.name,
@@ -153,111 +157,117 @@
             priority=dispatch.priority,
             completion=completion,
         )
-        refused = self.engine.submit(run, dispatch.organisation, now)
-        assert refused is None, refused
+        refusal = self.engine.submit(run, dispatch.organisation, now)
+        assert refusal is None, refusal
 
-    def engine_says(self, now: float) -> None:
-        """Takes what came out of the engine."""
+    def process_engine_events(self, now: float) -> None:
+        """Runs the engine up to now and processes its events."""
         for event in self.engine.step(now):
             job = self.jobs[event.request]
             match event:
                 case events.EngineStarted():
-                    if job.started < 0:
-                        job.started = now
+                    if job.started_at < 0:
+                        job.started_at = now
                 case events.EngineText():
-                    if job.first < 0:
-                        job.first = now
-                    job.made += event.tokens
+                    if job.first_token_at < 0:
+                        job.first_token_at = now
+                    job.generated_tokens += event.tokens
                 case events.EngineEnded():
-                    job.ended = now
-                    used = event.prompt_tokens - event.cached_tokens
-                    self.admitting.ended(
+                    job.ended_at = now
+                    uncached_tokens = event.prompt_tokens - event.cached_tokens
+                    self.admission.ended(
                         job.name,
                         1,
                         now,
                         finished=True,
-                        tokens=used + job.made,
+                        tokens=uncached_tokens + job.generated_tokens,
                     )
                 case events.EngineBroken():
-                    self.admitting.paused(job.name, 1, now)
+                    self.admission.paused(job.name, 1, now)
 
-    def settle(self, now: float) -> None:
-        """Starts what may start."""
-        for refused in self.admitting.expired(now):
-            self.jobs[refused.dispatch.request].refused = refused.code.name
-        for ready in self.admitting.ready(now):
+    def update_queue(self, now: float) -> None:
+        """Records expired jobs as refused and submits those that may start."""
+        for refused in self.admission.expired(now):
+            self.jobs[refused.dispatch.request].refusal = refused.code.name
+        for ready in self.admission.ready(now):
             self.submit(ready.dispatch, now)
 
 
-def jobs_of(
+def generate_jobs(
     *,
-    chance: random.Random,
+    rng: random.Random,
     organisation: str,
     batch: bool,
     rate: float,
     seconds: float,
     prompt_tokens: int,
-    tokens: int,
+    mean_answer_tokens: int,
 ) -> list[Job]:
-    """Returns Poisson arrivals with exponential answer lengths."""
+    """Returns jobs with Poisson arrivals and exponential answer lengths."""
     jobs = []
     at = 0.0
-    while (at := at + chance.expovariate(rate)) < seconds:
+    while (at := at + rng.expovariate(rate)) < seconds:
         name = f"{organisation}-{'b' if batch else 'i'}-{len(jobs)}"
         jobs.append(
             Job(
                 name=name,
                 organisation=organisation,
                 batch=batch,
-                arrived=at,
-                tokens=max(1, int(chance.expovariate(1 / tokens))),
+                arrived_at=at,
+                answer_tokens=max(
+                    1, int(rng.expovariate(1 / mean_answer_tokens))
+                ),
                 prompt=name.ljust(prompt_tokens * TOKEN_BYTES, "x"),
             )
         )
     return jobs
 
 
-def both_kinds(
-    *, chance: random.Random, rate: float, batch_rate: float, seconds: float
+def generate_mixed_jobs(
+    *,
+    rng: random.Random,
+    interactive_rate: float,
+    batch_rate: float,
+    seconds: float,
 ) -> tuple[list[Job], list[Job]]:
-    """Returns short interactive jobs and long batch jobs, by their rates."""
-    counter = jobs_of(
-        chance=chance,
+    """Returns short interactive jobs and long batch jobs."""
+    interactive_jobs = generate_jobs(
+        rng=rng,
         organisation="counter",
         batch=False,
-        rate=rate,
+        rate=interactive_rate,
         seconds=seconds,
         prompt_tokens=500,
-        tokens=100,
+        mean_answer_tokens=100,
     )
-    checks = jobs_of(
-        chance=chance,
+    batch_jobs = generate_jobs(
+        rng=rng,
         organisation="checks",
         batch=True,
         rate=batch_rate,
         seconds=seconds,
         prompt_tokens=2000,
-        tokens=300,
+        mean_answer_tokens=300,
     )
-    return counter, checks
+    return interactive_jobs, batch_jobs
 
 
-def merged(*groups: list[Job]) -> list[Job]:
+def merge_by_arrival(*groups: list[Job]) -> list[Job]:
     """Returns copies of all jobs in order of arrival."""
     jobs = [attrs.evolve(job) for group in groups for job in group]
-    return sorted(jobs, key=lambda each: each.arrived)
+    return sorted(jobs, key=lambda each: each.arrived_at)
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Returns a quantile; 0 of nothing."""
+    """Returns a quantile of the values, or 0 if there are none."""
     values = sorted(values)
     return (
         values[min(len(values) - 1, int(share * len(values)))] if values else 0
     )
 
 
-def table(title: str, rows: list[dict[str, object]]) -> None:
-    """Prints rows of equal keys."""
+def print_table(title: str, rows: list[dict[str, object]]) -> None:
+    """Prints rows that have the same keys as an aligned table."""
     print(f"\n{title}")
     cells = [[str(key) for key in rows[0]]]
     for row in rows:
@@ -272,33 +282,34 @@
         print("  ".join(c.rjust(w) for c, w in zip(row, widths, strict=True)))
 
 
-def wait_row(
+def waiting_times_row(
     policy: str, jobs: list[Job], runners: list[Runner], until: float
 ) -> dict[str, object]:
-    """Returns the figures of the two priorities."""
+    """Returns interactive waiting times and batch throughput of a policy."""
     waits = [
-        each.started - each.arrived
+        each.started_at - each.arrived_at
         for each in jobs
-        if not each.batch and each.started >= 0
+        if not each.batch and each.started_at >= 0
     ]
-    batch = [each for each in jobs if each.batch]
-    done = [each for each in batch if each.ended >= 0]
-    counters = [each.engine.counters for each in runners]
+    batch_jobs = [each for each in jobs if each.batch]
+    finished_batch = [each for each in batch_jobs if each.ended_at >= 0]
+    engine_counters = [each.engine.counters for each in runners]
     return {
         "policy": policy,
         "interactive": len(waits),
         "wait_p50_ms": 1000 * quantile(waits, 0.5),
         "wait_p99_ms": 1000 * quantile(waits, 0.99),
         "wait_max_ms": 1000 * max(waits),
-        "batch_done": len(done),
-        "batch_tokens_s": sum(each.made for each in batch) / until,
-        "computed_tokens": sum(e.computed_tokens for e in counters),
-        "paused": sum(e.cancelled for e in counters),
+        "batch_done": len(finished_batch),
+        "batch_tokens_s": sum(each.generated_tokens for each in batch_jobs)
+        / until,
+        "computed_tokens": sum(e.computed_tokens for e in engine_counters),
+        "paused": sum(e.cancelled for e in engine_counters),
     }
 
 
 def batch_delay() -> None:
-    """How long batch work delays interactive work."""
+    """Measures how long batch jobs delay interactive jobs."""
     until = 120.0
     policies = {
         "first come": {"pauses": False, "reserve": 0},
@@ -313,25 +324,30 @@
             jobs = []
             runners = []
             for seed in SEEDS:
-                chance = random.Random(seed)
-                counter, checks = both_kinds(
-                    chance=chance, rate=rate, batch_rate=2.0, seconds=until
+                rng = random.Random(seed)
+                interactive_jobs, batch_jobs = generate_mixed_jobs(
+                    rng=rng,
+                    interactive_rate=rate,
+                    batch_rate=2.0,
+                    seconds=until,
                 )
-                admitting = admission.Admission(
+                admission_control = admission.Admission(
                     server="r1",
                     slots=SLOTS,
                     queue_limit=100_000,
                     age_seconds=1e9,
                     **settings,
                 )
-                blind = policy == "first come"
-                runner = Runner(admitting=admitting, blind=blind)
-                mine = merged(counter, checks)
-                runner.run(mine, until)
-                jobs += mine
+                fifo = policy == "first come"
+                runner = Runner(admission_control=admission_control, fifo=fifo)
+                seed_jobs = merge_by_arrival(interactive_jobs, batch_jobs)
+                runner.run(seed_jobs, until)
+                jobs += seed_jobs
                 runners.append(runner)
-            rows.append(wait_row(policy, jobs, runners, len(SEEDS) * until))
-        table(
+            rows.append(
+                waiting_times_row(policy, jobs, runners, len(SEEDS) * until)
+            )
+        print_table(
             f"batch_delay: {SLOTS} slots, batch 2/s (more than fits), "
             f"interactive {rate:g}/s; step {1000 * STEP_SECONDS:g} ms, "
             f"a batch prefill {2e6 * TOKEN_SECONDS:g} ms",
@@ -340,90 +356,106 @@
 
 
 def starvation() -> None:
-    """Whether batch work gets on while interactive work fills all slots."""
+    """Measures batch progress while interactive jobs fill all slots."""
     until = 300.0
     rows = []
     for age in (5.0, 10.0, 1e9):
-        chance = random.Random(1)
-        counter, checks = both_kinds(
-            chance=chance, rate=6.0, batch_rate=0.1, seconds=until
+        rng = random.Random(1)
+        interactive_jobs, batch_jobs = generate_mixed_jobs(
+            rng=rng, interactive_rate=6.0, batch_rate=0.1, seconds=until
         )
-        admitting = admission.Admission(
+        admission_control = admission.Admission(
             server="r1", slots=SLOTS, queue_limit=100_000, age_seconds=age
         )
-        runner = Runner(admitting=admitting)
-        jobs = merged(counter, checks)
+        runner = Runner(admission_control=admission_control)
+        jobs = merge_by_arrival(interactive_jobs, batch_jobs)
         runner.run(jobs, until)
-        batch = [each for each in jobs if each.batch]
-        waits = [e.started - e.arrived for e in batch if e.started >= 0]
-        served = [e for e in jobs if not e.batch and e.ended >= 0]
+        arrived_batch = [each for each in jobs if each.batch]
+        waits = [
+            e.started_at - e.arrived_at
+            for e in arrived_batch
+            if e.started_at >= 0
+        ]
+        finished_interactive = [
+            e for e in jobs if not e.batch and e.ended_at >= 0
+        ]
         rows.append(
             {
                 "age_seconds": age if age < 1e9 else "never",
-                "batch": len(batch),
+                "batch": len(arrived_batch),
                 "started": len(waits),
                 "wait_p50_s": quantile(waits, 0.5),
                 "wait_max_s": max(waits, default=0.0),
-                "interactive_done": len(served),
+                "interactive_done": len(finished_interactive),
             }
         )
-    table("starvation: interactive work at about 1.2 times what fits", rows)
+    print_table(
+        "starvation: interactive work at about 1.2 times what fits", rows
+    )
 
 
 def fairness() -> None:
-    """What a small organisation gets beside one that sends ten times more."""
+    """Compares a small organisation with one that sends ten times as much."""
     until = 300.0
     rows = []
-    for policy, blind in (("first come", True), ("fair share", False)):
+    for policy, fifo in (("first come", True), ("fair share", False)):
         for seed in SEEDS:
-            chance = random.Random(seed)
+            rng = random.Random(seed)
             groups = [
-                jobs_of(
-                    chance=chance,
+                generate_jobs(
+                    rng=rng,
                     organisation=organisation,
                     batch=False,
                     rate=rate,
                     seconds=until,
                     prompt_tokens=500,
-                    tokens=100,
+                    mean_answer_tokens=100,
                 )
                 for organisation, rate in (("large", 10.0), ("small", 1.0))
             ]
-            admitting = admission.Admission(server="r1", slots=SLOTS)
-            runner = Runner(admitting=admitting, blind=blind)
-            jobs = merged(*groups)
+            admission_control = admission.Admission(server="r1", slots=SLOTS)
+            runner = Runner(admission_control=admission_control, fifo=fifo)
+            jobs = merge_by_arrival(*groups)
             runner.run(jobs, until)
             row: dict[str, object] = {"policy": policy, "seed": seed}
             for organisation in ("large", "small"):
-                mine = [e for e in jobs if e.organisation == organisation]
-                waits = [e.first - e.arrived for e in mine if e.first >= 0]
-                refused = sum(bool(e.refused) for e in mine)
-                row[f"{organisation}_sent"] = len(mine)
-                row[f"{organisation}_refused_%"] = 100 * refused / len(mine)
+                organisation_jobs = [
+                    e for e in jobs if e.organisation == organisation
+                ]
+                waits = [
+                    e.first_token_at - e.arrived_at
+                    for e in organisation_jobs
+                    if e.first_token_at >= 0
+                ]
+                refused = sum(bool(e.refusal) for e in organisation_jobs)
+                row[f"{organisation}_sent"] = len(organisation_jobs)
+                row[f"{organisation}_refused_%"] = (
+                    100 * refused / len(organisation_jobs)
+                )
                 row[f"{organisation}_ttft_p50_s"] = quantile(waits, 0.5)
                 row[f"{organisation}_ttft_p95_s"] = quantile(waits, 0.95)
             rows.append(row)
-    table("fairness: one organisation sends 10/s, one 1/s, 5/s fit", rows)
+    print_table("fairness: one organisation sends 10/s, one 1/s, 5/s fit", rows)
 
 
 def retry_storm() -> None:
-    """How many attempts a sick cluster sees for each request."""
+    """Measures attempts per request in a cluster where attempts fail."""
     rows = []
-    for failing in (0.01, 0.1, 0.5, 1.0):
+    for failure_rate in (0.01, 0.1, 0.5, 1.0):
         for policy in ("budget", "none"):
-            chance = random.Random(1)
+            rng = random.Random(1)
             budget = retries.RetryBudget()
             if policy == "none":
                 budget = retries.RetryBudget(capacity=1e9)
             attempts = failed = 0
-            longest = 0.0
+            longest_delay = 0.0
             for number in range(30_000):
                 start = now = number / 100
                 budget.record_request(now)
                 state = retries.AttemptState(deadline=start + 60)
                 while True:
                     attempts += 1
-                    if chance.random() >= failing:
+                    if rng.random() >= failure_rate:
                         break
                     failure = retries.Broken(
                         server=f"r{state.attempts}",
@@ -435,86 +467,86 @@
                         failed += 1
                         break
                     now += step.delay
-                longest = max(longest, now - start)
+                longest_delay = max(longest_delay, now - start)
             rows.append(
                 {
-                    "failing": failing,
+                    "failing": failure_rate,
                     "policy": policy,
                     "attempts_per_request": attempts / 30_000,
                     "given_up_%": failed / 300,
-                    "longest_delay_s": longest,
+                    "longest_delay_s": longest_delay,
                 }
             )
-    table("retry_storm: 30,000 requests in 300 s, repeatable", rows)
+    print_table("retry_storm: 30,000 requests in 300 s, repeatable", rows)
 
 
 def quarantine_cost() -> None:
-    """What one crash costs its entries and the store."""
+    """Measures messages, store writes and processor time of one crash."""
     rows = []
     for entries, batch in ((3, 16), (10, 16), (350, 16)):
         names = [
             f"tcp://10.0.{n // 250}.{n % 250}:7000" for n in range(entries)
         ]
-        machines = [
+        quarantines = [
             quarantine.Quarantine(
                 name=name, peers=[each for each in names if each != name]
             )
             for name in names
         ]
-        chance = random.Random(1)
-        prints = [chance.randbytes(16) for _ in range(batch)]
-        reporters = chance.sample(machines, min(entries, batch))
-        sent = size = writes = 0
-        begin = time.process_time()
-        # The worst order: each reporter speaks before it hears another.
-        news = []
-        for machine in reporters:
-            news += machine.record_crash(prints, "r1", "i1", 0.0)
-        for action in news:
+        rng = random.Random(1)
+        fingerprints = [rng.randbytes(16) for _ in range(batch)]
+        reporters = rng.sample(quarantines, min(entries, batch))
+        sent_messages = sent_bytes = writes = 0
+        started = time.process_time()
+        # Worst case: each reporter reports before it receives another report.
+        reports = []
+        for reporter in reporters:
+            reports += reporter.record_crash(fingerprints, "r1", "i1", 0.0)
+        for action in reports:
             match action:
                 case actions.Send(address=address, message=message):
-                    sent += 1
-                    size += len(msgspec.msgpack.encode(message))
+                    sent_messages += 1
+                    sent_bytes += len(msgspec.msgpack.encode(message))
                     event = events.FromNode(sender="", message=message)
-                    told = machines[names.index(address)]
-                    writes += len(told.handle(event, 0.0))
+                    receiver = quarantines[names.index(address)]
+                    writes += len(receiver.handle(event, 0.0))
                 case actions.CallStore():
                     writes += 1
-        spent = time.process_time() - begin
+        cpu_seconds = time.process_time() - started
         rows.append(
             {
                 "entries": entries,
                 "suspects": batch,
-                "messages": sent,
-                "bytes_per_entry": size / entries,
+                "messages": sent_messages,
+                "bytes_per_entry": sent_bytes / entries,
                 "writes": writes,
-                "us_per_entry": 1e6 * spent / entries,
+                "us_per_entry": 1e6 * cpu_seconds / entries,
             }
         )
-    table("quarantine_cost: one crash", rows)
+    print_table("quarantine_cost: one crash", rows)
     tracemalloc.start()
-    machine = quarantine.Quarantine(name=SENDER)
+    reporter = quarantine.Quarantine(name=SENDER)
     for number in range(quarantine.MAX_RECORDS // 16):
-        prints = [
+        fingerprints = [
             random.Random(number * 16 + n).randbytes(16) for n in range(16)
         ]
-        machine.record_crash(prints, f"r{number}", "i", 0.0)
-    held, _ = tracemalloc.get_traced_memory()
+        reporter.record_crash(fingerprints, f"r{number}", "i", 0.0)
+    traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    print(f"{len(machine.records)} records hold {held / 1e6:.2f} MB")
+    print(f"{len(reporter.records)} records hold {traced_bytes / 1e6:.2f} MB")
 
 
 def decision_time() -> None:
-    """Processor time of one request through admission."""
+    """Measures the processor time that admission spends on a request."""
     rows = []
     for waiting in (0, 16, 64, 256):
-        admitting = admission.Admission(
+        admission_control = admission.Admission(
             server="r1", slots=SLOTS, queue_limit=1000
         )
-        truth = messages.ServerStatus(server="r1", incarnation="i")
+        status = messages.ServerStatus(server="r1", incarnation="i")
         count = SLOTS + waiting
 
-        def offer(number, admitting=admitting, truth=truth):
+        def offer(number, admission_control=admission_control, status=status):
             dispatch = messages.Dispatch(
                 request=f"q{number}",
                 attempt=1,
@@ -525,34 +557,47 @@
                 prompt_tokens=500,
                 fingerprint=number.to_bytes(16, "big"),
             )
-            admitting.offer(dispatch, SENDER, truth, 0.0)
+            admission_control.offer(dispatch, SENDER, status, 0.0)
 
         for number in range(count):
             offer(number)
-        begin = time.process_time()
+        started = time.process_time()
         rounds = 2000
         for number in range(rounds):
-            running = next(iter(admitting.running))
-            admitting.ended(*running, 0.0, finished=True, tokens=600)
-            admitting.ready(0.0)
+            running = next(iter(admission_control.running))
+            admission_control.ended(*running, 0.0, finished=True, tokens=600)
+            admission_control.ready(0.0)
             offer(count + number)
-            admitting.expired(0.0)
-            admitting.next_wake()
-        spent = time.process_time() - begin
+            admission_control.expired(0.0)
+            admission_control.next_wake()
+        cpu_seconds = time.process_time() - started
         rows.append(
-            {"waiting": waiting, "us_per_request": 1e6 * spent / rounds}
+            {"waiting": waiting, "us_per_request": 1e6 * cpu_seconds / rounds}
         )
-    table("decision_time: offer, ended, ready, expired and next_wake", rows)
+    print_table(
+        "decision_time: offer, ended, ready, expired and next_wake", rows
+    )
 
 
 def poison_row(name: str, *, copies: int = 1, seconds: float = 0.0) -> dict:
-    """Sends one poison request again and again through ten entries."""
+    """Sends one poison request repeatedly through ten entries.
+
+    Other requests run at the same time.
+
+    Args:
+        name: name of the case, which also selects the faults.
+        copies: poison requests sent at once in each round.
+        seconds: least pause after each round.
+
+    Returns:
+        Engine crashes, the other requests' results and store writes.
+    """
     path = paths.Path(entry_count=10, runners=9, slots=4)
-    entries = set(path.entry_names)
+    entry_names = set(path.entry_names)
     if "apart" in name:
-        path.cut = lambda sender, receiver: entries >= {sender, receiver}
+        path.cut = lambda sender, receiver: entry_names >= {sender, receiver}
     if "no store" in name:
-        path.cut_from_store |= entries
+        path.cut_from_store |= entry_names
     if name == "no quarantine":
         for node in path.nodes.values():
             core = node.core
@@ -564,50 +609,55 @@
                 )
                 core.admission._record_crashes = lambda *_, **__: None
     before = len(path.store.calls)
-    innocents = []
-    asked = {}
+    other_requests = []
+    sent_at = {}
     for number in range(20):
         if name == "herd restart" and number in (4, 8):
             for each in range(10):
                 path.start_entry(each)
             path.run(8.0)
         for each in range(6):
-            innocent = f"i{number}.{each}"
-            innocents.append(innocent)
-            asked[innocent] = path.now
+            other_request = f"i{number}.{each}"
+            other_requests.append(other_request)
+            sent_at[other_request] = path.now
             prompt = f"manual {each} " * 300
-            path.request((number + each) % 10, innocent, prompt, tokens=60)
-        sent = [f"x{number}.{copy}" for copy in range(copies)]
-        for copy, each in enumerate(sent):
+            path.request((number + each) % 10, other_request, prompt, tokens=60)
+        poison_requests = [f"x{number}.{copy}" for copy in range(copies)]
+        for copy, each in enumerate(poison_requests):
             path.request((number + copy) % 10, each, "poison " * 300)
         path.run(
-            40.0, until=lambda sent=sent: all(e in path.answers for e in sent)
+            40.0,
+            until=lambda poison_requests=poison_requests: all(
+                e in path.answers for e in poison_requests
+            ),
         )
         path.run(max(seconds, 2.0 if "herd" in name else 0.0))
-    path.run(30.0, until=lambda: all(e in path.answers for e in innocents))
-    late = [
-        path.answers[e][1] - asked[e] for e in innocents if e in path.answers
+    path.run(30.0, until=lambda: all(e in path.answers for e in other_requests))
+    latencies = [
+        path.answers[e][1] - sent_at[e]
+        for e in other_requests
+        if e in path.answers
     ]
-    bad = [e for e in innocents if path.code(e) != results.Code.OK]
-    writes = [e for e in path.store.calls[before:] if _is_news(e)]
+    not_served = [e for e in other_requests if path.code(e) != results.Code.OK]
+    writes = [e for e in path.store.calls[before:] if _is_quarantine_write(e)]
     return {
         "case": name,
         "engines_crashed": path.crashes(),
-        "innocents": len(innocents),
-        "not_served": len(bad),
-        "answer_p50_s": quantile(late, 0.5),
-        "answer_max_s": max(late),
+        "innocents": len(other_requests),
+        "not_served": len(not_served),
+        "answer_p50_s": quantile(latencies, 0.5),
+        "answer_max_s": max(latencies),
         "store_writes": len(writes),
     }
 
 
-def _is_news(call: stores.Call) -> bool:
-    news = getattr(call, "path", "").startswith(quarantine.PREFIX)
-    return isinstance(call, stores.Write) and news
+def _is_quarantine_write(call: stores.Call) -> bool:
+    in_quarantine = getattr(call, "path", "").startswith(quarantine.PREFIX)
+    return isinstance(call, stores.Write) and in_quarantine
 
 
 def poison() -> None:
-    """Engines that one poison request crashes, sent again twenty times."""
+    """Counts the engines that a poison request crashes over 20 sendings."""
     rows = [
         poison_row("no quarantine"),
         poison_row("in touch"),
@@ -617,7 +667,7 @@
         poison_row("entries apart, resend after 2 s", seconds=2.0),
         poison_row("entries apart, no store"),
     ]
-    table("poison: 10 entries, 9 runners of 4 slots, 20 resends", rows)
+    print_table("poison: 10 entries, 9 runners of 4 slots, 20 resends", rows)
 
 
 MEASUREMENTS = {
@@ -632,7 +682,7 @@
 
 
 def main() -> None:
-    """Runs what the command line names."""
+    """Runs the measurements named on the command line, or all."""
     for name in sys.argv[1:] or MEASUREMENTS:
         MEASUREMENTS[name]()
 
--- a/benches/baselines.py
+++ b/benches/baselines.py
@@ -1,7 +1,7 @@
-"""Placement policies that the real one is compared with.
+"""Baseline placement policies to compare the real placer with.
 
-They see the same load reports, corrected by what their entry sent since; the
-oracles alone look into the engines.
+They get the same load reports, corrected by what their entry has sent since.
+Only the oracles read the state of the engines.
 """
 
 import bisect
@@ -15,11 +15,11 @@
 _SHORT_TOKENS = 512
 _LONG_TOKENS = 4096
 _LOAD_FACTOR = 1.25
-_POINTS = 64
+_POINTS_PER_SERVER = 64
 
 
 class Baseline(placement.Placer):
-    """A policy with the placer's bookkeeping and a choice of its own."""
+    """A policy that keeps the placer's state but chooses the server itself."""
 
     def choose(
         self,
@@ -27,7 +27,7 @@
         servers: Sequence[declarations.BackendServer],
         now: float,
     ) -> placement.Choice:
-        """Returns where a request shall run."""
+        """Chooses the server for a request."""
         allowed = [each for each in servers if self.is_eligible(wanted, each)]
         usable = [
             each for each in allowed if self.is_past_backoff(each.name, now)
@@ -48,7 +48,7 @@
         raise NotImplementedError
 
     def outstanding(self, name: str) -> int:
-        """Returns requests believed to be at a server."""
+        """Returns the estimated number of requests at a server."""
         load = self.loads.get(name)
         if load is None or load.status is None:
             return 0
@@ -56,7 +56,7 @@
 
 
 class Random(Baseline):
-    """Any server."""
+    """Chooses a server at random."""
 
     def pick(
         self, wanted: placement.PlacementRequest, names: list[str], now: float
@@ -66,7 +66,7 @@
 
 
 class LeastLoaded(Baseline):
-    """The server with the shortest expected wait, then fewest requests."""
+    """Chooses the shortest expected wait, then the fewest requests."""
 
     def pick(
         self, wanted: placement.PlacementRequest, names: list[str], now: float
@@ -81,7 +81,7 @@
         return min(names, key=key)
 
 
-def _point(data: bytes) -> int:
+def _ring_position(data: bytes) -> int:
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest(), "big")
 
 
@@ -89,23 +89,23 @@
     """Consistent hashing of the prompt's first tokens.
 
     Attributes:
-        tokens: how many tokens are hashed.
+        tokens: number of prompt tokens that are hashed.
     """
 
     tokens = _LONG_TOKENS
 
-    def ring(
+    def ring_order(
         self, wanted: placement.PlacementRequest, names: list[str]
     ) -> list[str]:
-        """Returns the names in the order of the ring from the key on."""
+        """Returns the names in ring order, starting at the prompt's key."""
         points = sorted(
-            (_point(f"{name} {number}".encode()), name)
+            (_ring_position(f"{name} {number}".encode()), name)
             for name in names
-            for number in range(_POINTS)
+            for number in range(_POINTS_PER_SERVER)
         )
         depth = max(1, self.tokens // workloads.BLOCK_TOKENS)
         key = b"".join(wanted.blocks[:depth][-1:])
-        start = bisect.bisect(points, (_point(key), ""))
+        start = bisect.bisect(points, (_ring_position(key), ""))
         order = points[start:] + points[:start]
         return list(dict.fromkeys(name for _, name in order))
 
@@ -113,11 +113,11 @@
         self, wanted: placement.PlacementRequest, names: list[str], now: float
     ) -> str:
         """Returns one of the names."""
-        return self.ring(wanted, names)[0]
+        return self.ring_order(wanted, names)[0]
 
 
 class HashShort(Hash):
-    """Hashing of so few tokens that only the first level counts."""
+    """Consistent hashing of only the first level of shared prefixes."""
 
     tokens = _SHORT_TOKENS
 
@@ -125,8 +125,8 @@
 class BoundedHash(Hash):
     """Consistent hashing with bounded loads.
 
-    A server with more than _LOAD_FACTOR times the mean load passes its
-    request on to the next one on the ring.
+    If a server would exceed _LOAD_FACTOR times the mean load, the request goes
+    to the next one on the ring.
     """
 
     def pick(
@@ -135,7 +135,7 @@
         """Returns one of the names."""
         loads = {name: self.outstanding(name) for name in names}
         mean = (sum(loads.values()) + 1) / len(names)
-        order = self.ring(wanted, names)
+        order = self.ring_order(wanted, names)
         for name in order:
             if loads[name] + 1 <= max(1.0, _LOAD_FACTOR * mean):
                 return name
@@ -143,16 +143,16 @@
 
 
 class BoundedHashShort(BoundedHash):
-    """Bounded-load hashing of the first level only."""
+    """Bounded-load hashing of only the first level of shared prefixes."""
 
     tokens = _SHORT_TOKENS
 
 
 class Oracle(Baseline):
-    """The cheapest server, with every cache and queue known at once.
+    """Chooses the cheapest server from the current caches and queues.
 
     Attributes:
-        agents: the agents by name, set by the bench.
+        agents: the agents by name, set by placement_runs.
     """
 
     agents: dict = {}
@@ -166,16 +166,21 @@
             agent = self.agents[name]
             pool = agent.engine.pool
             cached = agent.engine.depth(wanted.blocks) * wanted.block_tokens
-            left = wanted.prompt_tokens - cached + agent.left_tokens()
-            over = len(agent.jobs) - pool.slots + 1
-            slot = max(0, over) * self.slot_seconds / pool.slots
-            return (max(left * pool.token_seconds, slot), len(name))
+            uncached_tokens = (
+                wanted.prompt_tokens - cached + agent.left_tokens()
+            )
+            excess_jobs = len(agent.jobs) - pool.slots + 1
+            slot_wait = max(0, excess_jobs) * self.slot_seconds / pool.slots
+            return (
+                max(uncached_tokens * pool.token_seconds, slot_wait),
+                len(name),
+            )
 
         return min(names, key=cost)
 
 
 class DeepestOracle(Oracle):
-    """The server that holds most of the prompt, then the least loaded."""
+    """Chooses the longest cached prefix, then the least loaded server."""
 
     def pick(
         self, wanted: placement.PlacementRequest, names: list[str], now: float
--- a/benches/measure.py
+++ b/benches/measure.py
@@ -1,7 +1,7 @@
 """Runs every policy on every workload and fault, and prints the figures.
 
-The first seconds are left out; with a sudden fault, all before it is. Refusals
-count over the whole run.
+The warm-up is not measured; with a sudden fault, nothing before the fault is.
+Refusals are counted over the whole run.
 
 python -m benches.measure [--seeds N] [--policies a,b] [--faults x,y]
 """
@@ -26,7 +26,7 @@
 
 @attrs.frozen(kw_only=True)
 class Task:
-    """One run."""
+    """Parameters of one run."""
 
     deployment: workloads.Deployment
     fault: placement_runs.Fault
@@ -36,17 +36,18 @@
 
 @attrs.define(kw_only=True)
 class Figures:
-    """What one run, or several runs with other seeds, came to.
+    """Figures of one run, or of several runs that differ in their seeds.
 
     Attributes:
         prompt_tokens: prompt tokens of all starts.
-        cached_tokens: of these, taken from a cache.
-        wasted_tokens: of these, computed though a live engine held them.
+        cached_tokens: those of them found in the engine's cache.
+        wasted_tokens: those of them computed although a running engine had
+            them cached.
         refused: requests never completed.
         refusals: attempts that an agent refused.
         requests: all requests.
-        interactive: seconds to the first token of each.
-        batch: seconds to the first token of each.
+        interactive: seconds to the first token of each interactive request.
+        batch: seconds to the first token of each batch request.
     """
 
     prompt_tokens: int = 0
@@ -64,29 +65,32 @@
             total = getattr(self, field.name) + getattr(other, field.name)
             setattr(self, field.name, total)
 
-    def count(self, measured: placement_runs.Measured, *, timed: bool):
-        """Adds one request; its refusals and its failure always count.
+    def count(
+        self, result: placement_runs.RequestResult, *, in_measured_period: bool
+    ):
+        """Adds one request.
 
-        A sudden fault hits what came before it too.
+        Refusals and failures count outside the measured period too, because a
+        sudden fault also affects requests that arrived before it.
         """
         self.requests += 1
-        self.refusals += measured.refusals
-        self.refused += not measured.done
-        if not timed:
+        self.refusals += result.refusals
+        self.refused += not result.completed
+        if not in_measured_period:
             return
-        self.prompt_tokens += measured.prompt_tokens
-        self.cached_tokens += measured.cached_tokens
-        self.wasted_tokens += measured.wasted_tokens
-        if not measured.done:
+        self.prompt_tokens += result.prompt_tokens
+        self.cached_tokens += result.cached_tokens
+        self.wasted_tokens += result.wasted_tokens
+        if not result.completed:
             return
-        seconds = measured.first_at - measured.arrival.at
-        if measured.arrival.priority == workloads.INTERACTIVE:
+        seconds = result.first_token_at - result.arrival.at
+        if result.arrival.priority == workloads.INTERACTIVE:
             self.interactive.append(seconds)
         else:
             self.batch.append(seconds)
 
     def row(self) -> dict[str, float]:
-        """Returns the figures of the table."""
+        """Returns the values of a table row."""
         prompt = max(1, self.prompt_tokens)
         row = {
             "hit_rate": self.cached_tokens / prompt,
@@ -109,25 +113,27 @@
     return ordered[min(len(ordered) - 1, len(ordered) * share // 100)]
 
 
-def run(task: Task) -> tuple[Task, Figures, float]:
-    """Makes one run; returns its figures and its processor seconds."""
-    began = time.process_time()
-    made = placement_runs.Run(
+def run_task(task: Task) -> tuple[Task, Figures, float]:
+    """Performs one run; returns its figures and its processor seconds."""
+    started = time.process_time()
+    simulation = placement_runs.Run(
         deployment=task.deployment,
         policy=task.policy,
         fault=task.fault,
         seed=task.seed,
     )
     figures = Figures()
-    start = workloads.WARM_UP
-    if task.fault in placement_runs.SUDDEN:
-        start = workloads.FAULT_AT
-    for measured in made.run():
-        figures.count(measured, timed=measured.arrival.at >= start)
-    return task, figures, time.process_time() - began
+    measure_from = workloads.WARM_UP
+    if task.fault in placement_runs.SUDDEN_FAULTS:
+        measure_from = workloads.FAULT_AT
+    for result in simulation.run():
+        figures.count(
+            result, in_measured_period=result.arrival.at >= measure_from
+        )
+    return task, figures, time.process_time() - started
 
 
-def _table(group: list[tuple[str, dict[str, float]]]) -> list[str]:
+def _format_table(group: list[tuple[str, dict[str, float]]]) -> list[str]:
     lines = [
         "| policy | hit rate | wasted | interactive p50/p95/p99 s "
         "| batch p50/p95/p99 s | refused | attempts refused |",
@@ -136,8 +142,8 @@
     for policy, row in group:
         cells = [policy, f"{row['hit_rate']:.1%}", f"{row['wasted']:.2%}"]
         for name in ("interactive", "batch"):
-            shares = [row[f"{name}_p{each}"] for each in (50, 95, 99)]
-            cells.append(" / ".join(f"{each:.3f}" for each in shares))
+            percentiles = [row[f"{name}_p{each}"] for each in (50, 95, 99)]
+            cells.append(" / ".join(f"{each:.3f}" for each in percentiles))
         cells.append(f"{row['refused']} of {row['requests']}")
         cells.append(str(row["refusals"]))
         lines.append("| " + " | ".join(cells) + " |")
@@ -146,33 +152,33 @@
 
 def measure(tasks: list[Task], processes: int) -> list[dict]:
     """Runs tasks and returns one row per deployment, fault and policy."""
-    sums: dict[tuple, Figures] = {}
+    totals: dict[tuple, Figures] = {}
     with multiprocessing.Pool(processes) as pool:
-        for task, figures, _ in pool.imap_unordered(run, tasks):
+        for task, figures, _ in pool.imap_unordered(run_task, tasks):
             key = (task.deployment, task.fault, task.policy)
-            sums.setdefault(key, Figures()).add(figures)
-    wanted = dict.fromkeys(
+            totals.setdefault(key, Figures()).add(figures)
+    keys = dict.fromkeys(
         (task.deployment, task.fault, task.policy) for task in tasks
     )
     return [
         {"deployment": key[0], "fault": key[1], "policy": key[2]}
-        | sums[key].row()
-        for key in wanted
+        | totals[key].row()
+        for key in keys
     ]
 
 
-def show(rows: list[dict]) -> str:
+def format_tables(rows: list[dict]) -> str:
     """Returns the rows as Markdown tables."""
     lines = []
     groups = itertools.groupby(rows, lambda r: (r["deployment"], r["fault"]))
     for (deployment, fault), group in groups:
         lines.append(f"\n### {deployment}, {fault}\n")
-        lines.extend(_table([(row["policy"], row) for row in group]))
+        lines.extend(_format_table([(row["policy"], row) for row in group]))
     return "\n".join(lines) + "\n"
 
 
 def main():
-    """Measures and writes the results."""
+    """Runs all combinations, prints the tables and writes the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--policies", default=",".join(baselines.POLICIES))
@@ -180,7 +186,7 @@
     parser.add_argument("--deployments", default=",".join(workloads.Deployment))
     parser.add_argument("--processes", type=int, default=_PROCESSES)
     options = parser.parse_args()
-    began = time.monotonic()
+    started = time.monotonic()
     tasks = [
         Task(
             deployment=workloads.Deployment(deployment),
@@ -194,9 +200,9 @@
         for seed in range(options.seeds)
     ]
     rows = measure(tasks, options.processes)
-    text = show(rows)
+    text = format_tables(rows)
     print(text)
-    print(f"{len(tasks)} runs in {time.monotonic() - began:.0f} s")
+    print(f"{len(tasks)} runs in {time.monotonic() - started:.0f} s")
     RESULTS.mkdir(exist_ok=True)
     (RESULTS / "measure.json").write_text(json.dumps(rows, indent=1))
     (RESULTS / "measure.md").write_text(text)
--- a/benches/placement_runs.py
+++ b/benches/placement_runs.py
@@ -1,7 +1,8 @@
-"""Runs of placement in virtual time: entries, agents, engines.
+"""Simulates placement over entries, agents and engines in virtual time.
 
-One process, one heap of events. Placement and retries at the entries and
-admission at the agents are the real decisions; the engines are the bench's.
+A run has one heap of events in one process. Placement and retries at the
+entries and admission at the agents use the real code; the engines are models
+from benches.engines.
 """
 
 import collections
@@ -24,16 +25,16 @@
 
 _HOP_SECONDS = 0.001
 _REPORT_SECONDS = 0.5
-_LAG_SECONDS = 0.3
-_LONG_LAG_SECONDS = 3.0
-_LOST_SHARE = 0.3
+_REPORT_LAG_SECONDS = 0.3
+_LONG_REPORT_LAG_SECONDS = 3.0
+_LOSS_PROBABILITY = 0.3
 _DOWN_SECONDS = 3.0
-_CRASHES = 2
-_RUSH_LOAD = 1.3
+_CRASHED_ENGINES = 2
+_RUSH_LOAD_FACTOR = 1.3
 
 
 class Fault(enum.StrEnum):
-    """What goes wrong; the last three from FAULT_AT on."""
+    """Fault injected into a run; the last three occur at FAULT_AT."""
 
     NONE = "none"
     RUSH = "rush"
@@ -44,32 +45,33 @@
     HERD_RESTART = "herd restart"
 
 
-SUDDEN = (Fault.CRASH, Fault.HOT_SHIFT, Fault.HERD_RESTART)
+SUDDEN_FAULTS = (Fault.CRASH, Fault.HOT_SHIFT, Fault.HERD_RESTART)
 
 
 @attrs.define(kw_only=True)
-class Measured:
-    """What became of one request.
+class RequestResult:
+    """Result of one request.
 
     Attributes:
         arrival: the request.
-        first_at: when its first token reached the entry; 0 for never.
-        done: whether it was completed.
-        tries: what the entry's retries know of it.
-        sent: attempts of it so far.
-        crashes: engines that died while they ran it.
-        refusals: attempts of it that an agent refused.
+        first_token_at: when its first token reached the entry; 0 for never.
+        completed: whether it was completed.
+        attempt_state: state of the entry's retries for it.
+        attempts: attempts so far.
+        crashes: engines that crashed while they ran it.
+        refusals: attempts that an agent refused.
         prompt_tokens: prompt tokens of all its starts in an engine.
-        cached_tokens: of these, taken from a cache.
-        wasted_tokens: of these, computed though a live engine held them.
-        sender: entry and the entry's life that sent it last.
+        cached_tokens: those of them found in the engine's cache.
+        wasted_tokens: those of them computed although a running engine had
+            them cached.
+        sender: number and incarnation of the entry that sent it last.
     """
 
     arrival: workloads.Arrival
-    first_at: float = 0.0
-    done: bool = False
-    tries: retries.AttemptState
-    sent: int = 0
+    first_token_at: float = 0.0
+    completed: bool = False
+    attempt_state: retries.AttemptState
+    attempts: int = 0
     crashes: int = 0
     refusals: int = 0
     prompt_tokens: int = 0
@@ -80,31 +82,39 @@
 
 @attrs.define(kw_only=True)
 class Entry:
-    """An entry: its policy, its retries and its restarts."""
+    """An entry with its placement policy and retry budget.
+
+    Attributes:
+        number: number of the entry.
+        placer: placement policy.
+        budget: retry budget.
+        incarnation: number of restarts.
+    """
 
     number: int
     placer: placement.Placer
     budget: retries.RetryBudget = attrs.field(factory=retries.RetryBudget)
-    life: int = 0
+    incarnation: int = 0
 
 
-def _key(job: engines.Job) -> admission.Key:
+def _admission_key(job: engines.Job) -> admission.Key:
     return (job.arrival.request, job.attempt)
 
 
 class Agent:
-    """The process beside one engine.
+    """The agent of one engine.
 
     Attributes:
         engine: its engine.
-        admission: decides what runs, waits and is refused.
-        jobs: what runs or waits here.
-        wake: when admission wants to be asked again.
-        incarnation: number of the engine's life; 0 while it is down.
-        lives: lives so far.
-        stepping: whether a step is under way.
-        received: dispatches by entry and the entry's life.
-        history: times and truths, oldest first, as far back as the lag.
+        admission: admission control of the engine.
+        jobs: running and waiting jobs.
+        scheduled_wake: when `Run.update_admission` is scheduled next.
+        incarnation: incarnation of the engine; 0 while it is down.
+        start_count: incarnations of the engine so far, counting one that is
+            about to start after a crash.
+        in_step: whether the engine is in a step.
+        received: dispatches by the number and incarnation of their entry.
+        load_history: times and loads, oldest first, back to the report lag.
     """
 
     def __init__(self, *, engine: engines.Engine):
@@ -113,22 +123,22 @@
             server=engine.name, slots=engine.pool.slots
         )
         self.jobs: dict[admission.Key, engines.Job] = {}
-        self.wake = 0.0
+        self.scheduled_wake = 0.0
         self.incarnation = 1
-        self.lives = 1
-        self.stepping = False
+        self.start_count = 1
+        self.in_step = False
         self.received: collections.Counter[tuple[int, int]] = (
             collections.Counter()
         )
-        self.history: collections.deque[tuple[float, dict]] = (
+        self.load_history: collections.deque[tuple[float, dict]] = (
             collections.deque()
         )
 
     def queued_tokens(self) -> int:
         """Returns the uncached prompt tokens waiting or in prefill.
 
-        Counted as the real agent does, which doesn't see how far a prefill is
-        nor what the cache really had.
+        Counted like the real agent, which sees neither the progress of a
+        prefill nor how much was actually cached.
         """
         return self.admission.queued_tokens + sum(
             max(0, job.arrival.prompt_tokens - job.expected)
@@ -137,24 +147,28 @@
         )
 
     def left_tokens(self) -> int:
-        """Returns the same with all known, for the oracles."""
+        """Returns the exact number of such tokens, for the oracles."""
         return self.admission.queued_tokens + self.engine.left_tokens()
 
-    def note(self, now: float, lag: float):
-        """Keeps the load of this moment for the reports to come."""
+    def record_load(self, now: float, lag: float):
+        """Records the current load; drops loads older than the report lag."""
         load = {
             "running": len(self.admission.running),
             "queued": self.admission.queued,
             "queued_tokens": self.queued_tokens(),
             "received": dict(self.received),
         }
-        self.history.append((now, load))
-        while len(self.history) > 1 and self.history[1][0] <= now - lag:
-            self.history.popleft()
-
-    def truth(self, entry: tuple[int, int]) -> messages.ServerStatus:
-        """Returns the report for an entry."""
-        load = self.history[0][1] if self.history else {"received": {}}
+        self.load_history.append((now, load))
+        while (
+            len(self.load_history) > 1 and self.load_history[1][0] <= now - lag
+        ):
+            self.load_history.popleft()
+
+    def status(self, entry: tuple[int, int]) -> messages.ServerStatus:
+        """Returns the status report for an entry and its incarnation."""
+        load = (
+            self.load_history[0][1] if self.load_history else {"received": {}}
+        )
         values = load | {"received": load["received"].get(entry, 0)}
         pool = self.engine.pool
         return messages.ServerStatus(
@@ -169,7 +183,7 @@
 
 
 class Run:
-    """One run of one policy over one workload with one fault."""
+    """Simulation of one policy on one workload with one fault."""
 
     def __init__(
         self,
@@ -184,21 +198,23 @@
         self.rng = random.Random(seed)
         self.seed = seed
         self.now = 0.0
-        self.heap: list = []
-        self.order = itertools.count()
-        self.lag = _LAG_SECONDS
+        self.events: list = []
+        self.sequence = itertools.count()
+        self.report_lag = _REPORT_LAG_SECONDS
         if fault == Fault.REPORTS_LAG:
-            self.lag = _LONG_LAG_SECONDS
+            self.report_lag = _LONG_REPORT_LAG_SECONDS
         self.arrivals = workloads.arrivals(
             deployment,
             seed,
             fault == Fault.HOT_SHIFT,
-            _RUSH_LOAD if fault == Fault.RUSH else 1.0,
+            _RUSH_LOAD_FACTOR if fault == Fault.RUSH else 1.0,
         )
-        self.measured = {
-            each.request: Measured(
+        self.request_results = {
+            each.request: RequestResult(
                 arrival=each,
-                tries=retries.AttemptState(deadline=each.at + each.deadline),
+                attempt_state=retries.AttemptState(
+                    deadline=each.at + each.deadline
+                ),
             )
             for each in self.arrivals
         }
@@ -207,75 +223,77 @@
         for pool in workloads.POOLS[deployment]:
             self.add_pool(pool)
         self.entries = [
-            Entry(number=number, placer=self.placer(number))
+            Entry(number=number, placer=self.new_placer(number))
             for number in range(workloads.ENTRIES)
         ]
 
     def add_pool(self, pool: workloads.RunnerPool):
-        """Makes the runners of one pool."""
+        """Creates the runners of one pool."""
         holders = engines.Holders()
         servers = []
         for number in range(pool.runners):
             name = f"{pool.model}-{number}"
             engine = engines.Engine(name=name, pool=pool, holders=holders)
             self.agents[name] = Agent(engine=engine)
-            place = number % len(workloads.DATA_CENTRES)
+            data_centre_index = number % len(workloads.DATA_CENTRES)
             server = declarations.BackendServer(
                 name=name,
                 serves=pool.model,
                 agent="tcp://127.0.0.1:1",
-                data_centre=workloads.DATA_CENTRES[place],
+                data_centre=workloads.DATA_CENTRES[data_centre_index],
                 slots=pool.slots,
             )
             servers.append(server)
         self.servers[pool.model] = servers
 
-    def placer(self, number: int, life: int = 0) -> placement.Placer:
-        """Returns a new policy for an entry."""
-        place = number % len(workloads.DATA_CENTRES)
-        made = baselines.POLICIES[self.policy](
-            seed=self.seed * 1000 + number * 10 + life,
-            data_centre=workloads.DATA_CENTRES[place],
+    def new_placer(self, number: int, incarnation: int = 0) -> placement.Placer:
+        """Returns a new placement policy for an entry."""
+        data_centre_index = number % len(workloads.DATA_CENTRES)
+        placer = baselines.POLICIES[self.policy](
+            seed=self.seed * 1000 + number * 10 + incarnation,
+            data_centre=workloads.DATA_CENTRES[data_centre_index],
         )
         if self.policy in baselines.ORACLES:
-            made.agents = self.agents
-        return made
+            placer.agents = self.agents
+        return placer
 
-    def at(self, time: float, act, *args):
-        """Has a method called at a time."""
-        heapq.heappush(self.heap, (time, next(self.order), act, args))
+    def schedule(self, time: float, callback, *args):
+        """Schedules a call at a time."""
+        heapq.heappush(self.events, (time, next(self.sequence), callback, args))
 
-    def run(self) -> list[Measured]:
-        """Runs to the end and returns what became of each request."""
+    def run(self) -> list[RequestResult]:
+        """Runs until no event is left; returns the result of each request."""
         for arrival in self.arrivals:
-            self.at(arrival.at, self.arrive, arrival)
+            self.schedule(arrival.at, self.request_arrived, arrival)
         for offset, name in enumerate(self.agents):
             start = _REPORT_SECONDS * offset / len(self.agents)
-            self.at(start, self.report, name)
+            self.schedule(start, self.send_report, name)
         if self.fault == Fault.CRASH:
-            for name in list(self.agents)[:_CRASHES]:
-                self.at(workloads.FAULT_AT, self.crash, name)
+            for name in list(self.agents)[:_CRASHED_ENGINES]:
+                self.schedule(workloads.FAULT_AT, self.crash_engine, name)
         if self.fault == Fault.HERD_RESTART:
-            self.at(workloads.FAULT_AT, self.restart_entries)
-        while self.heap:
-            self.now, _, act, args = heapq.heappop(self.heap)
-            act(*args)
-        return list(self.measured.values())
+            self.schedule(workloads.FAULT_AT, self.restart_entries)
+        while self.events:
+            self.now, _, callback, args = heapq.heappop(self.events)
+            callback(*args)
+        return list(self.request_results.values())
 
     # Entries.
 
-    def arrive(self, arrival: workloads.Arrival):
-        """A request reaches its entry."""
+    def request_arrived(self, arrival: workloads.Arrival):
+        """Handles the arrival of a request at its entry."""
         entry = self.entries[arrival.entry]
         entry.budget.record_request(self.now)
-        self.place(entry.placer, arrival)
+        self.place_request(entry.placer, arrival)
 
-    def place(self, placer: placement.Placer, arrival: workloads.Arrival):
-        """An entry chooses a server and sends the request there."""
+    def place_request(
+        self, placer: placement.Placer, arrival: workloads.Arrival
+    ):
+        """Chooses a server for a request and sends it there."""
         entry = self.entries[arrival.entry]
-        measured = self.measured[arrival.request]
-        left = arrival.at + arrival.deadline - self.now
-        wanted = placement.PlacementRequest(
+        result = self.request_results[arrival.request]
+        seconds_left = arrival.at + arrival.deadline - self.now
+        request = placement.PlacementRequest(
             request=arrival.request,
             organisation=arrival.organisation,
             model=arrival.model,
@@ -284,34 +302,34 @@
             block_tokens=workloads.BLOCK_TOKENS,
             prompt_tokens=arrival.prompt_tokens,
             priority=arrival.priority,
-            seconds_left=left,
-            avoid=frozenset(measured.tries.avoid),
+            seconds_left=seconds_left,
+            avoid=frozenset(result.attempt_state.avoid),
         )
         servers = self.servers[arrival.model]
-        choice = placer.choose(wanted, servers, self.now)
+        choice = placer.choose(request, servers, self.now)
         if choice.server is None:
             self.retry(arrival, retries.NoCandidate())
             return
-        tokens = arrival.prompt_tokens - choice.expected_depth
-        placer.sent(choice.server, arrival.request, tokens, self.now)
-        measured.sent += 1
+        uncached_tokens = arrival.prompt_tokens - choice.expected_depth
+        placer.sent(choice.server, arrival.request, uncached_tokens, self.now)
+        result.attempts += 1
         job = engines.Job(
             arrival=arrival,
-            attempt=measured.sent,
+            attempt=result.attempts,
             expected=choice.expected_depth,
-            crashes=measured.crashes,
+            crashes=result.crashes,
         )
-        sender = (entry.number, entry.life)
-        self.at(
+        sender = (entry.number, entry.incarnation)
+        self.schedule(
             self.now + _HOP_SECONDS,
-            self.dispatched,
+            self.dispatch_received,
             choice,
             job,
             sender,
         )
 
-    def dispatch(self, choice, job: engines.Job) -> messages.Dispatch:
-        """Returns what an agent's admission is offered."""
+    def build_dispatch(self, choice, job: engines.Job) -> messages.Dispatch:
+        """Returns the dispatch that is offered to an agent's admission."""
         arrival = job.arrival
         return messages.Dispatch(
             request=arrival.request,
@@ -333,43 +351,61 @@
             ),
         )
 
-    def tell(self, sender: tuple[int, int], act, *args, lossy: bool = False):
-        """Sends something back to an entry, if that life of it still runs."""
+    def send_to_entry(
+        self, sender: tuple[int, int], callback, *args, lossy: bool = False
+    ):
+        """Schedules a call at an entry, skipped if it restarts before."""
         lost = lossy and self.fault == Fault.EVENTS_LOST
-        if lost and self.rng.random() < _LOST_SHARE:
+        if lost and self.rng.random() < _LOSS_PROBABILITY:
             return
-        self.at(self.now + _HOP_SECONDS, self.told, sender, act, args)
+        self.schedule(
+            self.now + _HOP_SECONDS,
+            self.deliver_to_entry,
+            sender,
+            callback,
+            args,
+        )
 
-    def told(self, sender: tuple[int, int], act, args):
-        """Something came back to an entry."""
+    def deliver_to_entry(self, sender: tuple[int, int], callback, args):
+        """Calls back at an entry unless it has restarted since."""
         entry = self.entries[sender[0]]
-        if entry.life == sender[1]:
-            act(entry.placer, *args)
+        if entry.incarnation == sender[1]:
+            callback(entry.placer, *args)
 
-    def learned(self, placer: placement.Placer, truth: messages.ServerStatus):
-        """A report reached an entry."""
-        placer.record_status(truth, self.now)
+    def status_received(
+        self, placer: placement.Placer, status: messages.ServerStatus
+    ):
+        """Handles a status report at an entry."""
+        placer.record_status(status, self.now)
 
-    def failed(self, placer, truth, job: engines.Job, failure: retries.Failure):
-        """An entry's dispatch was refused, or broke."""
-        placer.record_status(truth, self.now)
+    def dispatch_failed(
+        self, placer, status, job: engines.Job, failure: retries.Failure
+    ):
+        """Handles a refused or interrupted dispatch at an entry."""
+        placer.record_status(status, self.now)
         self.retry(job.arrival, failure)
 
     def retry(self, arrival: workloads.Arrival, failure: retries.Failure):
-        """An entry tries again, or gives up."""
+        """Schedules a retry if the entry's budget and the deadline allow it."""
         entry = self.entries[arrival.entry]
-        tries = self.measured[arrival.request].tries
-        match retries.next_step(tries, failure, entry.budget, self.now):
+        attempt_state = self.request_results[arrival.request].attempt_state
+        match retries.next_step(attempt_state, failure, entry.budget, self.now):
             case retries.Retry(delay=delay):
-                sender = (entry.number, entry.life)
-                at = self.now + delay
-                self.at(at, self.told, sender, self.place, (arrival,))
-
-    def finished(self, placer, truth, job: engines.Job):
-        """A request's end reached its entry."""
-        placer.record_status(truth, self.now)
+                sender = (entry.number, entry.incarnation)
+                retry_at = self.now + delay
+                self.schedule(
+                    retry_at,
+                    self.deliver_to_entry,
+                    sender,
+                    self.place_request,
+                    (arrival,),
+                )
+
+    def request_finished(self, placer, status, job: engines.Job):
+        """Handles the completion of a request at its entry."""
+        placer.record_status(status, self.now)
         placer.finished(
-            truth.server,
+            status.server,
             job.arrival.request,
             job.arrival.blocks,
             job.cached,
@@ -377,149 +413,168 @@
         )
 
     def restart_entries(self):
-        """All entries start anew and know nothing."""
+        """Restarts all entries with empty placement state."""
         for entry in self.entries:
-            entry.life += 1
-            entry.placer = self.placer(entry.number, entry.life)
+            entry.incarnation += 1
+            entry.placer = self.new_placer(entry.number, entry.incarnation)
 
     # Agents.
 
-    def report(self, name: str):
-        """An agent tells every entry its truth, again and again."""
+    def send_report(self, name: str):
+        """Sends an agent's status to every entry at regular intervals."""
         agent = self.agents[name]
-        agent.note(self.now, self.lag)
+        agent.record_load(self.now, self.report_lag)
         for entry in self.entries:
-            sender = (entry.number, entry.life)
-            truth = agent.truth(sender)
-            self.tell(sender, self.learned, truth, lossy=True)
+            sender = (entry.number, entry.incarnation)
+            status = agent.status(sender)
+            self.send_to_entry(sender, self.status_received, status, lossy=True)
         if self.now < workloads.SECONDS:
-            self.at(self.now + _REPORT_SECONDS, self.report, name)
+            self.schedule(self.now + _REPORT_SECONDS, self.send_report, name)
 
-    def dispatched(self, choice, job: engines.Job, sender):
-        """A request reached an agent."""
+    def dispatch_received(self, choice, job: engines.Job, sender):
+        """Offers a dispatch to its agent's admission."""
         agent = self.agents[choice.server]
         agent.received[sender] += 1
-        measured = self.measured[job.arrival.request]
-        measured.sender = sender
+        result = self.request_results[job.arrival.request]
+        result.sender = sender
         verdict = agent.admission.offer(
-            self.dispatch(choice, job),
+            self.build_dispatch(choice, job),
             f"{sender}",
-            agent.truth(sender),
+            agent.status(sender),
             self.now,
         )
         match verdict:
             case admission.Refuse():
-                self.refuse(agent, job, verdict.code)
+                self.return_unstarted(agent, job, verdict.code)
             case admission.Queue():
-                agent.jobs[_key(job)] = job
+                agent.jobs[_admission_key(job)] = job
             case admission.Admit(pause=pause):
                 for key in pause:
                     agent.engine.cancel(agent.jobs[key])
                     agent.admission.paused(*key, self.now)
-                agent.jobs[_key(job)] = job
+                agent.jobs[_admission_key(job)] = job
                 agent.engine.submit(job)
-        self.tend(choice.server)
-        if _key(job) in agent.jobs:
-            truth = agent.truth(sender)
-            self.tell(sender, self.learned, truth, lossy=True)
-
-    def refuse(self, agent: Agent, job: engines.Job, code: results.Code):
-        """An agent gives back a request that didn't run."""
-        self.measured[job.arrival.request].refusals += 1
+        self.update_admission(choice.server)
+        if _admission_key(job) in agent.jobs:
+            status = agent.status(sender)
+            self.send_to_entry(sender, self.status_received, status, lossy=True)
+
+    def return_unstarted(
+        self, agent: Agent, job: engines.Job, code: results.Code
+    ):
+        """Returns a request that did not run to its entry."""
+        self.request_results[job.arrival.request].refusals += 1
         server = agent.engine.name
-        self.give_back(agent, job, retries.NotRun(server=server, code=code))
+        self.return_request(
+            agent, job, retries.NotRun(server=server, code=code)
+        )
 
-    def broke(self, agent: Agent, job: engines.Job, code: results.Code):
-        """An agent gives back a request that had run."""
+    def return_started(
+        self, agent: Agent, job: engines.Job, code: results.Code
+    ):
+        """Returns a request that had started to its entry."""
         server = agent.engine.name
         ran = results.Ran.RAN
         failure = retries.Broken(server=server, code=code, ran=ran)
-        self.give_back(agent, job, failure)
-
-    def give_back(self, agent: Agent, job: engines.Job, failure):
-        """An agent tells an entry that a request won't be answered here."""
-        agent.note(self.now, self.lag)
-        sender = self.measured[job.arrival.request].sender
-        self.tell(sender, self.failed, agent.truth(sender), job, failure)
+        self.return_request(agent, job, failure)
+
+    def return_request(self, agent: Agent, job: engines.Job, failure):
+        """Reports to the entry that a request failed at this agent."""
+        agent.record_load(self.now, self.report_lag)
+        sender = self.request_results[job.arrival.request].sender
+        self.send_to_entry(
+            sender, self.dispatch_failed, agent.status(sender), job, failure
+        )
 
-    def tend(self, name: str):
-        """Has an agent refuse what is too late and start what may start."""
+    def update_admission(self, name: str):
+        """Refuses expired requests and starts those that admission allows."""
         agent = self.agents[name]
         for refused in agent.admission.expired(self.now):
             key = (refused.dispatch.request, refused.dispatch.attempt)
-            give_back = self.broke if refused.started else self.refuse
-            give_back(agent, agent.jobs.pop(key), refused.code)
+            return_job = (
+                self.return_started
+                if refused.started
+                else self.return_unstarted
+            )
+            return_job(agent, agent.jobs.pop(key), refused.code)
         for ready in agent.admission.ready(self.now):
             key = (ready.dispatch.request, ready.dispatch.attempt)
             agent.engine.submit(agent.jobs[key])
-        agent.note(self.now, self.lag)
-        wake = agent.admission.next_wake()
-        if wake is not None and not self.now < agent.wake <= wake:
-            agent.wake = wake
-            self.at(wake, self.tend, name)
-        self.step(name)
-
-    def step(self, name: str):
-        """Begins a step of an engine that isn't in one."""
+        agent.record_load(self.now, self.report_lag)
+        next_wake = agent.admission.next_wake()
+        if (
+            next_wake is not None
+            and not self.now < agent.scheduled_wake <= next_wake
+        ):
+            agent.scheduled_wake = next_wake
+            self.schedule(next_wake, self.update_admission, name)
+        self.start_step(name)
+
+    def start_step(self, name: str):
+        """Starts an engine step unless one is running or there is no work."""
         agent = self.agents[name]
-        if agent.stepping or agent.engine.idle():
+        if agent.in_step or agent.engine.idle():
             return
-        agent.stepping = True
+        agent.in_step = True
         seconds = agent.engine.start_step()
         for job, wasted in agent.engine.started:
-            measured = self.measured[job.arrival.request]
-            measured.prompt_tokens += job.arrival.prompt_tokens
-            measured.cached_tokens += job.cached
-            measured.wasted_tokens += wasted
+            result = self.request_results[job.arrival.request]
+            result.prompt_tokens += job.arrival.prompt_tokens
+            result.cached_tokens += job.cached
+            result.wasted_tokens += wasted
         agent.engine.started.clear()
-        self.at(self.now + seconds, self.stepped, name, agent.lives)
+        self.schedule(
+            self.now + seconds, self.finish_step, name, agent.start_count
+        )
 
-    def stepped(self, name: str, life: int):
-        """A step of an engine is over."""
+    def finish_step(self, name: str, start_count: int):
+        """Ends an engine step; ignored if the engine has crashed since."""
         agent = self.agents[name]
-        if agent.lives != life:
+        if agent.start_count != start_count:
             return
-        agent.stepping = False
-        first, done = agent.engine.end_step()
-        for job in first:
-            measured = self.measured[job.arrival.request]
-            if not measured.first_at:
-                measured.first_at = self.now + _HOP_SECONDS
-            agent.admission.proved(*_key(job))
-        for job in done:
-            del agent.jobs[_key(job)]
+        agent.in_step = False
+        first_tokens, completed = agent.engine.end_step()
+        for job in first_tokens:
+            result = self.request_results[job.arrival.request]
+            if not result.first_token_at:
+                result.first_token_at = self.now + _HOP_SECONDS
+            agent.admission.proved(*_admission_key(job))
+        for job in completed:
+            del agent.jobs[_admission_key(job)]
             uncached = job.arrival.prompt_tokens - job.cached
             agent.admission.ended(
-                *_key(job),
+                *_admission_key(job),
                 self.now,
                 finished=True,
                 tokens=uncached + job.generated,
             )
-        self.tend(name)
-        for job in done:
-            measured = self.measured[job.arrival.request]
-            measured.done = True
-            truth = agent.truth(measured.sender)
-            self.tell(measured.sender, self.finished, truth, job, lossy=True)
-
-    def crash(self, name: str):
-        """An engine dies; what it ran is run again elsewhere."""
+        self.update_admission(name)
+        for job in completed:
+            result = self.request_results[job.arrival.request]
+            result.completed = True
+            status = agent.status(result.sender)
+            self.send_to_entry(
+                result.sender, self.request_finished, status, job, lossy=True
+            )
+
+    def crash_engine(self, name: str):
+        """Crashes an engine and returns its requests to their entries."""
         agent = self.agents[name]
         agent.engine.crash()
-        waited = {each.request for each in agent.admission.clear()}
-        lost = list(agent.jobs.values())
+        queued = {each.request for each in agent.admission.clear()}
+        lost_jobs = list(agent.jobs.values())
         agent.jobs.clear()
         agent.incarnation = 0
-        agent.lives += 1
-        agent.stepping = False
-        self.at(self.now + _DOWN_SECONDS, self.reboot, name)
-        for job in lost:
-            if job.arrival.request in waited:
-                self.refuse(agent, job, results.Code.SERVER_DOWN)
+        agent.start_count += 1
+        agent.in_step = False
+        self.schedule(self.now + _DOWN_SECONDS, self.restart_engine, name)
+        for job in lost_jobs:
+            if job.arrival.request in queued:
+                self.return_unstarted(agent, job, results.Code.SERVER_DOWN)
                 continue
-            self.measured[job.arrival.request].crashes += 1
-            self.broke(agent, job, results.Code.ENGINE_DIED)
+            self.request_results[job.arrival.request].crashes += 1
+            self.return_started(agent, job, results.Code.ENGINE_DIED)
 
-    def reboot(self, name: str):
-        """An engine is back, empty."""
-        self.agents[name].incarnation = self.agents[name].lives
+    def restart_engine(self, name: str):
+        """Starts a crashed engine again, with an empty cache."""
+        self.agents[name].incarnation = self.agents[name].start_count
--- a/benches/plots.py
+++ b/benches/plots.py
@@ -1,4 +1,4 @@
-"""One plot for each table of the measurement."""
+"""Plots each table of benches.measure."""
 
 import itertools
 import pathlib
@@ -17,11 +17,11 @@
 
 
 def draw(rows: list[dict], directory: pathlib.Path):
-    """Writes a PNG for each deployment and fault.
+    """Writes a PNG file for each deployment and fault.
 
     Args:
         rows: rows of measure.measure, ordered by deployment and fault.
-        directory: where the files go.
+        directory: directory of the files.
     """
     groups = itertools.groupby(rows, lambda r: (r["deployment"], r["fault"]))
     for (deployment, fault), group in groups:
