--- a/benches/capacity.py
+++ b/benches/capacity.py
@@ -1,9 +1,9 @@
-"""Measures the slopes that docs/CAPACITY.md is worked out from.
+"""Measures the slopes that the figures of docs/CAPACITY.md are based on.
 
 python -m benches.capacity [NAME ...] runs the named measurements, or all,
 and prints for each its points and the line fitted to them. Processor time is
-that of this process (time.process_time), memory what tracemalloc counts, but
-for connections, where it is the process's resident memory.
+that of this process (time.process_time). Memory is what tracemalloc counts,
+except for connections, which are measured by the process's resident memory.
 """
 
 from collections.abc import Callable
@@ -33,30 +33,30 @@
 from pimentoledge.nodes import messages
 
 REPEATS = 3
-KEY = hashlib.blake2b(b"key", digest_size=32).hexdigest()
-MICRO = 1e6
+KEY_DIGEST = hashlib.blake2b(b"key", digest_size=32).hexdigest()
+MICROSECONDS_PER_SECOND = 1e6
 PAGE_BYTES = 4096
 
 
 @attrs.define(kw_only=True)
-class Line:
-    """Points of a measurement, and the line fitted to them.
+class Series:
+    """Points of a measurement, printed with a line fitted to them.
 
     Attributes:
-        what: what grows with what.
+        title: what is measured, and by what it varies.
         unit: unit of the second coordinate.
-        points: measured pairs.
+        points: pairs of the varied quantity and the measured value.
     """
 
-    what: str
+    title: str
     unit: str
     points: list[tuple[float, float]]
 
-    def show(self) -> None:
-        """Prints the points and the fit."""
+    def print_fit(self) -> None:
+        """Prints the points and the fitted line."""
         xs, ys = zip(*self.points, strict=True)
         fit = statistics.linear_regression(xs, ys)
-        print(f"{self.what}")
+        print(f"{self.title}")
         for x, y in self.points:
             print(f"    {x:>10,.0f}  {y:>14,.3f} {self.unit}")
         print(
@@ -65,19 +65,24 @@
         )
 
 
-def cpu(function: Callable[[], object], count: int) -> float:
-    """Returns the least processor time of one of `count` runs, in us."""
+def min_cpu_us(function: Callable[[], object], count: int) -> float:
+    """Returns the processor time of a call, the least mean of REPEATS, in us.
+
+    Each mean is over `count` calls.
+    """
     best = float("inf")
     for _ in range(REPEATS):
         started = time.process_time()
         for _ in range(count):
             function()
         best = min(best, time.process_time() - started)
-    return best / count * MICRO
+    return best / count * MICROSECONDS_PER_SECOND
 
 
-def stored(number: int, declaration: declarations.Declaration) -> stores.Object:
-    """Returns a declaration as the store would hold it."""
+def stored_object(
+    number: int, declaration: declarations.Declaration
+) -> stores.Object:
+    """Returns a declaration as an object of the store."""
     return stores.Object(
         path=declarations.path_of(declaration),
         version=number,
@@ -85,24 +90,27 @@
     )
 
 
-def view(servers: int) -> configuration.Configuration:
-    """Returns a configuration with one model and its servers."""
+def build_configuration(servers: int) -> configuration.Configuration:
+    """Returns a configuration with one model and its backend servers."""
     declared: list[declarations.Declaration] = [
         declarations.Model(name="m", weights="w1"),
         declarations.Contract(
-            organisation="o", key_digests=[KEY], models=["m"]
+            organisation="o", key_digests=[KEY_DIGEST], models=["m"]
         ),
     ]
-    declared += [server(number) for number in range(servers)]
-    made = configuration.Configuration()
-    made.apply(
-        [stored(number + 1, each) for number, each in enumerate(declared)]
+    declared += [backend_server(number) for number in range(servers)]
+    built = configuration.Configuration()
+    built.apply(
+        [
+            stored_object(number + 1, each)
+            for number, each in enumerate(declared)
+        ]
     )
-    return made
+    return built
 
 
-def server(number: int) -> declarations.BackendServer:
-    """Returns a declared runner."""
+def backend_server(number: int) -> declarations.BackendServer:
+    """Returns the declaration of a runner."""
     return declarations.BackendServer(
         name=f"runner-{number}",
         serves="m",
@@ -111,21 +119,21 @@
     )
 
 
-def entry(servers: int) -> entries.Entry:
-    """Returns an entry that knows its configuration."""
+def build_entry(servers: int) -> entries.Entry:
+    """Returns an entry whose configuration is complete."""
     return entries.Entry(
         name="e",
         address="tcp://10.9.0.1:7000",
         data_centre="dc-0",
         seed=1,
         block_bytes=256,
-        view=view(servers),
+        view=build_configuration(servers),
         seeds=[],
     )
 
 
-def truth(name: str) -> messages.ServerStatus:
-    """Returns a truth that a healthy runner would tell."""
+def healthy_status(name: str) -> messages.ServerStatus:
+    """Returns the status that a healthy runner reports."""
     return messages.ServerStatus(
         server=name,
         incarnation="i" * 16,
@@ -137,57 +145,57 @@
 
 
 class Driver:
-    """Puts requests through an entry's state machine.
+    """Sends requests through an entry's state machine.
 
     Attributes:
-        core: the entry.
-        now: the time given to it.
-        numbers: requests so far.
+        entry: the entry.
+        now: the time passed to it.
+        request_count: requests so far.
     """
 
     def __init__(self, *, servers: int):
-        self.core = entry(servers)
+        self.entry = build_entry(servers)
         self.now = 100.0
-        self.numbers = 0
+        self.request_count = 0
 
-    def open(self, prompt: str) -> messages.Dispatch:
-        """Sends one request in; returns its dispatch, admitted."""
-        self.numbers += 1
+    def open_request(self, prompt: str) -> messages.Dispatch:
+        """Opens a request, admits it and returns its dispatch."""
+        self.request_count += 1
         self.now += 0.001
         request = events.CallerRequest(
-            request=f"r{self.numbers}",
-            key_digest=KEY,
+            request=f"r{self.request_count}",
+            key_digest=KEY_DIGEST,
             completion=messages.Completion(
                 model="m", prompt=prompt, max_tokens=480
             ),
         )
-        todo = self.core.handle(request, self.now)
-        sends = [each for each in todo if isinstance(each, actions.Send)]
+        outputs = self.entry.handle(request, self.now)
+        sends = [each for each in outputs if isinstance(each, actions.Send)]
         dispatch = next(
             each.message
             for each in sends
             if isinstance(each.message, messages.Dispatch)
         )
-        self.tell(
+        self.deliver(
             dispatch,
             messages.Admitted(
                 request=dispatch.request,
                 attempt=dispatch.attempt,
-                truth=truth(dispatch.server),
+                truth=healthy_status(dispatch.server),
             ),
         )
         return dispatch
 
-    def tell(
+    def deliver(
         self, dispatch: messages.Dispatch, message: object
     ) -> list[actions.Action]:
-        """Gives the entry a message of a dispatch's agent."""
-        agent = self.core.configuration.server(dispatch.server).agent
+        """Delivers a message from a dispatch's agent to the entry."""
+        agent = self.entry.configuration.server(dispatch.server).agent
         event = events.FromNode(sender=agent, message=message)
-        return self.core.handle(event, self.now)
+        return self.entry.handle(event, self.now)
 
     def finish(self, dispatch: messages.Dispatch, sequence: int = 0) -> None:
-        """Ends a request well."""
+        """Finishes a request successfully."""
         message = messages.Finished(
             request=dispatch.request,
             attempt=dispatch.attempt,
@@ -196,49 +204,53 @@
             prompt_tokens=10,
             cached_tokens=0,
             completion_tokens=0,
-            truth=truth(dispatch.server),
+            truth=healthy_status(dispatch.server),
         )
-        self.tell(dispatch, message)
+        self.deliver(dispatch, message)
 
-    def whole(self, prompt: str) -> None:
-        """Puts one request through, without its tokens."""
-        self.finish(self.open(prompt))
+    def complete_request(self, prompt: str) -> None:
+        """Opens and finishes a request that generates no tokens."""
+        self.finish(self.open_request(prompt))
 
 
-def request_by_prompt() -> list[Line]:
-    """Processor time of a request by the length of its prompt."""
+def request_by_prompt() -> list[Series]:
+    """Measures processor time of a request by the length of its prompt."""
     points = []
     for kilobytes in (1, 4, 16, 64):
         driver = Driver(servers=10)
         prompt = "x" * (kilobytes * 1024)
-        cost = cpu(functools.partial(driver.whole, prompt), 300)
+        cost = min_cpu_us(
+            functools.partial(driver.complete_request, prompt), 300
+        )
         points.append((kilobytes, cost))
-    what = "entry: processor time of a request, by KB of prompt, 10 runners"
-    return [Line(what=what, unit="us", points=points)]
+    title = "entry: processor time of a request, by KB of prompt, 10 runners"
+    return [Series(title=title, unit="us", points=points)]
 
 
-def request_by_runners() -> list[Line]:
-    """Processor time of a request by the number of the model's runners."""
+def request_by_runners() -> list[Series]:
+    """Measures processor time of a request by its model's runners."""
     points = []
     for servers in (10, 150, 700, 2400):
         driver = Driver(servers=servers)
         for number in range(servers):
-            driver.core.learn(truth(f"runner-{number}"), driver.now)
-        cost = cpu(functools.partial(driver.whole, "x" * 8192), 60)
+            driver.entry.learn(healthy_status(f"runner-{number}"), driver.now)
+        cost = min_cpu_us(
+            functools.partial(driver.complete_request, "x" * 8192), 60
+        )
         points.append((servers, cost))
-    what = "entry: processor time of a request, by runners of its model, 8 KB"
-    return [Line(what=what, unit="us", points=points)]
+    title = "entry: processor time of a request, by runners of its model, 8 KB"
+    return [Series(title=title, unit="us", points=points)]
 
 
-def frames_by_batch() -> list[Line]:
-    """Processor time of a message of frames, decoded and ordered."""
+def frames_by_batch() -> list[Series]:
+    """Measures processor time of a Frames message by its frames."""
     points = []
     for size in (1, 8, 32, 64):
         driver = Driver(servers=1)
-        opened = [driver.open("x" * 512) for _ in range(size)]
+        opened = [driver.open_request("x" * 512) for _ in range(size)]
         sequences = iter(range(10**9))
 
-        def one(driver=driver, opened=opened, sequences=sequences):
+        def deliver_frames(driver=driver, opened=opened, sequences=sequences):
             sequence = next(sequences)
             frames = [
                 messages.Frame(
@@ -251,42 +263,42 @@
             ]
             data = codecs.CODEC.encode(
                 messages.Frames(frames=frames),
-                sender=driver.core.configuration.server("runner-0").agent,
+                sender=driver.entry.configuration.server("runner-0").agent,
                 configuration=1,
             )
-            driver.core.handle(codecs.CODEC.decode(data).unwrap(), driver.now)
+            driver.entry.handle(codecs.CODEC.decode(data).unwrap(), driver.now)
 
-        points.append((size, cpu(one, 2000)))
-    what = (
+        points.append((size, min_cpu_us(deliver_frames, 2000)))
+    title = (
         "agent and entry: processor time of a message of frames, encoded,"
         " decoded and ordered, by its frames"
     )
-    return [Line(what=what, unit="us", points=points)]
+    return [Series(title=title, unit="us", points=points)]
 
 
-def reply_queue() -> list[Line]:
-    """Processor time of a token from the state machine to its thread."""
+def reply_queue() -> list[Series]:
+    """Measures processor time of texts passed through a reply queue."""
     points = []
-    for pieces in (1, 4, 16):
-        waiting = replies.ReplyQueue(limit_bytes=1 << 20)
+    for text_count in (1, 4, 16):
+        queue = replies.ReplyQueue(limit_bytes=1 << 20)
         text = actions.ReplyText(request="r", text=" word", tokens=1)
 
-        def one(waiting=waiting, text=text, pieces=pieces):
-            for _ in range(pieces):
-                waiting.put(text)
-            waiting.get_all(0)
+        def put_and_get(queue=queue, text=text, text_count=text_count):
+            for _ in range(text_count):
+                queue.put(text)
+            queue.get_all(0)
 
-        points.append((pieces, cpu(one, 5000)))
-    what = "entry: processor time of putting and taking texts, by their number"
-    return [Line(what=what, unit="us", points=points)]
+        points.append((text_count, min_cpu_us(put_and_get, 5000)))
+    title = "entry: processor time of putting and taking texts, by their number"
+    return [Series(title=title, unit="us", points=points)]
 
 
-def message_bytes() -> list[Line]:
-    """Bytes of the messages of a request, by its prompt and its frames."""
+def message_bytes() -> list[Series]:
+    """Measures bytes of a dispatch by its prompt, of Frames by its frames."""
     prompts, frames = [], []
     for kilobytes in (1, 4, 16):
         driver = Driver(servers=1)
-        dispatch = driver.open("x" * kilobytes * 1024)
+        dispatch = driver.open_request("x" * kilobytes * 1024)
         data = codecs.CODEC.encode(
             dispatch, sender="tcp://10.9.0.1:7000", configuration=1
         )
@@ -308,117 +320,125 @@
         )
         frames.append((size, float(len(data))))
     return [
-        Line(
-            what="bytes of a dispatch, by KB of prompt",
+        Series(
+            title="bytes of a dispatch, by KB of prompt",
             unit="B",
             points=prompts,
         ),
-        Line(what="bytes of a message, by its frames", unit="B", points=frames),
+        Series(
+            title="bytes of a message, by its frames", unit="B", points=frames
+        ),
     ]
 
 
-def held(build: Callable[[int], object], sizes: tuple[int, ...]) -> list:
-    """Returns (size, bytes held by what `build` returns for it)."""
+def traced_bytes(
+    build: Callable[[int], object], sizes: tuple[int, ...]
+) -> list:
+    """Returns pairs of a size and the bytes of what `build` makes for it."""
     points = []
     for size in sizes:
         gc.collect()
         tracemalloc.start()
-        kept = build(size)
+        built = build(size)
         gc.collect()
         points.append((size, float(tracemalloc.get_traced_memory()[0])))
         tracemalloc.stop()
-        del kept
+        del built
     return points
 
 
-def memory_of_requests() -> list[Line]:
-    """Memory of open requests at an entry's state machine."""
+def memory_of_requests() -> list[Series]:
+    """Measures memory of open requests in an entry's state machine."""
 
     def build(size: int) -> Driver:
         driver = Driver(servers=10)
         for number in range(size):
-            driver.open(f"{number} " + "x" * 8192)
+            driver.open_request(f"{number} " + "x" * 8192)
         return driver
 
-    what = "entry: bytes of open requests with 8 KB prompts, by their number"
-    points = held(build, (50, 200, 500))
-    return [Line(what=what, unit="B", points=points)]
+    title = "entry: bytes of open requests with 8 KB prompts, by their number"
+    points = traced_bytes(build, (50, 200, 500))
+    return [Series(title=title, unit="B", points=points)]
 
 
-def memory_of_loads() -> list[Line]:
-    """Memory of what an entry knows of the runners it has heard of."""
+def memory_of_loads() -> list[Series]:
+    """Measures memory of an entry's records about runners that reported."""
 
     def build(size: int) -> Driver:
         driver = Driver(servers=1)
         for number in range(size):
-            driver.core.learn(truth(f"runner-{number}"), 1.0)
+            driver.entry.learn(healthy_status(f"runner-{number}"), 1.0)
         return driver
 
-    what = "entry: bytes of load and membership knowledge, by runners heard of"
-    points = held(build, (100, 1000, 4000))
-    return [Line(what=what, unit="B", points=points)]
+    title = (
+        "entry: bytes of load and membership records, by runners that reported"
+    )
+    points = traced_bytes(build, (100, 1000, 4000))
+    return [Series(title=title, unit="B", points=points)]
 
 
-def memory_of_servers() -> list[Line]:
-    """Memory of the declared backend servers at a node."""
-    what = "entry: bytes of declared backend servers, by their number"
-    points = held(view, (1000, 4000, 12000))
-    return [Line(what=what, unit="B", points=points)]
+def memory_of_servers() -> list[Series]:
+    """Measures memory of declared backend servers in a node."""
+    title = "entry: bytes of declared backend servers, by their number"
+    points = traced_bytes(build_configuration, (1000, 4000, 12000))
+    return [Series(title=title, unit="B", points=points)]
 
 
-def memory_of_hints() -> list[Line]:
-    """Memory of an entry's hints about cached prefixes."""
+def memory_of_hints() -> list[Series]:
+    """Measures memory of an entry's hints about cached prefixes."""
 
     def build(size: int) -> placement.Placer:
         driver = Driver(servers=10)
         for number in range(size):
-            driver.whole(f"{number} " + "x" * 8192)
-        return driver.core.placer
+            driver.complete_request(f"{number} " + "x" * 8192)
+        return driver.entry.placer
 
-    what = "entry: bytes of hints, by distinct prompts of 8 KB (32 blocks)"
-    points = held(build, (100, 400, 1000))
-    return [Line(what=what, unit="B", points=points)]
+    title = "entry: bytes of hints, by distinct prompts of 8 KB (32 blocks)"
+    points = traced_bytes(build, (100, 400, 1000))
+    return [Series(title=title, unit="B", points=points)]
 
 
-def polls() -> list[Line]:
-    """Processor time and bytes of an agent's poll, by declared servers."""
+def polls() -> list[Series]:
+    """Measures time and bytes of an agent's poll by declared servers."""
     times, sizes = [], []
     for servers in (100, 1000, 12000):
-        served = agent_subscriptions.AgentSubscriptions(
-            address="tcp://10.9.0.1:7000", view=view(servers)
+        subscriptions = agent_subscriptions.AgentSubscriptions(
+            address="tcp://10.9.0.1:7000", view=build_configuration(servers)
+        )
+        subscriptions.declare(
+            [f"tcp://10.9.0.{each}:7000" for each in range(24)]
         )
-        served.declare([f"tcp://10.9.0.{each}:7000" for each in range(24)])
-        own = declarations.path_of(server(5))
-        versions = [(own, 10**6), ("declared/models/m", 10**6)]
+        own_path = declarations.path_of(backend_server(5))
+        versions = [(own_path, 10**6), ("declared/models/m", 10**6)]
         poll = configuration_messages.Poll(
             server="runner-5", versions=versions, held=[]
         )
-        sender = server(5).agent
-        one = functools.partial(served.on_poll, poll, sender, 1.0)
-        (answer,) = one()
+        sender = backend_server(5).agent
+        poll_once = functools.partial(subscriptions.on_poll, poll, sender, 1.0)
+        (answer,) = poll_once()
         poll.held = answer.message.held
-        times.append((servers, cpu(one, 500)))
-        both = [
+        times.append((servers, min_cpu_us(poll_once, 500)))
+        encoded = [
             codecs.CODEC.encode(each, sender=sender, configuration=1)
             for each in (poll, answer.message)
         ]
-        sizes.append((servers, float(sum(map(len, both)))))
-    what = "entry: processor time of an agent's poll, by declared servers"
+        sizes.append((servers, float(sum(map(len, encoded)))))
+    title = "entry: processor time of an agent's poll, by declared servers"
     return [
-        Line(what=what, unit="us", points=times),
-        Line(what="bytes of a poll and its answer", unit="B", points=sizes),
+        Series(title=title, unit="us", points=times),
+        Series(title="bytes of a poll and its answer", unit="B", points=sizes),
     ]
 
 
-def resident() -> float:
+def resident_bytes() -> float:
     """Returns the resident memory of this process in bytes."""
     pages = pathlib.Path("/proc/self/statm").read_text().split()[1]
     return float(pages) * PAGE_BYTES
 
 
-def connections() -> list[Line]:
-    """Resident memory of connections to other processes."""
-    points, before, opened = [], resident(), []
+def connections() -> list[Series]:
+    """Measures resident memory of connections between mailboxes."""
+    points, before, opened = [], resident_bytes(), []
     sender = mailboxes.Mailbox(
         address="tcp://127.0.0.1:0", deliver=lambda event: None
     )
@@ -432,12 +452,12 @@
             opened.append(peer)
             sender.open(peer.address, time.monotonic())
         time.sleep(0.5)
-        points.append((target, resident() - before))
+        points.append((target, resident_bytes() - before))
     sender.close()
     for peer in opened:
         peer.close()
-    what = "node: resident bytes of connections, both ends in one process"
-    return [Line(what=what, unit="B", points=points)]
+    title = "node: resident bytes of connections, both ends in one process"
+    return [Series(title=title, unit="B", points=points)]
 
 
 MEASUREMENTS = (
@@ -460,8 +480,8 @@
     names = sys.argv[1:]
     for measurement in MEASUREMENTS:
         if not names or measurement.__name__ in names:
-            for line in measurement():
-                line.show()
+            for series in measurement():
+                series.print_fit()
 
 
 if __name__ == "__main__":
--- a/benches/idle.py
+++ b/benches/idle.py
@@ -1,8 +1,8 @@
-"""Measures what an entry and an agent use while nothing is asked of them.
+"""Measures what an entry and an agent use while they serve no requests.
 
 python -m benches.idle starts a store, runners with agents and one entry, each
-a process of its own, and prints processor time and resident memory of the
-entry and of one agent over half a minute.
+in its own process, and prints processor time and resident memory of the entry
+and of one agent over half a minute.
 """
 
 import json
@@ -11,15 +11,17 @@
 from benches import path
 from benches import processes
 
-SECONDS = 30.0
+MEASURE_SECONDS = 30.0
 RUNNERS = 4
 
 
-def used(part: processes.Process, seconds: float) -> dict[str, float]:
-    """Returns what a process uses over some seconds."""
-    before = part.usage()
+def measure_usage(
+    process: processes.Process, seconds: float
+) -> dict[str, float]:
+    """Returns the resources that a process uses over some seconds."""
+    before = process.usage()
     time.sleep(seconds)
-    after = part.usage()
+    after = process.usage()
     return {
         "core_percent": round((after.cpu - before.cpu) / seconds * 100, 3),
         "rss_mb": round(after.rss / 1e6, 1),
@@ -28,13 +30,13 @@
 
 
 def main() -> None:
-    """Measures and prints a line of JSON for each process."""
+    """Prints a line of JSON for the entry and one for an agent."""
     deployment = path.Deployment(runners=RUNNERS, slots=64, step=0.032)
     try:
         deployment.start()
-        entry = used(deployment.entry, SECONDS)
+        entry = measure_usage(deployment.entry, MEASURE_SECONDS)
         print(json.dumps({"part": "entry", **entry}), flush=True)
-        agent = used(deployment.agents[0], SECONDS)
+        agent = measure_usage(deployment.agents[0], MEASURE_SECONDS)
         print(json.dumps({"part": "agent", **agent}), flush=True)
     finally:
         deployment.close()
--- a/benches/path.py
+++ b/benches/path.py
@@ -1,12 +1,12 @@
 """Measures the whole path: callers, one entry, agents and fake engines.
 
-Every part is a process of its own on loopback. Run as
+Each runs in its own process, connected over loopback. Run as
 `python -m benches.path PART`, where PART is
 
 * `latency`: first-token latency at a steady rate, at the engine directly and
   through the router;
 * `streams`: tokens, processor time and memory at several numbers of streams;
-* `requests`: short completions, as many as a few callers get through.
+* `requests`: throughput of short completions with a few callers.
 
 Prints a line of JSON for each point.
 """
@@ -29,10 +29,10 @@
 from pimentoledge.runners import wires
 from pimentoledge.stores import objects
 
-_KEY = "bench-key"
+_API_KEY = "bench-key"
 _MODEL = "m"
-_READY_SECONDS = 30.0
-_WARM_SECONDS = 3.0
+_READY_TIMEOUT_SECONDS = 30.0
+_WARMUP_SECONDS = 3.0
 _PATH = "/v1/completions"
 
 
@@ -43,24 +43,24 @@
 
 
 class Deployment:
-    """A store, runners with their agents, and one entry.
+    """A deployment of a store, runners with their agents, and one entry.
 
     Attributes:
         runners: number of runners.
-        slots: slots of each.
+        slots: slots of each runner.
         step: seconds between two tokens of a stream.
         store: client of the object API.
-        engines: engines' processes and addresses.
-        agents: agents' processes.
-        entry: the entry's process.
-        address: where the entry serves callers.
+        engines: engine processes and their addresses.
+        agents: agent processes.
+        entry: the entry process.
+        address: address at which the entry serves callers.
     """
 
     def __init__(self, *, runners: int, slots: int, step: float):
         self.runners = runners
         self.slots = slots
         self.step = step
-        self.parts = contextlib.ExitStack()
+        self.exit_stack = contextlib.ExitStack()
         self.store = None
         self.engines: list[tuple[processes.Process, tuple[str, int]]] = []
         self.agents: list[processes.Process] = []
@@ -68,12 +68,12 @@
         self.address = ("127.0.0.1", 0)
 
     def start(self) -> None:
-        """Starts every process and waits until the entry serves."""
-        url = self._run("fake", "store").line()
+        """Starts every process and waits until the entry serves requests."""
+        url = self._start_process("fake", "store").line()
         self.store = objects.ObjectClient(url=url)
         self.store.start()
         self._declare(declarations.Model(name=_MODEL, weights="w1"))
-        digest = hashlib.blake2b(_KEY.encode(), digest_size=32).hexdigest()
+        digest = hashlib.blake2b(_API_KEY.encode(), digest_size=32).hexdigest()
         self._declare(
             declarations.Contract(
                 organisation="o", key_digests=[digest], models=[_MODEL]
@@ -82,7 +82,7 @@
         for number in range(self.runners):
             self._start_runner(f"r{number}", url)
         self.address = ("127.0.0.1", _free_port())
-        self.entry = self._run(
+        self.entry = self._start_process(
             "entry",
             *("--name", "entry"),
             *("--mailbox", f"tcp://127.0.0.1:{_free_port()}"),
@@ -92,20 +92,20 @@
             *("--drain-seconds", "0"),
             *("--log-level", "error"),
         )
-        self._wait()
+        self._wait_until_serving()
 
     def close(self) -> None:
         """Ends every process."""
         if self.store is not None:
             self.store.close()
-        self.parts.close()
+        self.exit_stack.close()
 
     def usage(self) -> processes.Usage:
-        """Returns what the entry has used so far."""
+        """Returns the resources that the entry has used so far."""
         return self.entry.usage()
 
     def _start_runner(self, name: str, store: str) -> None:
-        engine = self._run(
+        engine = self._start_process(
             "fake",
             "engine",
             *("--name", name),
@@ -118,7 +118,7 @@
         self.engines.append((engine, (host, int(port))))
         mailbox = f"tcp://127.0.0.1:{_free_port()}"
         self.agents.append(
-            self._run(
+            self._start_process(
                 "agent",
                 *("--name", name),
                 *("--kind", "runner"),
@@ -136,12 +136,12 @@
             )
         )
 
-    def _run(self, *arguments: str) -> processes.Process:
-        part = processes.Process(
+    def _start_process(self, *arguments: str) -> processes.Process:
+        process = processes.Process(
             arguments=["-m", "pimentoledge", *arguments], daemon=True
         )
-        self.parts.callback(part.close)
-        return part
+        self.exit_stack.callback(process.close)
+        return process
 
     def _declare(self, declaration: declarations.Declaration) -> None:
         path = declarations.path_of(declaration)
@@ -156,13 +156,13 @@
         if answer.outcome != stores.Outcome.WRITTEN:
             raise RuntimeError(f"{path} was not written: {answer.outcome}")
 
-    def _wait(self) -> None:
-        """Waits until a completion goes through."""
-        end = time.monotonic() + _READY_SECONDS
-        while time.monotonic() < end:
+    def _wait_until_serving(self) -> None:
+        """Waits until the entry serves a completion."""
+        deadline = time.monotonic() + _READY_TIMEOUT_SECONDS
+        while time.monotonic() < deadline:
             load = clients.StreamLoad(address=self.address)
             try:
-                stream = load.begin(_routed("ready", 1))
+                stream = load.begin(_router_request("ready", 1))
                 load.run(time.perf_counter() + 1.0)
                 if stream.complete():
                     return
@@ -171,15 +171,18 @@
             finally:
                 load.close()
             time.sleep(0.2)
-        raise RuntimeError("the entry does not serve")
+        raise RuntimeError(
+            "the entry served no completion within"
+            f" {_READY_TIMEOUT_SECONDS:g} s"
+        )
 
 
-def _routed(prompt: str, tokens: int) -> bytes:
+def _router_request(prompt: str, tokens: int) -> bytes:
     body = clients.body_of(model=_MODEL, prompt=prompt, tokens=tokens)
-    return clients.head_of(path=_PATH, key=_KEY, length=len(body)) + body
+    return clients.head_of(path=_PATH, key=_API_KEY, length=len(body)) + body
 
 
-def _direct(prompt: str, tokens: int) -> bytes:
+def _engine_request(prompt: str, tokens: int) -> bytes:
     run = actions.RunCompletion(
         request=f"bench-{prompt}",
         attempt=1,
@@ -195,159 +198,197 @@
     return head + body
 
 
-def _prompts(kind: str):
+def _prompts(label: str):
     for number in itertools.count():
-        yield f"{kind} {number}: " + f"a manual, page {number}. " * 40
+        yield f"{label} {number}: " + f"a manual, page {number}. " * 40
 
 
-def _steady(address, request, prompts, rate: float, seconds: float):
-    """Sends requests at a steady rate; returns their streams."""
+def _send_at_rate(address, build_request, prompts, rate: float, seconds: float):
+    """Sends requests at a constant rate; returns their streams."""
     load = clients.StreamLoad(address=address)
-    begun = time.perf_counter()
+    started = time.perf_counter()
     for number in range(int(rate * seconds)):
-        due = begun + number / rate
+        due = started + number / rate
         load.run(due)
         time.sleep(max(0.0, due - time.perf_counter()))
-        load.begin(request(next(prompts), 4))
+        load.begin(build_request(next(prompts), 4))
     load.run(time.perf_counter() + 5.0)
     load.close()
     return load.streams
 
 
 def _quantiles(streams) -> dict[str, float]:
-    times = sorted(each.first - each.begun for each in streams if each.first)
-    found = {"answered": len(times), "asked": len(streams)}
+    latencies = sorted(
+        each.first - each.begun for each in streams if each.first
+    )
+    figures = {"answered": len(latencies), "asked": len(streams)}
     for name, share in (("p50", 0.5), ("p95", 0.95), ("p99", 0.99)):
-        found[name] = round(times[int(share * (len(times) - 1))] * 1e3, 2)
-    return found
+        figures[name] = round(
+            latencies[int(share * (len(latencies) - 1))] * 1e3, 2
+        )
+    return figures
 
 
-def latency(given: argparse.Namespace) -> None:
+def latency(args: argparse.Namespace) -> None:
     """Compares first-token latency with and without the router."""
     deployment = Deployment(runners=2, slots=64, step=0.005)
     try:
         deployment.start()
-        routed, direct = _prompts("routed"), _prompts("direct")
-        engine = deployment.engines[0][1]
-        _steady(engine, _direct, direct, given.rate, _WARM_SECONDS)
-        _steady(deployment.address, _routed, routed, given.rate, _WARM_SECONDS)
-        rounds = {"direct": [], "routed": []}
+        router_prompts, engine_prompts = _prompts("routed"), _prompts("direct")
+        engine_address = deployment.engines[0][1]
+        _send_at_rate(
+            engine_address,
+            _engine_request,
+            engine_prompts,
+            args.rate,
+            _WARMUP_SECONDS,
+        )
+        _send_at_rate(
+            deployment.address,
+            _router_request,
+            router_prompts,
+            args.rate,
+            _WARMUP_SECONDS,
+        )
+        streams_by_path = {"direct": [], "routed": []}
         before = deployment.usage()
         for _ in range(2):
-            rounds["direct"] += _steady(
-                engine, _direct, direct, given.rate, given.seconds
+            streams_by_path["direct"] += _send_at_rate(
+                engine_address,
+                _engine_request,
+                engine_prompts,
+                args.rate,
+                args.seconds,
             )
-            rounds["routed"] += _steady(
-                deployment.address, _routed, routed, given.rate, given.seconds
+            streams_by_path["routed"] += _send_at_rate(
+                deployment.address,
+                _router_request,
+                router_prompts,
+                args.rate,
+                args.seconds,
             )
         after = deployment.usage()
     finally:
         deployment.close()
-    found = {name: _quantiles(each) for name, each in rounds.items()}
-    added = {
-        name: round(found["routed"][name] - found["direct"][name], 2)
+    quantiles = {
+        name: _quantiles(each) for name, each in streams_by_path.items()
+    }
+    added_latency = {
+        name: round(quantiles["routed"][name] - quantiles["direct"][name], 2)
         for name in ("p50", "p95", "p99")
     }
-    cpu = (after.cpu - before.cpu) / len(rounds["routed"])
-    _show(
+    cpu = (after.cpu - before.cpu) / len(streams_by_path["routed"])
+    _print_json(
         part="latency",
-        rate=given.rate,
-        ms=found,
-        added_ms=added,
+        rate=args.rate,
+        ms=quantiles,
+        added_ms=added_latency,
         cpu_ms_per_request_and_idle=round(cpu * 1e3, 2),
     )
 
 
-def streams(given: argparse.Namespace) -> None:
-    """Holds streams open and counts tokens, processor time and memory."""
+def streams(args: argparse.Namespace) -> None:
+    """Measures tokens, processor time and memory with open streams."""
     deployment = Deployment(
-        runners=given.runners, slots=given.slots, step=given.step
+        runners=args.runners, slots=args.slots, step=args.step
     )
     try:
         deployment.start()
-        time.sleep(_WARM_SECONDS)
-        for count in given.streams:
-            _show(**_held(deployment, count, given.seconds))
-            time.sleep(_WARM_SECONDS)
+        time.sleep(_WARMUP_SECONDS)
+        for count in args.streams:
+            _print_json(
+                **_measure_open_streams(deployment, count, args.seconds)
+            )
+            time.sleep(_WARMUP_SECONDS)
     finally:
         deployment.close()
 
 
-def _held(deployment: Deployment, count: int, seconds: float) -> dict:
+def _measure_open_streams(
+    deployment: Deployment, count: int, seconds: float
+) -> dict:
     idle = deployment.usage()
     load = clients.StreamLoad(address=deployment.address)
     prompts = _prompts(f"held {count}")
     for _ in range(count):
-        load.begin(_routed(next(prompts), 1 << 16))
+        load.begin(_router_request(next(prompts), 1 << 16))
         load.run(time.perf_counter() + 0.002)
-    load.run(time.perf_counter() + _WARM_SECONDS)
-    parts = [deployment.entry, *deployment.agents]
-    before = [each.usage() for each in parts]
-    events, begun = load.events, time.perf_counter()
-    load.run(begun + seconds)
-    took = time.perf_counter() - begun
-    after = [each.usage() for each in parts]
-    got, still = load.events - events, load.open()
+    load.run(time.perf_counter() + _WARMUP_SECONDS)
+    measured_processes = [deployment.entry, *deployment.agents]
+    before = [each.usage() for each in measured_processes]
+    events, started = load.events, time.perf_counter()
+    load.run(started + seconds)
+    elapsed = time.perf_counter() - started
+    after = [each.usage() for each in measured_processes]
+    received, open_count = load.events - events, load.open()
     load.close()
-    used = [b.cpu - a.cpu for a, b in zip(before, after, strict=True)]
+    cpu_seconds = [b.cpu - a.cpu for a, b in zip(before, after, strict=True)]
     return {
         "part": "streams",
         "streams": count,
-        "open_at_end": still,
+        "open_at_end": open_count,
         "wanted_per_s": round(count / deployment.step),
-        "events_per_s": round(got / took),
-        "entry_cores": round(used[0] / took, 3),
-        "entry_us_per_token": round(used[0] / max(got, 1) * 1e6, 1),
-        "agents_us_per_token": round(sum(used[1:]) / max(got, 1) * 1e6, 1),
+        "events_per_s": round(received / elapsed),
+        "entry_cores": round(cpu_seconds[0] / elapsed, 3),
+        "entry_us_per_token": round(cpu_seconds[0] / max(received, 1) * 1e6, 1),
+        "agents_us_per_token": round(
+            sum(cpu_seconds[1:]) / max(received, 1) * 1e6, 1
+        ),
         "entry_rss_mb": round(after[0].rss / 1e6, 1),
         "entry_idle_rss_mb": round(idle.rss / 1e6, 1),
         "kb_per_stream": round((after[0].rss - idle.rss) / count / 1e3, 1),
     }
 
 
-def requests(given: argparse.Namespace) -> None:
-    """Sends short completions, each caller one after another."""
+def requests(args: argparse.Namespace) -> None:
+    """Measures short completions that each caller sends one after another."""
     deployment = Deployment(runners=4, slots=64, step=0.001)
     try:
         deployment.start()
         for callers in (1, 8, 32):
-            _show(**_closed(deployment, callers, given.seconds))
+            _print_json(
+                **_measure_closed_loop(deployment, callers, args.seconds)
+            )
     finally:
         deployment.close()
 
 
-def _closed(deployment: Deployment, callers: int, seconds: float) -> dict:
+def _measure_closed_loop(
+    deployment: Deployment, callers: int, seconds: float
+) -> dict:
     load = clients.StreamLoad(address=deployment.address)
     prompts = _prompts(f"closed {callers}")
-    before, begun = deployment.usage(), time.perf_counter()
-    while time.perf_counter() < begun + seconds:
+    before, started = deployment.usage(), time.perf_counter()
+    while time.perf_counter() < started + seconds:
         while load.open() < callers:
-            load.begin(_routed(next(prompts), 1))
+            load.begin(_router_request(next(prompts), 1))
         for key, _ in load.selector.select(1.0):
             load.read(key.fileobj, key.data)
-    took = time.perf_counter() - begun
+    elapsed = time.perf_counter() - started
     after = deployment.usage()
-    done = [each for each in load.streams if each.complete()]
+    completed = [each for each in load.streams if each.complete()]
     load.close()
-    cpu = after.cpu - before.cpu
+    cpu_seconds = after.cpu - before.cpu
     return {
         "part": "requests",
         "callers": callers,
-        "per_s": round(len(done) / took),
+        "per_s": round(len(completed) / elapsed),
         "failed": sum(each.failed for each in load.streams),
-        "entry_cores": round(cpu / took, 3),
-        "entry_ms_per_request": round(cpu / max(len(done), 1) * 1e3, 3),
-        "ttft_ms": _quantiles(done),
+        "entry_cores": round(cpu_seconds / elapsed, 3),
+        "entry_ms_per_request": round(
+            cpu_seconds / max(len(completed), 1) * 1e3, 3
+        ),
+        "ttft_ms": _quantiles(completed),
     }
 
 
-def _show(**figures: object) -> None:
+def _print_json(**figures: object) -> None:
     json.dump(figures, sys.stdout)
     print(flush=True)
 
 
 def main() -> None:
-    """Reads the arguments and runs a part."""
+    """Parses the arguments and runs a part."""
     parser = argparse.ArgumentParser(
         description=__doc__, formatter_class=argparse.RawTextHelpFormatter
     )
@@ -361,8 +402,8 @@
     parser.add_argument(
         "--streams", type=int, nargs="+", default=[50, 200, 440, 500]
     )
-    given = parser.parse_args()
-    parts[given.part](given)
+    args = parser.parse_args()
+    parts[args.part](args)
 
 
 if __name__ == "__main__":
--- a/benches/processes.py
+++ b/benches/processes.py
@@ -1,4 +1,4 @@
-"""Starts and watches the processes of a measurement."""
+"""Starts the processes of a measurement and reads their usage."""
 
 import json
 import os
@@ -8,21 +8,21 @@
 
 import attrs
 
-_TICK = os.sysconf("SC_CLK_TCK")
-_PAGE = os.sysconf("SC_PAGE_SIZE")
-_START_SECONDS = 30
-_END_SECONDS = 15
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+_START_TIMEOUT_SECONDS = 30
+_EXIT_TIMEOUT_SECONDS = 15
 
 
 class Process:
-    """One part of a measurement, as a process of its own.
+    """A child process of a measurement.
 
-    A part of these scripts says that it runs by one line of JSON and ends
-    when its standard input ends; a daemon ends by SIGTERM.
+    A process of these scripts prints one line of JSON when it is ready and
+    ends when its standard input ends; a daemon ends by SIGTERM.
 
     Attributes:
         child: the process.
-        daemon: whether it ends by SIGTERM.
+        daemon: whether it is ended by SIGTERM.
     """
 
     def __init__(self, *, arguments: list[str], daemon: bool = False):
@@ -35,8 +35,10 @@
         )
 
     def line(self) -> str:
-        """Waits for the first line that the process writes."""
-        ready, _, _ = select.select([self.child.stdout], [], [], _START_SECONDS)
+        """Waits for a line of the process's output and returns it."""
+        ready, _, _ = select.select(
+            [self.child.stdout], [], [], _START_TIMEOUT_SECONDS
+        )
         line = self.child.stdout.readline() if ready else ""
         if not line:
             self.child.kill()
@@ -44,33 +46,33 @@
         return line.strip()
 
     def usage(self) -> "Usage":
-        """Returns what the process has used so far."""
+        """Returns the resources that the process has used so far."""
         return usage_of(self.child.pid)
 
     def close(self) -> str:
         """Ends the process.
 
         Returns:
-            What else it wrote.
+            The rest of its output.
         """
         if self.daemon:
             self.child.terminate()
         try:
-            rest, _ = self.child.communicate(timeout=_END_SECONDS)
+            output, _ = self.child.communicate(timeout=_EXIT_TIMEOUT_SECONDS)
         except subprocess.TimeoutExpired:
             self.child.kill()
-            rest, _ = self.child.communicate()
-        return rest
+            output, _ = self.child.communicate()
+        return output
 
 
 @attrs.frozen(kw_only=True)
 class Usage:
-    """What a process has used.
+    """Resources that a process has used.
 
     Attributes:
         cpu: processor time in seconds, user and system.
         rss: resident memory in bytes.
-        threads: threads it has now.
+        threads: current number of threads.
     """
 
     cpu: float
@@ -79,21 +81,21 @@
 
 
 def usage_of(pid: int) -> Usage:
-    """Returns what a process has used so far."""
+    """Returns the resources that a process has used so far."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     return Usage(
-        cpu=(int(fields[11]) + int(fields[12])) / _TICK,
-        rss=int(fields[21]) * _PAGE,
+        cpu=(int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND,
+        rss=int(fields[21]) * _PAGE_BYTES,
         threads=int(fields[17]),
     )
 
 
 def signal_ready(**fields: object) -> None:
-    """Tells the starter that this process runs."""
+    """Tells the parent process that this one is ready."""
     print(json.dumps(fields), flush=True)
 
 
 def wait_for_end() -> None:
-    """Waits until the starter wants this process to end."""
+    """Waits until the parent process closes standard input."""
     sys.stdin.read()
