--- a/benches/admission.py
+++ b/benches/admission.py
@@ -22,7 +22,7 @@
 from pimentoledge.decisions import stores
 from pimentoledge.nodes import messages
 from pimentoledge.runners import fake_engines
-from pimentoledge.tests import paths
+from pimentoledge.tests import simulated_clusters
 
 SEEDS = (1, 2, 3)
 SLOTS = 16
@@ -547,8 +547,10 @@
 
 def poison_row(name: str, *, copies: int = 1, seconds: float = 0.0) -> dict:
     """Sends one poison request again and again through ten entries."""
-    path = paths.Path(entry_count=10, runners=9, slots=4)
-    entries = set(path.entry_names)
+    path = simulated_clusters.SimulatedCluster(
+        entry_count=10, runners=9, slots=4
+    )
+    entries = set(path.entry_addresses)
     if "apart" in name:
         path.cut = lambda sender, receiver: entries >= {sender, receiver}
     if "no store" in name:
@@ -588,11 +590,11 @@
     late = [
         path.answers[e][1] - asked[e] for e in innocents if e in path.answers
     ]
-    bad = [e for e in innocents if path.code(e) != results.Code.OK]
+    bad = [e for e in innocents if path.result_code(e) != results.Code.OK]
     writes = [e for e in path.store.calls[before:] if _is_news(e)]
     return {
         "case": name,
-        "engines_crashed": path.crashes(),
+        "engines_crashed": path.crash_count(),
         "innocents": len(innocents),
         "not_served": len(bad),
         "answer_p50_s": quantile(late, 0.5),
--- a/pimentoledge/tests/processes.py
+++ b/pimentoledge/tests/processes.py
@@ -70,7 +70,7 @@
             env=environment,
         )
         self.lines: queue.SimpleQueue[str] = queue.SimpleQueue()
-        self.seen: list[str] = []
+        self.consumed_lines: list[str] = []
         self.thread = threading.Thread(target=self.read)
         self.thread.start()
 
@@ -83,8 +83,8 @@
         """Waits for a line that matches, and returns its group."""
         while True:
             line = self.lines.get(timeout=WAIT_SECONDS)
-            self.seen.append(line)
-            assert line, "".join(self.seen)
+            self.consumed_lines.append(line)
+            assert line, "".join(self.consumed_lines)
             if match := re.search(pattern, line):
                 return match.group(1)
 
--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -209,14 +209,14 @@
         status: HTTP status, or None without a response.
         headers: values by lower-case name.
         body: the received part of the body.
-        whole: whether the response is complete.
+        complete: whether the response is complete.
     """
 
-    def __init__(self, status, headers, body, whole):
+    def __init__(self, status, headers, body, complete):
         self.status = status
         self.headers = headers
         self.body = body
-        self.whole = whole
+        self.complete = complete
 
 
 class Client:
@@ -259,9 +259,9 @@
 
     async def read(self):
         """Reads a response until its end or the connection's end."""
-        head = await self._head()
+        head = await self._read_head()
         if head is None:
-            return ClientResponse(None, {}, b"", whole=False)
+            return ClientResponse(None, {}, b"", complete=False)
         status, headers = head
         if "transfer-encoding" in headers:
             body, whole = await self._chunks()
@@ -275,7 +275,7 @@
             whole = len(body) == length
         return ClientResponse(status, headers, body, whole)
 
-    async def _head(self):
+    async def _read_head(self):
         try:
             raw = await self.reader.readuntil(b"\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
--- a/pimentoledge/tests/paths.py
+++ b/pimentoledge/tests/simulated_clusters.py
@@ -49,7 +49,7 @@
         return todo + self.core.flush()
 
 
-class Path(network.Network):
+class SimulatedCluster(network.Network):
     """Entries, runners and callers.
 
     Attributes:
@@ -61,12 +61,12 @@
         super().__init__()
         self.answers = {}
         self.texts = {}
-        self.first = {}
+        self.first_text_times = {}
         self.restart_seconds = 1.0
-        self.entry_names = [
+        self.entry_addresses = [
             f"tcp://10.0.0.{n}:7000" for n in range(entry_count)
         ]
-        self.seeds = self.entry_names
+        self.seeds = self.entry_addresses
         self.declare(declarations.Model(name="m", weights="w1"))
         for organisation in ("o", "p"):
             contract = declarations.Contract(
@@ -75,18 +75,18 @@
                 models=["m"],
             )
             self.declare(contract)
-        for address in self.entry_names:
+        for address in self.entry_addresses:
             self.declare(
                 declarations.EntryNode(name=address[6:-5], mailbox=address)
             )
         self.runners = []
         for number in range(runners):
-            self.runner(number, slots, engine)
+            self.add_runner(number, slots, engine)
         for number in range(entry_count):
             self.start_entry(number)
         self.run(8.0)
 
-    def runner(self, number, slots, engine):
+    def add_runner(self, number, slots, engine):
         name = f"r{number}"
         address = f"tcp://10.0.1.{number}:7000"
         fake = fake_engines.FakeEngine(
@@ -106,14 +106,14 @@
             slots=slots,
             seed=number,
             view=configuration.Configuration(),
-            seeds=self.entry_names,
+            seeds=self.entry_addresses,
         )
         self.nodes[address] = Node(core, fake)
         self.runners.append(self.nodes[address])
 
     def start_entry(self, number):
         """Starts an entry, or starts it anew with nothing in memory."""
-        address = self.entry_names[number]
+        address = self.entry_addresses[number]
         core = entries.Entry(
             name=address[6:-5],
             address=address,
@@ -121,7 +121,7 @@
             seed=next(self.numbers),
             block_bytes=256,
             view=configuration.Configuration(),
-            seeds=self.entry_names,
+            seeds=self.entry_addresses,
         )
         self.nodes[address] = Node(core)
         self.watches = [w for w in self.watches if w[0] != address]
@@ -139,7 +139,7 @@
                 model="m", prompt=prompt, max_tokens=tokens
             ),
         )
-        address = self.entry_names[entry]
+        address = self.entry_addresses[entry]
         self.perform(address, self.nodes[address].handle(event, self.now))
 
     def perform(self, address, todo):
@@ -155,29 +155,31 @@
                 case actions.CheckEngine():
                     node.status_at = min(node.status_at, self.now)
                 case actions.ReplyText(request=request, text=text):
-                    self.first.setdefault(request, self.now)
+                    self.first_text_times.setdefault(request, self.now)
                     self.texts[request] = self.texts.get(request, "") + text
                 case actions.ReplyEnd(request=request):
-                    self.answered(request, results.Error(code=results.Code.OK))
+                    self.record_answer(
+                        request, results.Error(code=results.Code.OK)
+                    )
                 case actions.ReplyError(request=request, error=error):
-                    self.answered(request, error)
+                    self.record_answer(request, error)
         super().perform(address, todo)
 
-    def answered(self, request, error):
+    def record_answer(self, request, error):
         assert request not in self.answers
         self.answers[request] = (error, self.now)
 
-    def code(self, request):
+    def result_code(self, request):
         """Returns how a request ended; None while it runs."""
-        found = self.answers.get(request)
-        return found and found[0].code
+        answer = self.answers.get(request)
+        return answer and answer[0].code
 
-    def crashes(self):
+    def crash_count(self):
         """Returns engines that died so far."""
         return sum(e.engine.counters.crashes for e in self.runners)
 
-    def known_against(self, entry):
+    def crash_records(self, entry):
         """Returns the quarantine's records at an entry."""
-        core = self.nodes[self.entry_names[entry]].core
+        core = self.nodes[self.entry_addresses[entry]].core
         assert isinstance(core.quarantine, quarantine.Quarantine)
         return core.quarantine.records
--- a/pimentoledge/tests/soak/clients.py
+++ b/pimentoledge/tests/soak/clients.py
@@ -24,9 +24,9 @@
 
     headed: float | None = None
 
-    async def _head(self):
+    async def _read_head(self):
         self.headed = None
-        found = await super()._head()
+        found = await super()._read_head()
         if found is not None:
             self.headed = time.monotonic()
         return found
@@ -132,6 +132,6 @@
             request.status = answer.status
             request.headers = answer.headers
             request.answer = answer.body
-            request.whole = answer.whole
+            request.whole = answer.complete
         request.headed = connection.headed
         request.ended = time.monotonic()
--- a/pimentoledge/tests/soak/fleets.py
+++ b/pimentoledge/tests/soak/fleets.py
@@ -155,7 +155,7 @@
             "router", f"--config={router.settings}"
         )
         log = f"{router.name}-{len(router.process_runs)}"
-        self.logs[log] = router.process.seen
+        self.logs[log] = router.process.consumed_lines
 
     async def _keep(self, router: Router) -> None:
         """Starts a router again whenever its process has ended."""
@@ -226,7 +226,7 @@
 
 def _read_rest(process: processes.Process) -> None:
     while not process.lines.empty():
-        process.seen.append(process.lines.get())
+        process.consumed_lines.append(process.lines.get())
 
 
 async def _succeeded(router: Router, life: records.ProcessRun) -> None:
--- a/pimentoledge/tests/test_pausing.py
+++ b/pimentoledge/tests/test_pausing.py
@@ -1,7 +1,7 @@
 """Preemption of batch work by interactive work, through entry and agent."""
 
 from pimentoledge.runners import fake_engines
-from pimentoledge.tests import paths
+from pimentoledge.tests import simulated_clusters
 
 STEP = 0.032
 CHECK = "A long lot dossier. " * 20
@@ -15,7 +15,7 @@
 def full_runner(path):
     for number in range(2):
         path.request(0, f"b{number}", CHECK, tokens=300, batch=True)
-    path.run(2.0, until=lambda: len(path.first) == 2)
+    path.run(2.0, until=lambda: len(path.first_text_times) == 2)
     path.run(1.0)
 
 
@@ -26,16 +26,18 @@
     until one of them is complete. The preempted answer is complete in the
     end, with no text lost or duplicated.
     """
-    path = paths.Path(entry_count=1, runners=1, slots=2, step_seconds=STEP)
+    path = simulated_clusters.SimulatedCluster(
+        entry_count=1, runners=1, slots=2, step_seconds=STEP
+    )
     full_runner(path)
     sent_at = path.now
     path.request(0, "i", QUOTE, tokens=5)
-    path.run(1.0, until=lambda: "i" in path.first)
+    path.run(1.0, until=lambda: "i" in path.first_text_times)
     messages = 4 * 0.002
     prefill = 0.0001 * len(QUOTE) / 4
-    assert path.first["i"] - sent_at <= STEP + prefill + messages
+    assert path.first_text_times["i"] - sent_at <= STEP + prefill + messages
     path.run(60.0, until=lambda: len(path.answers) == 3)
-    assert {path.code(each) for each in ("i", "b0", "b1")} == {0}
+    assert {path.result_code(each) for each in ("i", "b0", "b1")} == {0}
     for each in ("b0", "b1"):
         assert path.texts[each] == text(CHECK, 300)
     assert path.runners[0].engine.counters.cancelled == 1
@@ -48,7 +50,9 @@
     The paused attempt has run, so it must not be refused as "not run".
     Another runner continues after the text that the client has received.
     """
-    path = paths.Path(entry_count=1, runners=2, slots=1, step_seconds=STEP)
+    path = simulated_clusters.SimulatedCluster(
+        entry_count=1, runners=2, slots=1, step_seconds=STEP
+    )
     prompts = {f"b{n}": f"Lot {n}. " + CHECK for n in range(6)}
     for request, prompt in prompts.items():
         path.request(0, request, prompt, tokens=200, batch=True)
--- a/pimentoledge/tests/test_poison.py
+++ b/pimentoledge/tests/test_poison.py
@@ -4,7 +4,7 @@
 
 from pimentoledge import results
 from pimentoledge.runners import fake_engines
-from pimentoledge.tests import paths
+from pimentoledge.tests import simulated_clusters
 
 ENTRIES = 10
 RESENDS = 8
@@ -15,7 +15,7 @@
 
 def path_of(**changes):
     fields = {"entry_count": ENTRIES, "runners": 9, "slots": 4}
-    return paths.Path(**{**fields, **changes})
+    return simulated_clusters.SimulatedCluster(**{**fields, **changes})
 
 
 def send_poison(path, number, copies=1):
@@ -36,9 +36,9 @@
 def check_innocents(path, sent):
     path.run(WAIT, until=lambda: sum("i" in e for e in path.answers) == sent)
     wrong = {
-        each: path.code(each)
+        each: path.result_code(each)
         for each in path.answers
-        if each[0] == "i" and path.code(each) != results.Code.OK
+        if each[0] == "i" and path.result_code(each) != results.Code.OK
     }
     assert not wrong
     for each, text in path.texts.items():
@@ -68,7 +68,7 @@
     path.run(31.0)
     for number in range(RESENDS):
         send_poison(path, number + RESENDS)
-    assert 2 <= path.crashes() <= 3
+    assert 2 <= path.crash_count() <= 3
 
 
 def test_two_poison_requests_in_one_batch():
@@ -80,9 +80,9 @@
         path.request(number % ENTRIES, other, "other " + POISON)
         send_poison(path, number)
         path.run(WAIT, until=lambda name=other: name in path.answers)
-        assert path.code(other) == results.Code.POISON
+        assert path.result_code(other) == results.Code.POISON
     check_innocents(path, RESENDS * len(MANUALS))
-    assert path.crashes() <= 6
+    assert path.crash_count() <= 6
 
 
 def test_all_entries_restart_between_two_resends():
@@ -91,14 +91,14 @@
     send_poison(path, 0)
     path.run(31.0)
     send_poison(path, 1)
-    before = path.crashes()
+    before = path.crash_count()
     for number in range(ENTRIES):
         path.start_entry(number)
     path.run(8.0)
     for number in range(RESENDS):
         (error,) = send_poison(path, number + 2)
         assert error.code == results.Code.POISON
-    assert before == path.crashes() <= 3
+    assert before == path.crash_count() <= 3
 
 
 def test_isolated_entries_receive_crashes_through_the_store():
@@ -108,12 +108,12 @@
     which each entry receives the crashes from the store.
     """
     path = path_of()
-    entries = set(path.entry_names)
+    entries = set(path.entry_addresses)
     path.cut = lambda sender, receiver: entries >= {sender, receiver}
     for number in range(RESENDS):
         send_poison(path, number)
         path.run(2.0)
-    assert path.crashes() <= 3
+    assert path.crash_count() <= 3
 
 
 def test_innocents_of_a_crash_are_released_soon():
@@ -131,4 +131,4 @@
     check_innocents(path, 3)
     path.run(1.0)
     for entry in range(2):
-        assert len(path.known_against(entry)) == 1
+        assert len(path.crash_records(entry)) == 1
--- a/pimentoledge/tests/test_router_faults.py
+++ b/pimentoledge/tests/test_router_faults.py
@@ -67,7 +67,7 @@
 @before(reply(b"until the end"))
 async def test_an_answer_without_a_length_ends_with_its_connection(world):
     got = await ask(world)
-    assert (got.status, got.body, got.whole) == (200, b"until the end", True)
+    assert (got.status, got.body, got.complete) == (200, b"until the end", True)
 
 
 @before(reply(b"half", length=9))
--- a/pimentoledge/tests/test_router_path.py
+++ b/pimentoledge/tests/test_router_path.py
@@ -27,7 +27,11 @@
             "X-Trace": "kept",
         },
     )
-    assert (got.status, got.body, got.whole) == (200, b"answer of card", True)
+    assert (got.status, got.body, got.complete) == (
+        200,
+        b"answer of card",
+        True,
+    )
     assert got.headers["server-stamp"] == "stand.in"
     [call] = world.executed_requests("plain")
     assert (call.method, call.target, call.body) == (
@@ -148,7 +152,7 @@
 @with_world()
 async def test_stream_is_relayed_completely(world):
     got = await world.request("/drafts/", headers=stream_headers())
-    assert got.status == 200 and got.whole
+    assert got.status == 200 and got.complete
     assert [int(n) for n in _numbers(got.body)] == [1, 2, 3, 4, 5]
     [call] = world.executed_requests("runners")
     assert call.headers["expect-version"] == "1"
@@ -202,7 +206,7 @@
     for server in world.servers.values():
         server.cut_after = 3
     got = await world.request("/drafts/", headers=stream_headers())
-    assert not got.whole
+    assert not got.complete
     assert _numbers(got.body) == ["1", "2", "3"]
     assert len(world.executed_requests("runners")) == 1
 
@@ -468,7 +472,7 @@
     world.servers["r1"].fail = 9
     first.failure_rate = 0.0
     got = await world.request("/lookups/", headers=stream_headers())
-    assert not got.whole
+    assert not got.complete
     assert _numbers(got.body) == ["1", "2", "3"]
     assert b"failed" not in got.body
 
@@ -517,7 +521,7 @@
     assert (await call.read()).status == 504
     router.close()
     got = await stream.read()
-    assert got.status == 200 and not got.whole
+    assert got.status == 200 and not got.complete
 
 
 @with_world(plain=1)
