--- a/pimentoledge/tests/router_world.py
+++ b/pimentoledge/tests/router_world.py
@@ -26,7 +26,7 @@
 # Number of ports that a test process reserves at a time. It listens on the
 # first of them until it ends, so that no other test process uses the block.
 BLOCK_SIZE = 200
-_guards = []
+_block_sockets = []
 _ports = []
 
 
@@ -34,7 +34,7 @@
     """Reserves a block of ports that no other test process uses."""
     for first in random.sample(PORTS[::BLOCK_SIZE], len(PORTS[::BLOCK_SIZE])):
         try:
-            _guards.append(socket.create_server(("127.0.0.1", first)))
+            _block_sockets.append(socket.create_server(("127.0.0.1", first)))
         except OSError:
             continue
         _ports.extend(range(first + 1, first + BLOCK_SIZE))
@@ -82,9 +82,9 @@
         await self.until(
             lambda: all(each.view.ready() for each in self.routers)
         )
-        await self.until(self.all_known)
+        await self.until(self.all_servers_known)
 
-    def all_known(self):
+    def all_servers_known(self):
         return all(
             len(each.view.servers.by_incarnation) == len(self.servers)
             and each.view.wanted
@@ -148,37 +148,40 @@
         finally:
             client.close()
 
-    async def ask_while_opening(self, server, other):
-        """Returns the task of a request that is connecting to `server`.
+    async def request_while_connecting(self, server, other):
+        """Starts a request and waits until it is connecting to `server`.
 
         The other server of the service is avoided for the first 0.3 s.
+
+        Returns:
+            The task of the request.
         """
         [router] = self.routers
-        known = router.view.servers.by_incarnation
+        backends = router.view.servers.by_incarnation
         opened = asyncio.Event()
         open_connection = router.pool._open
 
-        async def slowly(address, seconds):
+        async def open_slowly(address, seconds):
             connection = await open_connection(address, seconds)
-            if address == known[server].registration.address:
+            if address == backends[server].registration.address:
                 opened.set()
                 await asyncio.sleep(0.4)
             return connection
 
-        router.pool._open = slowly
-        known[other].avoid_until = clocks.now() + 0.3
-        asked = asyncio.ensure_future(self.request("/cards/", body=b"c"))
+        router.pool._open = open_slowly
+        backends[other].avoid_until = clocks.now() + 0.3
+        request_task = asyncio.ensure_future(self.request("/cards/", body=b"c"))
         await opened.wait()
-        return asked
+        return request_task
 
     async def roll_out(self, version):
-        """Announces new weights; returns the orders that rolled them out.
+        """Announces new weights; returns the orders that load them.
 
         Fails the test if a runner doesn't get them by exactly one order, or
         if two routers sent orders.
         """
-        named = {"model": MODEL, "version": version}
-        self.store.put("versions", MODEL, named)
+        announced = {"model": MODEL, "version": version}
+        self.store.put("versions", MODEL, announced)
         runners = [
             each for each in self.servers.values() if each.service == "runners"
         ]
@@ -209,7 +212,7 @@
         status: HTTP status, or None without a response.
         headers: values by lower-case name.
         body: the received part of the body.
-        complete: whether the response is complete.
+        complete: whether the whole response was received.
     """
 
     def __init__(self, status, headers, body, complete):
@@ -264,7 +267,7 @@
             return ClientResponse(None, {}, b"", complete=False)
         status, headers = head
         if "transfer-encoding" in headers:
-            body, whole = await self._chunks()
+            body, complete = await self._read_chunks()
         else:
             length = int(headers.get("content-length", 0))
             body = await self.reader.read(0)
@@ -272,8 +275,8 @@
                 asyncio.IncompleteReadError, ConnectionError
             ):
                 body = await self.reader.readexactly(length)
-            whole = len(body) == length
-        return ClientResponse(status, headers, body, whole)
+            complete = len(body) == length
+        return ClientResponse(status, headers, body, complete)
 
     async def _read_head(self):
         try:
@@ -287,17 +290,17 @@
             headers[name.lower()] = value.strip()
         return int(first.split()[1]), headers
 
-    async def _chunks(self):
+    async def _read_chunks(self):
         body = b""
         while True:
             try:
                 size = int(await self.reader.readuntil(b"\r\n"), 16)
-                piece = await self.reader.readexactly(size + 2)
+                chunk = await self.reader.readexactly(size + 2)
             except (asyncio.IncompleteReadError, ConnectionError):
                 return body, False
             if not size:
                 return body, True
-            body += piece[:-2]
+            body += chunk[:-2]
 
 
 def with_world(**sizes):
@@ -309,7 +312,7 @@
 
     def decorate(test):
         def run():
-            async def whole():
+            async def run_in_world():
                 world = RouterWorld()
                 try:
                     await world.start(**sizes)
@@ -317,8 +320,8 @@
                 finally:
                     await world.close()
 
-            asyncio.run(whole())
-            # Threads left behind would keep ports of the next test in use.
+            asyncio.run(run_in_world())
+            # Leaked threads would keep ports of the next test in use.
             assert threading.active_count() < 200
 
         run.__name__ = test.__name__
--- a/pimentoledge/tests/test_router_backoffs.py
+++ b/pimentoledge/tests/test_router_backoffs.py
@@ -92,9 +92,9 @@
 async def test_server_that_backs_off_while_connecting_gets_no_request(world):
     [router] = world.routers
     known = router.view.servers.by_incarnation
-    asked = await world.ask_while_opening("p0", "p1")
+    request_task = await world.request_while_connecting("p0", "p1")
     router.notices.apply(known["p0"], busy(60.0))
-    assert (await asked).status == 200
+    assert (await request_task).status == 200
     assert not world.servers["p0"].calls
 
 
--- a/pimentoledge/tests/test_router_leaving.py
+++ b/pimentoledge/tests/test_router_leaving.py
@@ -206,10 +206,10 @@
     server had announced meanwhile that it leaves.
     """
     [router] = world.routers
-    asked = await world.ask_while_opening("p0", "p1")
+    request_task = await world.request_while_connecting("p0", "p1")
     world.write_registration(world.servers["p0"], leaving=True)
     await world.until(lambda: has_seen_leaving(router))
-    assert (await asked).status == 200
+    assert (await request_task).status == 200
     assert not world.servers["p0"].calls
     assert len(world.servers["p1"].calls) == 1
 
--- a/pimentoledge/tests/test_router_notices.py
+++ b/pimentoledge/tests/test_router_notices.py
@@ -111,9 +111,9 @@
 ):
     [router] = world.routers
     known = router.view.servers.by_incarnation
-    asked = await world.ask_while_opening("p0", "p1")
+    request_task = await world.request_while_connecting("p0", "p1")
     router.notices.apply(known["p0"], answer(leaving=True))
-    assert (await asked).status == 200
+    assert (await request_task).status == 200
     assert not world.servers["p0"].calls
 
 
@@ -191,14 +191,14 @@
 
 def test_a_leaving_notice_of_another_server_applies_to_that_one():
     servers = backends.Backends()
-    asked = servers.put(REGISTRATION)
+    requested = servers.put(REGISTRATION)
     other = servers.put(attrs.evolve(REGISTRATION, server="s1"))
     found = answer(status=421, not_run=True, leaving=True)
-    new_notices(servers).apply(asked, found)
-    assert not asked.is_leaving()
+    new_notices(servers).apply(requested, found)
+    assert not requested.is_leaving()
     assert not other.is_leaving()
-    new_notices(servers).apply(asked, attrs.evolve(found, server="s1"))
-    assert not asked.notice.leaving
+    new_notices(servers).apply(requested, attrs.evolve(found, server="s1"))
+    assert not requested.notice.leaving
     assert other.is_leaving()
 
 
--- a/pimentoledge/tests/test_router_server_limits_path.py
+++ b/pimentoledge/tests/test_router_server_limits_path.py
@@ -15,20 +15,20 @@
 limited = test_router_server_limits.limited
 
 with_world = router_world.with_world
-# Time from a server's first answer with a limit until the limit must hold.
-KNOWN_SECONDS = 3.0
+# Time from a server's first answer with a limit until it must be enforced.
+ENFORCED_AFTER_SECONDS = 3.0
 WINDOW_SECONDS = 4.0
 # Requests by which a window may exceed a limit, in addition to half of it.
 SLACK = 5
 PAUSE_SECONDS = 0.02
 # Longest time until a router acquires a permit of a server that accepts two
-# requests a second: a turn of each of two routers, and the shortest wait.
-TURNS_SECONDS = 1.1
+# requests a second: one permit for each of two routers, and the shortest wait.
+MAX_PERMIT_WAIT_SECONDS = 1.1
 # Precision of Retry-After.
 ROUNDING_SECONDS = 0.001
 
 
-async def load(world, path, seconds, headers=()):
+async def send_load(world, path, seconds, headers=()):
     """Sends requests to all routers in turn; returns the answers."""
     answers = []
     number = 0
@@ -44,17 +44,17 @@
 
 
 def most_in_window(server, since):
-    """Returns the most calls of any kind that a server got in a window.
+    """Returns the most calls, of any kind, that a server got in a window.
 
     Args:
-        server: the stand-in.
+        server: the fake server.
         since: earliest start of a window, in seconds of time.monotonic.
     """
-    came = sorted(at for at in server.arrival_times if at >= since)
+    arrivals = sorted(at for at in server.arrival_times if at >= since)
     return max(
         (
-            sum(each <= at < each + WINDOW_SECONDS for at in came)
-            for each in came
+            sum(each <= at < each + WINDOW_SECONDS for at in arrivals)
+            for each in arrivals
         ),
         default=0,
     )
@@ -82,27 +82,32 @@
         headers = {}
         if path == "/lookups/":
             headers = router_world.stream_headers()
-        named = world.servers[server]
-        named.limit = limit
-        answers = await load(world, path, 8.5, headers)
-        known = min(call.received_at for call in named.calls) + KNOWN_SECONDS
-        assert most_in_window(named, known) <= allowed(float(limit))
+        limited_server = world.servers[server]
+        limited_server.limit = limit
+        answers = await send_load(world, path, 8.5, headers)
+        enforced_from = (
+            min(call.received_at for call in limited_server.calls)
+            + ENFORCED_AFTER_SECONDS
+        )
+        assert most_in_window(limited_server, enforced_from) <= allowed(
+            float(limit)
+        )
         assert {each.status for each in answers} == {200}
 
     test()
 
 
-def room_at(world, router):
+def next_permit_at(world, router):
     """Returns when a router may acquire its next permit for the server."""
-    known = world.routers[router].view.servers.by_incarnation
-    return known["p0"].limited_until
+    backends = world.routers[router].view.servers.by_incarnation
+    return backends["p0"].limited_until
 
 
-async def ask_at_once(world, router):
+async def request_at_once(world, router):
     """Sends a request that must be answered at once.
 
     Returns:
-        When it was sent, its answer, and when that was received.
+        The time of sending, the answer, and the time of receiving it.
     """
     began = clocks.now()
     answer = await world.request("/notices/", router, body=b"n")
@@ -111,47 +116,50 @@
     return began, answer, ended
 
 
-def check_refusal(began, answer, ended, room):
-    """Checks that a refused client is sent back when the limit has room.
+def check_refusal(began, answer, ended, next_permit):
+    """Checks that Retry-After of a refusal fits the next permit's time.
 
     Args:
-        began: when its request was sent.
+        began: when the request was sent.
         answer: the refusal.
-        ended: when that was received.
-        room: when the router may acquire its next permit.
+        ended: when the refusal was received.
+        next_permit: when the router may acquire its next permit.
 
     Returns:
-        The time at which the client may return.
+        The time at which the client may retry.
     """
     assert answer.status == 503
-    assert room <= began + TURNS_SECONDS
+    assert next_permit <= began + MAX_PERMIT_WAIT_SECONDS
     wait = float(answer.headers["retry-after"])
     assert wait > 0
-    assert ended + wait >= room - ROUNDING_SECONDS
-    spread = max(0.3, 0.25 * (room - began))
-    assert began + wait <= room + spread + ROUNDING_SECONDS
+    assert ended + wait >= next_permit - ROUNDING_SECONDS
+    spread = max(0.3, 0.25 * (next_permit - began))
+    assert began + wait <= next_permit + spread + ROUNDING_SECONDS
     return ended + wait
 
 
-async def return_first(world, router):
-    """Lets one of several refused clients return, the one with the least wait.
+async def retry_soonest(world, router):
+    """Sends requests that are refused, and retries the first that may retry.
 
-    They ask shortly before the limit has room, as late as a request is still
-    refused, so that this wait is about as short as a wait can be.
+    The requests are sent shortly before the next permit, as late as a request
+    is still refused, so that its Retry-After is about the shortest possible.
 
     Returns:
-        The status of the client that returned; None if the requests came so
-        late that one of them was held until there was room, and was served.
+        The status of the retry; None if the requests were sent so late that
+        one of them was queued until the next permit, and was served.
     """
-    room = room_at(world, router)
-    await asyncio.sleep(room - 0.1 - clocks.now())
-    asked = await asyncio.gather(
-        *(ask_at_once(world, router) for _ in range(10))
+    next_permit = next_permit_at(world, router)
+    await asyncio.sleep(next_permit - 0.1 - clocks.now())
+    responses = await asyncio.gather(
+        *(request_at_once(world, router) for _ in range(10))
     )
-    if room_at(world, router) != room or asked[0][1].status == 200:
+    if (
+        next_permit_at(world, router) != next_permit
+        or responses[0][1].status == 200
+    ):
         return None
-    returns = [check_refusal(*each, room) for each in asked]
-    await asyncio.sleep(min(returns) - clocks.now())
+    retry_times = [check_refusal(*each, next_permit) for each in responses]
+    await asyncio.sleep(min(retry_times) - clocks.now())
     return (await world.request("/notices/", router, body=b"n")).status
 
 
@@ -159,34 +167,34 @@
 async def test_a_request_beyond_the_limit_is_refused_at_once_with_retry_after(
     world,
 ):
-    """Guards against held requests and a Retry-After that is too short.
+    """Guards against queued requests and a Retry-After that is too short.
 
-    There is no shortest Retry-After: it decreases with the time that is left
-    until the limit has room. A client that waits as long as told is served,
-    unless another one came first.
+    Retry-After has no lower bound: it decreases with the time that is left
+    until the next permit. A client that retries after it is served, unless
+    another one was first.
     """
     world.servers["p0"].limit = "2"
-    await load(world, "/notices/", 3.0)
+    await send_load(world, "/notices/", 3.0)
     refused = 0
     for number in range(30):
         router = number % 2
-        began, answer, ended = await ask_at_once(world, router)
+        began, answer, ended = await request_at_once(world, router)
         if answer.status != 200:
             refused += 1
-            check_refusal(began, answer, ended, room_at(world, router))
+            check_refusal(began, answer, ended, next_permit_at(world, router))
     assert refused
     statuses = []
     for _ in range(3):
         for router in range(2):
-            while (await ask_at_once(world, router))[1].status == 200:
+            while (await request_at_once(world, router))[1].status == 200:
                 pass
         statuses += await asyncio.gather(
-            *(return_first(world, router) for router in range(2))
+            *(retry_soonest(world, router) for router in range(2))
         )
     assert set(statuses) - {None} == {200}
 
 
-def name_limit(router, server, per_second):
+def advertise_limit(router, server, per_second):
     """Passes a router an answer in which a server advertises a limit."""
     backend = router.view.servers.by_incarnation[server]
     router.notices.apply(backend, limited(per_second), clocks.now())
@@ -195,10 +203,10 @@
 
 @with_world(routers=3, plain=1, runners=1)
 async def test_a_limit_reaches_all_routers_and_one_that_joins(world):
-    """Guards against routers that exceed a limit until an answer shows it."""
+    """Guards against routers that exceed a limit until an answer names it."""
     for each in world.routers:
         each.peers.limit_reports._next_all = float("inf")
-    name_limit(world.routers[0], "p0", 2.0)
+    advertise_limit(world.routers[0], "p0", 2.0)
     await world.until(
         lambda: all(
             each.view.server_limits.get("p0") == 2.0 for each in world.routers
@@ -221,13 +229,13 @@
     """Guards against pending acquires to a dead owner without a timeout."""
     [router, _] = world.routers
     limiter = router.peers.limiter
-    name_limit(router, "p0", 1.0)
+    advertise_limit(router, "p0", 1.0)
     limiter.rights.target = lambda slot, now: "tcp://127.0.0.1:9"
-    asked = asyncio.ensure_future(world.request("/notices/", body=b"n"))
+    request_task = asyncio.ensure_future(world.request("/notices/", body=b"n"))
     await world.until(lambda: limiter.pending)
     router.view.server_limits.advertised.clear()
     began = clocks.now()
-    await asked
+    await request_task
     assert clocks.now() - began < 1.0
 
 
@@ -236,7 +244,7 @@
     """Guards against the loss of a message about a limit."""
     first, second = world.routers
     await world.until(lambda: first.peers.roster.members(clocks.now()))
-    name_limit(first, "p0", 2.0)
+    advertise_limit(first, "p0", 2.0)
     first.peers.limit_reports.pending.clear()
     await world.until(
         lambda: second.view.server_limits.get("p0") == 2.0, seconds=3.0
@@ -248,12 +256,12 @@
     """Guards against a limit that is enforced after its server ended it."""
     server = world.servers["p0"]
     server.limit = "2"
-    await load(world, "/notices/", 1.0)
+    await send_load(world, "/notices/", 1.0)
     server.limit = ""
     async with asyncio.timeout(5):
         while any(each.view.server_limits.has_any() for each in world.routers):
-            await load(world, "/notices/", 0.2)
-    answers = await load(world, "/notices/", 1.0)
+            await send_load(world, "/notices/", 0.2)
+    answers = await send_load(world, "/notices/", 1.0)
     assert {each.status for each in answers} == {200}
 
 
@@ -263,14 +271,14 @@
     runner = world.servers["r0"]
     runner.limit = "1"
     headers = router_world.stream_headers()
-    await load(world, "/lookups/", KNOWN_SECONDS, headers)
+    await send_load(world, "/lookups/", ENFORCED_AFTER_SECONDS, headers)
     since = clocks.now()
     world.store.put(
         "versions",
         router_world.MODEL,
         {"model": router_world.MODEL, "version": 2},
     )
-    await load(world, "/lookups/", 5.0, headers)
+    await send_load(world, "/lookups/", 5.0, headers)
     assert runner.weights[router_world.MODEL] == 2
     assert most_in_window(runner, since) <= allowed(1.0)
 
@@ -280,14 +288,14 @@
     """Guards against orders, and reports before them, that bypass a limit."""
     [router] = world.routers
     runner = world.servers["r0"]
-    backend = name_limit(router, "r0", 1.0)
-    asked = []
+    backend = advertise_limit(router, "r0", 1.0)
+    refused = []
     acquire = router.permits.acquire
 
     async def refuse(wanted):
         if wanted is not backend:
             return await acquire(wanted)
-        asked.append(wanted)
+        refused.append(wanted)
         backend.limited_until = clocks.now() + 60.0
         return server_permits.Permit(granted=False)
 
@@ -297,7 +305,7 @@
         router_world.MODEL,
         {"model": router_world.MODEL, "version": 2},
     )
-    await world.until(lambda: asked)
+    await world.until(lambda: refused)
     other = world.servers["r1"]
     await world.until(lambda: other.weights[router_world.MODEL] == 2)
     assert not runner.arrival_times
@@ -310,7 +318,7 @@
     Refusals cause these requests.
     """
     [router] = world.routers
-    backend = name_limit(router, "r0", 1.0)
+    backend = advertise_limit(router, "r0", 1.0)
     backend.limited_until = clocks.now() + 60.0
     reached = len(world.servers["r0"].arrival_times)
     router.rechecks.recheck(backend)
@@ -325,17 +333,17 @@
     The server was selected for them before it advertised the limit.
     """
     [router] = world.routers
-    asked = await world.ask_while_opening("p0", "p1")
-    name_limit(router, "p0", 1.0)
-    assert (await asked).status == 200
+    request_task = await world.request_while_connecting("p0", "p1")
+    advertise_limit(router, "p0", 1.0)
+    assert (await request_task).status == 200
     assert not world.servers["p0"].calls
 
 
 @with_world(plain=1, runners=0)
-async def test_a_request_that_never_left_gives_its_permit_back(world):
+async def test_an_unsent_request_returns_its_permit(world):
     """Guards against permits lost when a connection cannot be opened."""
     [router] = world.routers
-    backend = name_limit(router, "p0", 1.0)
+    backend = advertise_limit(router, "p0", 1.0)
     slots = router.peers.limiter.ledger.slots
     await world.until(lambda: all(each.earned > 1.5 for each in slots))
     world.servers["p0"].close()
@@ -351,7 +359,7 @@
 async def test_nothing_is_fetched_from_a_runner_with_a_limit(world):
     """Guards against fetches of cached parts that bypass a limit."""
     [router] = world.routers
-    name_limit(router, "r0", 1.0)
+    advertise_limit(router, "r0", 1.0)
     found = selections._unlimited(router.view, "runners")
     assert [each.registration.incarnation for each in found] == ["r1"]
 
