--- a/pimentoledge/tests/claims_path.py
+++ b/pimentoledge/tests/claims_path.py
@@ -30,7 +30,7 @@
 
     sender: str
     receiver: str
-    what: object
+    content: object
 
 
 class Cluster:
@@ -38,7 +38,7 @@
 
     Attributes:
         replies: replies to clients, by request.
-        claimed: logged verdicts of the claims, in order.
+        verdicts: logged verdicts of the claims, in order.
         queue: queued items.
         paused: addresses of paused nodes, which process nothing.
         backlog: items that arrived for paused nodes.
@@ -55,8 +55,8 @@
         self.paused: set[str] = set()
         self.backlog: list[Item] = []
         self.replies: dict[str, list] = {}
-        self.claimed: list[str] = []
-        self.lives = 0
+        self.verdicts: list[str] = []
+        self.agent_starts = 0
         self.version = 0
         self.declare(
             declarations.Contract(
@@ -104,19 +104,19 @@
         )
 
     def start_agent(self, name: str) -> None:
-        self.lives += 1
-        life = f"life-{self.lives}"
+        self.agent_starts += 1
+        incarnation = f"life-{self.agent_starts}"
         core = agents.Agent(
             name=name,
             kind=self.kind,
-            life=life,
+            life=incarnation,
             slots=4,
-            seed=self.lives,
+            seed=self.agent_starts,
             view=self.view,
             seeds=[],
         )
         self.nodes[address(name)] = core
-        status = events.EngineStatus(incarnation=life, weights="w")
+        status = events.EngineStatus(incarnation=incarnation, weights="w")
         self.handle(address(name), status)
 
     def owner(self, key: str = KEY) -> str:
@@ -131,13 +131,13 @@
         )
         self.send_request(entry, request, key, call=call)
 
-    def send_request(self, entry: str, request: str, key=KEY, **what) -> None:
+    def send_request(self, entry: str, request: str, key=KEY, **fields) -> None:
         event = events.CallerRequest(
             request=request,
             key_digest=KEY_DIGEST,
             idempotency_key=key,
             seconds=10.0,
-            **what,
+            **fields,
         )
         self.handle(address(entry), event)
 
@@ -157,7 +157,7 @@
                 case actions.RunCall() | actions.RunCompletion():
                     self.queue.append(Item(sender, sender, action))
                 case actions.LogDecision(kind="claim", fields=fields):
-                    self.claimed.append(fields["verdict"])
+                    self.verdicts.append(fields["verdict"])
                 case (
                     actions.ReplyAnswer()
                     | actions.ReplyError()
@@ -176,35 +176,37 @@
         if item.receiver in self.paused:
             self.backlog.append(item)
             return
-        match item.what:
+        match item.content:
             case stores.Read() | stores.Write():
-                self.answer(item.sender, self.objects.call(item.what))
+                self.deliver_event(item.sender, self.objects.call(item.content))
             case actions.RunCall():
                 self.run_call(item)
             case actions.RunCompletion():
                 self.run_completion(item)
             case Event():
-                self.answer(item.receiver, item.what.event)
+                self.deliver_event(item.receiver, item.content.event)
             case _:
-                self.deliver(item)
+                self.deliver_message(item)
 
-    def answer(self, receiver: str, event: object) -> None:
+    def deliver_event(self, receiver: str, event: object) -> None:
         if receiver in self.nodes:
             self.handle(receiver, event)
 
-    def deliver(self, item: Item) -> None:
+    def deliver_message(self, item: Item) -> None:
         if item.receiver in self.nodes:
-            event = events.FromNode(sender=item.sender, message=item.what)
+            event = events.FromNode(sender=item.sender, message=item.content)
             self.handle(item.receiver, event)
         elif item.sender in self.nodes:
-            lost = events.Unreachable(address=item.receiver, unsent=[item.what])
-            self.handle(item.sender, lost)
+            unreachable = events.Unreachable(
+                address=item.receiver, unsent=[item.content]
+            )
+            self.handle(item.sender, unreachable)
 
     def run_call(self, item: Item) -> None:
-        """Calls the service, unless the agent died before the call."""
+        """Calls the service, unless the agent crashed before it."""
         if item.receiver not in self.nodes:
             return
-        run = item.what
+        run = item.content
         refused = self.service.down
         call = fake_services.ReceivedCall(
             method=run.call.method,
@@ -232,17 +234,17 @@
 
     def run_completion(self, item: Item) -> None:
         self.service.runs_by_key[KEY] += 1
-        what = item.what
+        run = item.content
         text_event = events.EngineText(
-            request=what.request,
-            attempt=what.attempt,
+            request=run.request,
+            attempt=run.attempt,
             index=0,
             text="It fits.",
             tokens=2,
         )
         end_event = events.EngineEnded(
-            request=what.request,
-            attempt=what.attempt,
+            request=run.request,
+            attempt=run.attempt,
             reason="stop",
             prompt_tokens=3,
             cached_tokens=0,
@@ -251,12 +253,12 @@
         for event in (text_event, end_event):
             self.queue.append(Item(item.sender, item.sender, Event(event)))
 
-    def until(self, kind: type) -> Item:
+    def run_until(self, kind: type) -> Item:
         """Runs until the first item is of a kind, and returns that item."""
         for _ in range(1000):
             if not self.queue:
                 self.advance(1.0)
-            elif isinstance(self.queue[0].what, kind):
+            elif isinstance(self.queue[0].content, kind):
                 return self.queue[0]
             else:
                 self.step()
@@ -274,13 +276,13 @@
 
     def advance(self, seconds: float) -> bool:
         """Advances to the next wake-up; False if none is within `seconds`."""
-        awake = [each for each in self.nodes if each not in self.paused]
-        wakes = [self.nodes[each].next_wake() for each in awake]
+        running = [each for each in self.nodes if each not in self.paused]
+        wakes = [self.nodes[each].next_wake() for each in running]
         soonest = min((w for w in wakes if w is not None), default=None)
         if soonest is None or soonest > self.now + seconds:
             return False
         self.now = max(self.now + 1e-6, soonest)
-        for each in awake:
+        for each in running:
             core = self.nodes[each]
             self.apply_actions(each, core.tick(self.now) + core.flush())
         return True
@@ -291,7 +293,7 @@
         self.queue.extend(self.backlog)
         self.backlog.clear()
 
-    def runs(self) -> int:
+    def run_count(self) -> int:
         return self.service.runs_by_key[KEY]
 
 
--- a/pimentoledge/tests/conftest.py
+++ b/pimentoledge/tests/conftest.py
@@ -1,30 +1,34 @@
-"""Passes over the tests that KNOWN-RED.txt names, and prints them.
+"""Deselects the tests that KNOWN-RED.txt lists, and prints them.
 
-An entry is a paragraph that begins with "test:" and the id of a test; the
-lines after it tell the command and the seed, what was seen, and the issue. An
-entry whose test isn't there any more is an error.
+An entry is a paragraph that begins with "test:" and the id of a test. Its other
+lines give the command and the seed, what was observed, and the issue. An entry
+whose test no longer exists is an error.
 """
 
 import pathlib
 
 import pytest
 
-PAGE = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
-_passed_over = pytest.StashKey()
+KNOWN_RED_FILE = pathlib.Path(__file__).parents[2] / "KNOWN-RED.txt"
+_deselected_ids = pytest.StashKey()
 
 
-def known_red(text):
-    """Returns the entries of a page, by the id of the test."""
-    found = {}
+def parse_entries(text):
+    """Returns the text of each entry by test id."""
+    entries = {}
     for entry in text.split("\n\n"):
         first, _, rest = entry.strip().partition("\n")
         if first.startswith("test:"):
-            found[first.removeprefix("test:").strip()] = rest
-    return found
+            entries[first.removeprefix("test:").strip()] = rest
+    return entries
 
 
-def _entries():
-    return known_red(PAGE.read_text()) if PAGE.exists() else {}
+def _read_entries():
+    return (
+        parse_entries(KNOWN_RED_FILE.read_text())
+        if KNOWN_RED_FILE.exists()
+        else {}
+    )
 
 
 def pytest_addoption(parser):
@@ -34,25 +38,25 @@
 
 
 def pytest_collection_modifyitems(config, items):
-    entries = _entries()
-    folders = {each.nodeid.partition("::")[0] for each in items}
+    entries = _read_entries()
+    files = {each.nodeid.partition("::")[0] for each in items}
     ids = {each.nodeid for each in items}
-    whole = not any("::" in each for each in config.args)
-    gone = [
+    unfiltered = not any("::" in each for each in config.args)
+    missing = [
         each
         for each in entries
-        if whole and each.partition("::")[0] in folders and each not in ids
+        if unfiltered and each.partition("::")[0] in files and each not in ids
     ]
-    if gone:
-        raise pytest.UsageError(f"KNOWN-RED.txt names no test: {gone}")
+    if missing:
+        raise pytest.UsageError(f"KNOWN-RED.txt names no test: {missing}")
     if config.getoption("--red"):
         return
-    red = [each for each in items if each.nodeid in entries]
-    config.stash[_passed_over] = [each.nodeid for each in red]
-    config.hook.pytest_deselected(items=red)
+    deselected = [each for each in items if each.nodeid in entries]
+    config.stash[_deselected_ids] = [each.nodeid for each in deselected]
+    config.hook.pytest_deselected(items=deselected)
     items[:] = [each for each in items if each.nodeid not in entries]
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    for each in config.stash.get(_passed_over, []):
+    for each in config.stash.get(_deselected_ids, []):
         terminalreporter.write_line(f"KNOWN RED, passed over: {each}")
--- a/pimentoledge/tests/engine_runs.py
+++ b/pimentoledge/tests/engine_runs.py
@@ -1,4 +1,4 @@
-"""Completions for the fake engine, and what came of them."""
+"""Runs completions on a fake engine and inspects its events."""
 
 from pimentoledge.decisions import actions
 from pimentoledge.decisions import events
@@ -6,7 +6,7 @@
 
 
 def run_of(request, prompt="p", max_tokens=5, batch=False, **fields):
-    """Returns a completion; `fields` go into it."""
+    """Returns the action that runs a completion with these `fields`."""
     completion = messages.Completion(
         model="m", prompt=prompt, max_tokens=max_tokens, **fields
     )
@@ -19,36 +19,36 @@
 
 
 def drive(engine, until=None):
-    """Steps an engine in virtual time until it is idle or `until`."""
-    found = []
+    """Steps an engine until it is idle or `until`; returns its events."""
+    output = []
     while (wake := engine.next_wake()) is not None:
         if until is not None and wake > until:
             break
-        found.extend(engine.step(wake))
-    return found
+        output.extend(engine.step(wake))
+    return output
 
 
-def text_of(found, request):
-    """Returns one stream's text; fails unless its tokens are in order."""
+def text_of(output, request):
+    """Returns a stream's text; fails if tokens are missing or out of order."""
     texts = [
         each
-        for each in found
+        for each in output
         if isinstance(each, events.EngineText) and each.request == request
     ]
-    due = texts[0].index if texts else 0
+    expected_index = texts[0].index if texts else 0
     for each in texts:
-        assert each.index == due
-        due += each.tokens
+        assert each.index == expected_index
+        expected_index += each.tokens
     return "".join(each.text for each in texts)
 
 
-def last_of(found, request):
-    """Returns how a stream ended; fails unless that was its last event."""
-    mine = [each for each in found if each.request == request]
+def end_of(output, request):
+    """Returns a stream's end event; fails if another event follows it."""
+    stream_events = [each for each in output if each.request == request]
     ends = [
         each
-        for each in mine
+        for each in stream_events
         if isinstance(each, events.EngineEnded | events.EngineBroken)
     ]
-    assert ends == mine[-1:]
-    return mine[-1]
+    assert ends == stream_events[-1:]
+    return stream_events[-1]
--- a/pimentoledge/tests/processes.py
+++ b/pimentoledge/tests/processes.py
@@ -1,4 +1,4 @@
-"""Starts the programs as processes of their own, for tests."""
+"""Starts the programs as separate processes, for tests."""
 
 import json
 import os
@@ -23,8 +23,8 @@
 PROMPT = "What the service manual says of this hub. " * 30
 
 
-def basics(key: str) -> list[declarations.Declaration]:
-    """Returns a model, a service, and a contract for both with one key."""
+def basic_declarations(key: str) -> list[declarations.Declaration]:
+    """Returns a model, a service and a contract that grants both to a key."""
     return [
         declarations.Model(name="m", weights="w1"),
         declarations.Service(name="cards"),
@@ -38,23 +38,33 @@
 
 
 def free_mailbox() -> str:
-    """Returns a mailbox address that nobody listens at now."""
+    """Returns a mailbox address that is not in use."""
     with socket.socket() as opened:
         opened.bind(("127.0.0.1", 0))
         return f"tcp://127.0.0.1:{opened.getsockname()[1]}"
 
 
 def wait_until(condition):
-    """Waits for a condition, with a bound; returns its value."""
+    """Waits until a condition is true, and returns its value.
+
+    Fails after WAIT_SECONDS.
+    """
     end = time.monotonic() + WAIT_SECONDS
     while not (value := condition()):
-        assert time.monotonic() < end, "waited in vain"
+        assert time.monotonic() < end, "condition not met in time"
         time.sleep(0.02)
     return value
 
 
 class Process:
-    """One program; its lines are read so that it never blocks on them."""
+    """A program that runs as a process.
+
+    A thread reads its output, so that the process never blocks on a full pipe.
+
+    Attributes:
+        lines: output that no caller has consumed; an empty line ends it.
+        consumed_lines: output that `find` has consumed.
+    """
 
     def __init__(self, *arguments: str):
         environment = {
@@ -71,16 +81,19 @@
         )
         self.lines: queue.SimpleQueue[str] = queue.SimpleQueue()
         self.consumed_lines: list[str] = []
-        self.thread = threading.Thread(target=self.read)
+        self.thread = threading.Thread(target=self.queue_lines)
         self.thread.start()
 
-    def read(self):
+    def queue_lines(self):
         for line in self.popen.stdout:
             self.lines.put(line)
         self.lines.put("")
 
     def find(self, pattern: str) -> str:
-        """Waits for a line that matches, and returns its group."""
+        """Waits for an output line that matches, and returns its first group.
+
+        Fails when the output ends.
+        """
         while True:
             line = self.lines.get(timeout=WAIT_SECONDS)
             self.consumed_lines.append(line)
@@ -88,9 +101,9 @@
             if match := re.search(pattern, line):
                 return match.group(1)
 
-    def end(self, number: int = signal.SIGTERM) -> int:
+    def end(self, signal_number: int = signal.SIGTERM) -> int:
         """Signals the process and returns its exit status."""
-        self.popen.send_signal(number)
+        self.popen.send_signal(signal_number)
         return self.wait()
 
     def wait(self) -> int:
@@ -105,18 +118,18 @@
 
 
 class Deployment:
-    """A store, runners with agents, and entries, all processes."""
+    """A store, runners, services, agents and entries as processes."""
 
     def __init__(self):
         self.started: list[Process] = []
-        self.store = self.run("fake", "store")
+        self.store = self.start_process("fake", "store")
         self.url = self.store.find(r"(http://\S+)")
         self.client = objects.ObjectClient(url=self.url)
         self.client.start()
-        for each in basics(KEY):
+        for each in basic_declarations(KEY):
             self.declare(each)
 
-    def run(self, *arguments: str) -> Process:
+    def start_process(self, *arguments: str) -> Process:
         process = Process(*arguments)
         self.started.append(process)
         return process
@@ -138,11 +151,11 @@
         )
         assert answer.outcome == stores.Outcome.WRITTEN
 
-    def agent(
+    def start_agent(
         self, name: str, kind: str, backend: str, peers: str = ""
     ) -> Process:
-        given = [f"--peers={peers}"] if peers else []
-        process = self.run(
+        extra_flags = [f"--peers={peers}"] if peers else []
+        process = self.start_process(
             "agent",
             f"--name={name}",
             f"--kind={kind}",
@@ -151,7 +164,7 @@
             "--mailbox=tcp://127.0.0.1:0",
             "--admin-listen=127.0.0.1:0",
             "--slots=8",
-            *given,
+            *extra_flags,
         )
         address = process.find(r"listens at (tcp://\S+)")
         process.mailbox = address
@@ -165,23 +178,23 @@
         )
         return process
 
-    def runner(self, name: str, **given: str) -> tuple[Process, Process]:
-        engine = self.run(
+    def start_runner(self, name: str, **flags: str) -> tuple[Process, Process]:
+        engine = self.start_process(
             "fake", "engine", f"--name={name}", "--step-seconds=0.01"
         )
         backend = engine.find(r"(http://\S+)")
-        return engine, self.agent(name, "runner", backend, **given)
+        return engine, self.start_agent(name, "runner", backend, **flags)
 
-    def service(self, name: str) -> tuple[Process, Process]:
-        service = self.run("fake", "service")
+    def start_service(self, name: str) -> tuple[Process, Process]:
+        service = self.start_process("fake", "service")
         backend = service.find(r"(http://\S+)")
-        return service, self.agent(name, "service", backend)
+        return service, self.start_agent(name, "service", backend)
 
-    def entry(
+    def start_entry(
         self, name: str, mailbox: str = "tcp://127.0.0.1:0", **flags: str
     ) -> "Entry":
-        given = [f"--{flag}={value}" for flag, value in flags.items()]
-        process = self.run(
+        extra_flags = [f"--{flag}={value}" for flag, value in flags.items()]
+        process = self.start_process(
             "entry",
             f"--name={name}",
             f"--store={self.url}",
@@ -189,13 +202,13 @@
             "--listen=127.0.0.1:0",
             "--admin-listen=127.0.0.1:0",
             "--drain-seconds=0.2",
-            *given,
+            *extra_flags,
         )
         return Entry(process, process.find(r"serves (\S+)"))
 
 
 class Entry:
-    """An entry process as its callers see it."""
+    """An entry process and a client of its API."""
 
     def __init__(self, process: Process, address: str):
         self.process = process
@@ -206,7 +219,7 @@
     def ready(self) -> bool:
         return self.pool.request("GET", self.url + "/readyz").status == 200
 
-    def ask(self, tokens: int):
+    def request_stream(self, tokens: int):
         body = {
             "model": "m",
             "prompt": PROMPT,
@@ -231,7 +244,7 @@
 
 
 def read_stream(response) -> tuple[str, bool]:
-    """Returns a stream's text, and whether it ended as a whole one does."""
+    """Returns a stream's text, and whether the stream is complete."""
     text, done = "", False
     for line in response:
         if not line.startswith(b"data: "):
--- a/pimentoledge/tests/raw_servers.py
+++ b/pimentoledge/tests/raw_servers.py
@@ -1,4 +1,4 @@
-"""A server that sends given bytes, for faults that no real server has."""
+"""A server that sends given bytes, such as truncated responses."""
 
 import contextlib
 import socket
@@ -10,10 +10,16 @@
 
 @contextlib.contextmanager
 def raw_server(reply, *, hang=False, pause=0.0):
-    """Answers each connection's first bytes with `reply`, then closes it.
+    """Runs a server that answers each connection's first bytes with `reply`.
 
-    Yields the base URL; with `hang` connections stay open until the end, with
-    a `pause` the reply comes byte by byte.
+    Args:
+        reply: the bytes to send.
+        hang: whether connections stay open until the server is closed; each
+            is closed after its reply otherwise.
+        pause: seconds between single bytes of the reply; 0 sends it at once.
+
+    Yields:
+        The base URL.
     """
     listener = socket.create_server(("127.0.0.1", 0))
     ended = threading.Event()
@@ -54,8 +60,8 @@
 
 
 def _drain(connection):
-    # Closing with unread bytes would reset the connection and take the reply
-    # back from a client that has not read it yet.
+    # Closing a socket with unread bytes resets the connection, and a client
+    # that has not read the reply yet would lose it.
     connection.settimeout(DRAIN_SECONDS)
     with contextlib.suppress(OSError):
         connection.shutdown(socket.SHUT_WR)
@@ -64,13 +70,13 @@
 
 
 def http_reply(body, status=200, length=None):
-    """Returns an answer; a wrong length makes it a cut one."""
+    """Returns an HTTP response; a `length` beyond the body truncates it."""
     length = len(body) if length is None else length
     head = f"HTTP/1.1 {status} status\r\nContent-Length: {length}\r\n\r\n"
     return head.encode() + body
 
 
 def closed_url():
-    """Returns a URL whose port nobody listens at."""
+    """Returns a URL whose port refuses connections."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         return f"http://127.0.0.1:{listener.getsockname()[1]}"
--- a/pimentoledge/tests/simulated_clusters.py
+++ b/pimentoledge/tests/simulated_clusters.py
@@ -1,4 +1,4 @@
-"""Entries and agents before fake engines, in one thread and virtual time."""
+"""Simulation of entries, agents and fake engines, in simulated time."""
 
 import math
 
@@ -14,12 +14,12 @@
 from pimentoledge.runners import fake_engines
 from pimentoledge.tests import network
 
-STATUS_SECONDS = 0.1
+STATUS_INTERVAL_SECONDS = 0.1
 POISON = "poison"
 
 
 class Node:
-    """A core at its address, with the engine beside it if it is an agent."""
+    """An entry, or an agent together with its fake engine."""
 
     def __init__(self, core, engine=None):
         self.core = core
@@ -44,7 +44,7 @@
         for event in self.engine.step(now) if self.engine else ():
             todo += self.core.handle(event, now)
         if now >= self.status_at:
-            self.status_at = now + STATUS_SECONDS
+            self.status_at = now + STATUS_INTERVAL_SECONDS
             todo += self.core.handle(self.engine.status(now), now)
         return todo + self.core.flush()
 
@@ -53,8 +53,12 @@
     """Entries, runners and callers.
 
     Attributes:
-        answers: what the caller of a request got, by request id.
-        crashed: (server, time) of each engine's death.
+        answers: the result of a request and when it came, by request id.
+        texts: the text that a caller has received, by request id.
+        first_text_times: when a caller received its first text, by request id.
+        restart_seconds: time that a crashed engine takes to restart.
+        entry_addresses: addresses of the entries.
+        runners: Node of each runner.
     """
 
     def __init__(self, *, entry_count, runners, slots=4, **engine):
@@ -112,7 +116,7 @@
         self.runners.append(self.nodes[address])
 
     def start_entry(self, number):
-        """Starts an entry, or starts it anew with nothing in memory."""
+        """Starts an entry, or restarts it without its state."""
         address = self.entry_addresses[number]
         core = entries.Entry(
             name=address[6:-5],
@@ -129,7 +133,7 @@
     def request(
         self, entry, request, prompt, *, tokens=20, batch=False, seconds=60.0
     ):
-        """Lets a caller ask an entry."""
+        """Sends a caller's completion request to an entry."""
         event = events.CallerRequest(
             request=request,
             key_digest=declarations.key_digest("o"),
@@ -170,16 +174,16 @@
         self.answers[request] = (error, self.now)
 
     def result_code(self, request):
-        """Returns how a request ended; None while it runs."""
+        """Returns the result code of a request; None while it runs."""
         answer = self.answers.get(request)
         return answer and answer[0].code
 
     def crash_count(self):
-        """Returns engines that died so far."""
+        """Returns the number of engine crashes so far."""
         return sum(e.engine.counters.crashes for e in self.runners)
 
     def crash_records(self, entry):
-        """Returns the quarantine's records at an entry."""
+        """Returns the records of an entry's quarantine."""
         core = self.nodes[self.entry_addresses[entry]].core
         assert isinstance(core.quarantine, quarantine.Quarantine)
         return core.quarantine.records
--- a/pimentoledge/tests/test_agents.py
+++ b/pimentoledge/tests/test_agents.py
@@ -1,4 +1,4 @@
-"""The agent's state machine: what it reports about its server."""
+"""Tests of what an agent's state machine reports about its server."""
 
 from pimentoledge import results
 from pimentoledge.decisions import agents
@@ -10,7 +10,7 @@
 ENTRY = "tcp://10.0.0.1:7000"
 
 
-def truths(todo):
+def sent_statuses(todo):
     return [
         each.message.truth
         for each in todo
@@ -29,8 +29,8 @@
         view=configuration.Configuration(),
         seeds=[],
     )
-    up = events.EngineStatus(incarnation="i", weights="w", slots=4)
-    agent.handle(up, 1.0)
+    status = events.EngineStatus(incarnation="i", weights="w", slots=4)
+    agent.handle(status, 1.0)
     dispatch = messages.Dispatch(
         request="q",
         attempt=1,
@@ -54,7 +54,7 @@
     """
     agent, todo = agent_with_dispatch()
     assert agent.truth(ENTRY).queued_tokens == 4000
-    assert truths(todo)
+    assert sent_statuses(todo)
     text = events.EngineText(
         request="q", attempt=1, index=0, text="a", tokens=1
     )
@@ -62,7 +62,7 @@
     assert agent.truth(ENTRY).queued_tokens == 0
 
 
-def test_what_met_a_dead_engine_is_not_said_to_have_run():
+def test_a_request_to_a_crashed_engine_is_not_reported_as_run():
     """Guards against "ran" being reported for a request that never ran.
 
     The agent submits it to an engine that has just crashed, and the status
--- a/pimentoledge/tests/test_claims_path.py
+++ b/pimentoledge/tests/test_claims_path.py
@@ -16,21 +16,21 @@
 def lost_claim_answer(cluster):
     """The store writes the claim and its answer is lost."""
     cluster.post("e", "r1")
-    cluster.until(stores.Write)
+    cluster.run_until(stores.Write)
     cluster.objects.lose_answers = 1
 
 
 def lost_claim(cluster):
     """The claim is lost on its way to the store."""
     cluster.post("e", "r1")
-    cluster.until(stores.Write)
+    cluster.run_until(stores.Write)
     cluster.objects.lose_requests = 1
 
 
 def lost_outcome_answer(cluster):
     """The store writes the outcome and its answer is lost."""
     cluster.post("e", "r1")
-    cluster.until(messages.ServiceAnswer)
+    cluster.run_until(messages.ServiceAnswer)
     cluster.objects.lose_answers = 1
 
 
@@ -45,7 +45,7 @@
 def store_down_during(cluster):
     """The store is down between the claim and its outcome."""
     cluster.post("e", "r1")
-    cluster.until(actions.RunCall)
+    cluster.run_until(actions.RunCall)
     cluster.objects.down = True
     cluster.settle(30.0)
     cluster.objects.down = False
@@ -59,44 +59,44 @@
 
 
 def entry_killed_before_the_claim(cluster):
-    """The entry dies after it sent the dispatch."""
+    """The entry crashes after it sent the dispatch."""
     cluster.post("e", "r1")
-    cluster.until(messages.Dispatch)
+    cluster.run_until(messages.Dispatch)
     cluster.kill("e")
 
 
 def entry_killed_after_the_claim(cluster):
-    """The entry dies right before its call runs."""
+    """The entry crashes right before its call runs."""
     cluster.post("e", "r1")
-    cluster.until(actions.RunCall)
+    cluster.run_until(actions.RunCall)
     cluster.kill("e")
 
 
 def agent_killed_before_the_claim_lands(cluster):
-    """The agent dies while its claim is in flight; the write lands."""
+    """The agent crashes while its claim is in flight; the write lands."""
     cluster.post("e", "r1")
-    cluster.until(stores.Write)
+    cluster.run_until(stores.Write)
     cluster.kill(cluster.owner())
 
 
 def agent_killed_before_the_run(cluster):
-    """The agent dies when the claim is durable and the call not started."""
+    """The agent crashes after the claim is durable, before the call starts."""
     cluster.post("e", "r1")
-    cluster.until(actions.RunCall)
+    cluster.run_until(actions.RunCall)
     cluster.kill(cluster.owner())
 
 
 def agent_killed_after_the_run(cluster):
-    """The agent dies after the service ran the call."""
+    """The agent crashes after the service ran the call."""
     cluster.post("e", "r1")
-    cluster.until(claims_path.Event)
+    cluster.run_until(claims_path.Event)
     cluster.kill(cluster.owner())
 
 
 def both_killed(cluster):
-    """Entry and agent die together while the call runs."""
+    """Entry and agent crash together while the call runs."""
     cluster.post("e", "r1")
-    cluster.until(claims_path.Event)
+    cluster.run_until(claims_path.Event)
     cluster.kill("e")
     cluster.kill(cluster.owner())
 
@@ -105,7 +105,7 @@
     """The agent restarts without its state, twice."""
     for number in (1, 2):
         cluster.post("e", f"r{number}")
-        cluster.until(actions.RunCall if number == 1 else messages.Dispatch)
+        cluster.run_until(actions.RunCall if number == 1 else messages.Dispatch)
         owner = cluster.owner()
         cluster.kill(owner)
         cluster.settle(1.0)
@@ -115,7 +115,7 @@
 def holder_paused_past_its_deadline(cluster):
     """The agent is paused with its claim in flight, past the deadline."""
     cluster.post("e", "r1")
-    cluster.until(stores.Write)
+    cluster.run_until(stores.Write)
     cluster.step()
     owner = cluster.owner()
     cluster.paused.add(claims_path.address(owner))
@@ -128,7 +128,7 @@
 def holder_paused_before_it_calls(cluster):
     """The agent is paused before the call; its server is set to leaving."""
     cluster.post("e", "r1")
-    cluster.until(actions.RunCall)
+    cluster.run_until(actions.RunCall)
     owner = cluster.owner()
     cluster.paused.add(claims_path.address(owner))
     cluster.declare_server(owner, declarations.ServerState.LEAVING)
@@ -156,7 +156,7 @@
     """The owner's service refuses connections for a moment."""
     cluster.service.down = True
     cluster.post("e", "r1")
-    cluster.until(claims_path.Event)
+    cluster.run_until(claims_path.Event)
     cluster.service.down = False
 
 
@@ -173,7 +173,7 @@
     another key is refused as not run, and the outcome is durable in the end.
     """
     cluster.post("e", "r1")
-    cluster.until(actions.RunCall)
+    cluster.run_until(actions.RunCall)
     cluster.objects.down = True
     cluster.settle(1.0)
     for name in ("e", "f"):
@@ -256,19 +256,19 @@
     fault(cluster)
     cluster.settle(20.0)
     outcomes = [outcome(cluster, request) for request in ("r1", "r2")]
-    if results.Ran.NOT_RUN in outcomes and cluster.runs():
+    if results.Ran.NOT_RUN in outcomes and cluster.run_count():
         # Then another request with the same key ran.
         assert [each for each in outcomes if isinstance(each, bytes)]
     if fault in FIRST_REQUEST_ANSWERED:
         assert outcomes[0] == b"run 1 of card"
     cluster.post("f", "last")
     cluster.settle(20.0)
-    assert cluster.runs() <= 1
+    assert cluster.run_count() <= 1
     last = outcome(cluster, "last")
     if fault in OUTCOME_UNKNOWN:
         assert last == results.Ran.UNKNOWN
     else:
-        assert cluster.runs() == 1
+        assert cluster.run_count() == 1
         assert last == b"run 1 of card"
     bodies = {each for each in outcomes if isinstance(each, bytes)}
     assert bodies <= {b"run 1 of card"}
@@ -287,10 +287,10 @@
     cluster.settle()
     (reply,) = cluster.replies["r2"]
     assert reply.error.code == results.Code.KEY_REUSED
-    assert cluster.claimed == ["granted", "KEY_REUSED"]
+    assert cluster.verdicts == ["granted", "KEY_REUSED"]
 
 
-def test_a_dead_owner_is_passed_over():
+def test_calls_skip_a_dead_owner():
     """After an agent's VM failed, its keys move to the next one at once."""
     cluster = claims_path.Cluster()
     owner = cluster.owner()
@@ -328,6 +328,6 @@
         ]
         assert "".join(text) == "It fits."
         assert isinstance(cluster.replies[request][-1], actions.ReplyEnd)
-    assert cluster.runs() == 1
+    assert cluster.run_count() == 1
     agents = [cluster.nodes[claims_path.address(each)] for each in ("a", "b")]
     assert all(each.idle() for each in agents)
--- a/pimentoledge/tests/test_configured_path.py
+++ b/pimentoledge/tests/test_configured_path.py
@@ -20,11 +20,11 @@
 
 
 def client_of(daemon):
-    made = clients.AdminClient(
+    client = clients.AdminClient(
         url=f"http://{daemon.admin.address}", key=ADMIN_KEY
     )
-    made.start()
-    return made
+    client.start()
+    return client
 
 
 def test_declarations_reach_every_node(emulator):
@@ -35,11 +35,11 @@
     client = client_of(first)
     client.write("PUT", "models/m", fields={"weights": "w1"}, expected=0)
     fields = {"models": ["m"], "keys": ["a-key-of-a-caller-1"]}
-    made = client.write("PUT", "contracts/o", fields=fields, expected=0)
-    assert made.unwrap().status == 201
+    created = client.write("PUT", "contracts/o", fields=fields, expected=0)
+    assert created.unwrap().status == 201
     processes.wait_until(lambda: second.core.configuration.contracts.get("o"))
-    agent = runner.daemon.core.configuration
-    processes.wait_until(lambda: agent.model("m") and agent.server("r1"))
+    view = runner.daemon.core.configuration
+    processes.wait_until(lambda: view.model("m") and view.server("r1"))
     processes.wait_until(
         lambda: [
             each["same"]
@@ -51,9 +51,10 @@
 
 
 def test_entry_that_starts_while_the_store_is_down_serves(emulator):
-    """Clients are refused as unknown after an entry was replaced.
+    """Guards against clients that are refused as unknown after a replacement.
 
-    The store is down, so the new entry can't read the contracts from it.
+    The store is down, so the new entry can't read the contracts from it. It
+    must copy them from the other entry.
     """
     emulator.declare(declarations.Contract(organisation="o"))
     first = emulator.add_entry("entry-1", operator_key_digest=DIGEST)
--- a/pimentoledge/tests/test_engine_clients.py
+++ b/pimentoledge/tests/test_engine_clients.py
@@ -54,7 +54,7 @@
         text = engine_runs.text_of(received, f"r{number}")
         assert text == fake_engines.expected_text(LONG_PROMPT, 0, 9)
         assert isinstance(received[0], events.EngineStarted)
-        end = engine_runs.last_of(received, f"r{number}")
+        end = engine_runs.end_of(received, f"r{number}")
         assert end.cached_tokens == (128 if number else 0)
     assert server.engine.counters.runs == {"r0": 1, "r1": 1, "r2": 1}
 
@@ -128,7 +128,7 @@
     resumed = list(client.resume("r", 1, first_part.count(" ")))
     text = first_part + engine_runs.text_of(resumed, "r")
     assert text == fake_engines.expected_text("p", 0, 300)
-    assert engine_runs.last_of(resumed, "r").completion_tokens == 300
+    assert engine_runs.end_of(resumed, "r").completion_tokens == 300
     assert server.engine.counters.runs["r"] == 1
     (unknown,) = client.resume("other", 1, 0)
     assert unknown.ran == "ran"
@@ -272,7 +272,7 @@
     """
     with raw_servers.raw_server(reply) as url:
         received = run_against(url)
-    end = engine_runs.last_of(received, "r")
+    end = engine_runs.end_of(received, "r")
     assert (type(end), end.ran) == (events.EngineBroken, ran)
 
 
--- a/pimentoledge/tests/test_entry_streams.py
+++ b/pimentoledge/tests/test_entry_streams.py
@@ -19,21 +19,28 @@
 
 KEY = gateways.digest_key("k")
 TOKENS = 4
-SECONDS = 2.5
+DEADLINE_SECONDS = 2.5
 SERVERS = 3
 
 
-def token(request, index):
+def token_text(request, index):
     return f"{request}:{index} "
 
 
-def expected(request, count=TOKENS):
-    return "".join(token(request, index) for index in range(count))
+def expected_text(request, count=TOKENS):
+    return "".join(token_text(request, index) for index in range(count))
 
 
 @attrs.define(kw_only=True)
 class Run:
-    """An attempt that runs at an agent, with its next frame and token."""
+    """An attempt that runs at an agent.
+
+    Attributes:
+        request: id of the request.
+        attempt: number of the attempt.
+        sequence: sequence number of the next frame.
+        index: index of the next token.
+    """
 
     request: str
     attempt: int
@@ -47,15 +54,15 @@
 
     name: str
     address: str
-    life: int = 1
+    start_count: int = 1
     inbox: collections.deque = attrs.field(factory=collections.deque)
     outbox: collections.deque = attrs.field(factory=collections.deque)
     runs: list[Run] = attrs.field(factory=list)
 
-    def truth(self):
+    def status(self):
         return messages.ServerStatus(
             server=self.name,
-            incarnation=f"{self.name}-{self.life}",
+            incarnation=f"{self.name}-{self.start_count}",
             weights="w1",
             slots=8,
             configuration=9,
@@ -72,7 +79,7 @@
                 prompt_tokens=4,
                 cached_tokens=0,
                 completion_tokens=run.index,
-                truth=self.truth(),
+                truth=self.status(),
             )
         )
 
@@ -84,7 +91,7 @@
                 attempt=run.attempt,
                 code=results.Code.ENGINE_DIED,
                 ran=ran,
-                truth=self.truth(),
+                truth=self.status(),
             )
         )
 
@@ -94,21 +101,21 @@
     """The answer that a caller has received so far."""
 
     text: str = ""
-    over: bool = False
-    gone: bool = False
+    ended: bool = False
+    disconnected: bool = False
 
 
-def declared():
-    given = [
+def declared_objects():
+    all_declarations = [
         declarations.Model(name="m", weights="w1"),
         declarations.Contract(
             organisation="o",
             key_digests=[KEY],
             models=["m"],
-            deadline_seconds=SECONDS,
+            deadline_seconds=DEADLINE_SECONDS,
         ),
     ]
-    given += [
+    all_declarations += [
         declarations.BackendServer(
             name=f"r{number}",
             serves="m",
@@ -123,7 +130,7 @@
             version=number + 1,
             value=declarations.encode(each),
         )
-        for number, each in enumerate(given)
+        for number, each in enumerate(all_declarations)
     ]
 
 
@@ -143,7 +150,7 @@
     def __init__(self):
         super().__init__()
         view = configuration.Configuration()
-        view.apply(declared())
+        view.apply(declared_objects())
         self.entry = entries.Entry(
             name="entry",
             address="tcp://10.0.1.1:7000",
@@ -173,27 +180,27 @@
                 case actions.ReplyText():
                     caller = self.open_caller(action.request)
                     caller.text += action.text
-                    whole = expected(action.request)
-                    assert whole.startswith(caller.text)
+                    expected = expected_text(action.request)
+                    assert expected.startswith(caller.text)
                 case actions.ReplyEnd():
                     caller = self.open_caller(action.request)
-                    assert caller.text == expected(action.request)
+                    assert caller.text == expected_text(action.request)
                     assert action.completion_tokens == TOKENS
-                    caller.over = True
+                    caller.ended = True
                 case actions.ReplyError():
                     caller = self.open_caller(action.request)
                     if action.error.outcome() == results.Ran.NOT_RUN:
                         assert action.request not in self.ran
-                    caller.over = True
+                    caller.ended = True
 
     def open_caller(self, request):
         caller = self.callers[request]
-        assert not caller.over
-        assert not caller.gone
+        assert not caller.ended
+        assert not caller.disconnected
         return caller
 
     @stateful.rule()
-    def ask(self):
+    def add_request(self):
         request = f"q{len(self.callers)}"
         self.callers[request] = Caller()
         completion = messages.Completion(
@@ -222,7 +229,7 @@
         self.work(self.agents[number], True, count, delivered)
 
     def work(self, agent, admit, count, delivered):
-        """Lets an agent process its inbox, generate frames and send."""
+        """Makes an agent process its inbox, generate frames and send them."""
         while agent.inbox:
             self.process_message(agent, agent.inbox.popleft(), admit)
         for run in list(agent.runs):
@@ -241,7 +248,7 @@
             case messages.Dispatch() if admit:
                 done = message.completion.continued_tokens
                 text = message.completion.continued
-                assert text == expected(message.request, done)
+                assert text == expected_text(message.request, done)
                 agent.runs.append(
                     Run(
                         request=message.request,
@@ -253,7 +260,7 @@
                 answer = messages.Admitted(
                     request=message.request,
                     attempt=message.attempt,
-                    truth=agent.truth(),
+                    truth=agent.status(),
                 )
                 agent.outbox.append(answer)
             case messages.Dispatch():
@@ -262,7 +269,7 @@
                         request=message.request,
                         attempt=message.attempt,
                         code=results.Code.OVERLOADED,
-                        truth=agent.truth(),
+                        truth=agent.status(),
                     )
                 )
             case messages.Cancel():
@@ -276,7 +283,7 @@
                 running = {run.request for run in agent.runs}
                 unknown = [r for r in message.requests if r not in running]
                 agent.outbox.append(
-                    messages.ProbeAnswer(truth=agent.truth(), unknown=unknown)
+                    messages.ProbeAnswer(truth=agent.status(), unknown=unknown)
                 )
 
     def generate(self, agent, run, count):
@@ -288,7 +295,7 @@
                     request=run.request,
                     attempt=run.attempt,
                     sequence=run.sequence,
-                    text=token(run.request, run.index),
+                    text=token_text(run.request, run.index),
                 )
             )
             run.sequence += 1
@@ -309,7 +316,7 @@
         agent = self.agents[number]
         match fault:
             case "crash":
-                agent.life += 1
+                agent.start_count += 1
                 for run in list(agent.runs):
                     self.ran.add(run.request)
                     agent.fail(run)
@@ -335,11 +342,11 @@
         waiting = [
             request
             for request, caller in self.callers.items()
-            if not caller.over and not caller.gone
+            if not caller.ended and not caller.disconnected
         ]
         if waiting:
             request = waiting[which % len(waiting)]
-            self.callers[request].gone = True
+            self.callers[request].disconnected = True
             self.handle(events.CallerGone(request=request))
 
     @stateful.rule(
@@ -359,7 +366,9 @@
         for _ in range(5):
             self.wait(6.0)
         assert self.entry.idle()
-        assert all(each.over or each.gone for each in self.callers.values())
+        assert all(
+            each.ended or each.disconnected for each in self.callers.values()
+        )
 
 
 Streams.TestCase.settings = hypothesis.settings(
--- a/pimentoledge/tests/test_fake_engines.py
+++ b/pimentoledge/tests/test_fake_engines.py
@@ -61,7 +61,7 @@
     for name, count in (("a", 50), ("b", 50), ("c", 5), ("d", 5)):
         text = engine_runs.text_of(output, name)
         assert text == fake_engines.expected_text("p", 0, count)
-        end = engine_runs.last_of(output, name)
+        end = engine_runs.end_of(output, name)
         assert (end.reason, end.completion_tokens) == ("length", count)
 
 
@@ -95,13 +95,13 @@
     output = drive(engine)
     second_part = engine_runs.text_of(output, "a")
     assert first_part + second_part == fake_engines.expected_text("p", 0, 20)
-    assert engine_runs.last_of(output, "a").completion_tokens == 13
+    assert engine_runs.end_of(output, "a").completion_tokens == 13
     assert engine.counters.wrong_continuations == 1
-    end = engine_runs.last_of(output, "c")
+    end = engine_runs.end_of(output, "c")
     assert (end.reason, end.completion_tokens) == ("stop", 4)
     assert engine.counters.generated_tokens == 13 + 13 + 4
     submit(engine, run_of("d", max_tokens=7, continued_tokens=7))
-    assert engine_runs.last_of(drive(engine), "d").completion_tokens == 0
+    assert engine_runs.end_of(drive(engine), "d").completion_tokens == 0
     assert engine.counters.generated_tokens == 13 + 13 + 4
 
 
@@ -196,7 +196,7 @@
     assert engine.cancel("c", 1, 1.0)
     assert engine.cancel("b", 1, 1.0)
     output += drive(engine)
-    rans = [engine_runs.last_of(output, name).ran for name in "abc"]
+    rans = [engine_runs.end_of(output, name).ran for name in "abc"]
     assert rans == ["ran", "ran", "not_run"]
     assert engine.status(2.0).running == 0
     assert engine.next_wake() is None
@@ -215,7 +215,7 @@
     assert text_after_resume == fake_engines.expected_text("p", 2, 18)
     text, end = engine.resume("a", 1, 15)
     assert text.text == fake_engines.expected_text("p", 15, 5)
-    assert end == engine_runs.last_of(later_output, "a")
+    assert end == engine_runs.end_of(later_output, "a")
     assert engine.counters.runs["a"] == 1
 
 
@@ -313,7 +313,7 @@
     engine.crash(2.0)
     output += drive(engine, until=2.0)
     for name in "ab":
-        assert engine_runs.last_of(output, name).ran == "ran"
+        assert engine_runs.end_of(output, name).ran == "ran"
     assert engine.status(2.0) == events.EngineStatus()
     assert engine.cache_events(0, 2.0) is None
     assert give_order(engine, "role", "both", 7).reason == "down"
@@ -347,8 +347,8 @@
     submit(engine, run_of("a", max_tokens=99), run_of("b", "x POISON"))
     output = drive(engine)
     assert engine_runs.text_of(output, "b").count(" ") == 2
-    assert engine_runs.last_of(output, "a").text == "crashed"
-    assert engine_runs.last_of(output, "b").text == "crashed"
+    assert engine_runs.end_of(output, "a").text == "crashed"
+    assert engine_runs.end_of(output, "b").text == "crashed"
     assert engine.counters.crashes == 1
     assert engine.counters.generated_tokens == sum(
         each.tokens for each in output if isinstance(each, events.EngineText)
--- a/pimentoledge/tests/test_path.py
+++ b/pimentoledge/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: real entries and agents before fakes, on loopback."""
+"""End-to-end tests of entries and agents with fake servers, on loopback."""
 
 import json
 import threading
@@ -11,7 +11,7 @@
 from pimentoledge.stores import vms
 from pimentoledge.tests import processes
 
-WAIT = 20.0
+WAIT_SECONDS = 20.0
 KEY = "path-key"
 PROMPT = "A long manual about one frame. " * 40
 
@@ -20,7 +20,7 @@
 def emulator():
     started = emulators.Emulator()
     started.start()
-    for each in processes.basics(KEY):
+    for each in processes.basic_declarations(KEY):
         started.declare(each)
     yield started
     started.close()
@@ -42,8 +42,8 @@
     return daemon
 
 
-def ask(daemon, tokens=20, stream=True, model="m", **headers):
-    pool = urllib3.PoolManager(retries=False, timeout=WAIT)
+def request_completion(daemon, tokens=20, stream=True, model="m", **headers):
+    pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
     body = {
         "model": model,
         "prompt": PROMPT,
@@ -60,7 +60,7 @@
 
 
 def post_card(daemon, key):
-    pool = urllib3.PoolManager(retries=False, timeout=WAIT)
+    pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
     return pool.request(
         "POST",
         f"http://{daemon.callers.address}/services/cards/new",
@@ -69,30 +69,32 @@
     )
 
 
-def test_a_stream_is_whole_and_the_second_one_hits_the_cache(emulator):
+def test_streams_are_complete_and_the_second_hits_the_cache(emulator):
     emulator.add_runner("r1", "m", step_seconds=0.002)
     emulator.add_runner("r2", "m", step_seconds=0.002)
     entry = start_entry(emulator)
     expected = fake_engines.expected_text(PROMPT, 0, 20)
     for _ in range(2):
-        assert processes.read_stream(ask(entry)) == (expected, True)
+        assert processes.read_stream(request_completion(entry)) == (
+            expected,
+            True,
+        )
     cached = [
         r.engine.counters.cached_tokens for r in emulator.runners.values()
     ]
     assert sum(cached) > 0
 
 
-def test_an_engine_that_dies_mid_stream_is_continued_on_another(emulator):
-    """A runner dies while a counter clerk reads the answer.
+def test_a_stream_continues_on_another_runner_after_a_crash(emulator):
+    """Guards against a stream that breaks or repeats text after a crash.
 
-    The engine crashes after some tokens; the entry goes on at the other
-    runner behind what it has passed on. The caller sees one whole answer,
-    with no word twice.
+    The engine crashes after some tokens. The entry must continue the stream on
+    the other runner after the text already sent.
     """
     emulator.add_runner("r1", "m", step_seconds=0.01)
     emulator.add_runner("r2", "m", step_seconds=0.01)
     entry = start_entry(emulator)
-    response = ask(entry, tokens=60)
+    response = request_completion(entry, tokens=60)
     processes.wait_until(
         lambda: any(
             r.engine.counters.generated_tokens > 5
@@ -108,15 +110,15 @@
     assert processes.read_stream(response) == (expected, True)
 
 
-def test_a_cut_connection_to_a_living_engine_is_resumed(emulator):
-    """The connection between agent and engine breaks; the engine lives on.
+def test_a_stream_resumes_after_its_engine_connection_breaks(emulator):
+    """The connection between agent and engine breaks; the engine keeps running.
 
-    The stream is taken up where it was cut. Nothing is computed twice: with
-    one runner there is no other that could have continued it.
+    The stream must resume where it broke, without computing a token twice.
+    There is only one runner, so no other could have continued the stream.
     """
     runner = emulator.add_runner("r1", "m", step_seconds=0.01)
     entry = start_entry(emulator)
-    response = ask(entry, tokens=60)
+    response = request_completion(entry, tokens=60)
     processes.wait_until(lambda: runner.engine.counters.generated_tokens > 5)
     runner.server.cut_streams()
     expected = fake_engines.expected_text(PROMPT, 0, 60)
@@ -124,15 +126,15 @@
     assert runner.engine.counters.generated_tokens == 60
 
 
-def test_a_caller_that_goes_away_cancels_at_the_engine(emulator):
-    """A caller closes the connection in the middle of a long answer.
+def test_a_disconnected_caller_cancels_its_run(emulator):
+    """A caller closes its connection in the middle of a long answer.
 
-    Without a cancel the engine would generate the rest for nobody and keep
-    its slot from others.
+    Without a cancel the engine would generate the rest for no one, in a slot
+    that other requests need.
     """
     runner = emulator.add_runner("r1", "m", step_seconds=0.005)
     entry = start_entry(emulator)
-    response = ask(entry, tokens=5000)
+    response = request_completion(entry, tokens=5000)
     response.read(64)
     response.close()
     processes.wait_until(
@@ -141,10 +143,10 @@
     processes.wait_until(lambda: not runner.engine.streams)
 
 
-def test_a_card_sent_again_through_another_entry_runs_once(emulator):
-    """A booking page times out and posts the same job card again.
+def test_a_call_repeated_through_another_entry_runs_once(emulator):
+    """A client times out and repeats its call through another entry.
 
-    The second post reaches another entry. Both get the first run's answer.
+    Both requests must get the answer of the only run.
     """
     emulator.add_service("c1", "cards")
     emulator.add_service("c2", "cards")
@@ -157,33 +159,33 @@
 
 
 def test_a_drain_cuts_no_stream(emulator):
-    """An entry is told to end while it passes on a long answer.
+    """An entry drains while it streams a long answer.
 
-    It must leave the balancer, finish the answer, and refuse what comes
-    later with a true "not run".
+    It must become not ready, so that the load balancer stops using it, complete
+    the answer, and refuse later requests as "not run".
     """
     emulator.add_runner("r1", "m", step_seconds=0.005)
     entry = start_entry(emulator, drain_seconds="0")
-    response = ask(entry, tokens=100)
+    response = request_completion(entry, tokens=100)
     draining = threading.Thread(target=entry.drain)
     draining.start()
     processes.wait_until(lambda: not entry.ready())
     processes.wait_until(lambda: entry.loop.query(lambda core: core.draining))
-    late = ask(entry)
+    late = request_completion(entry)
     assert late.status == 503
     error = json.loads(late.read())["error"]
     assert (error["code"], error["outcome"]) == ("SHUTTING_DOWN", "not_run")
     expected = fake_engines.expected_text(PROMPT, 0, 100)
     assert processes.read_stream(response) == (expected, True)
-    draining.join(WAIT)
+    draining.join(WAIT_SECONDS)
     assert not draining.is_alive()
 
 
-def test_metrics_and_health_follow_what_happens(emulator):
+def test_metrics_and_health_reflect_requests_and_leaving(emulator):
     runner = emulator.add_runner("r1", "m", step_seconds=0.002)
     entry = start_entry(emulator)
-    processes.read_stream(ask(entry))
-    pool = urllib3.PoolManager(retries=False, timeout=WAIT)
+    processes.read_stream(request_completion(entry))
+    pool = urllib3.PoolManager(retries=False, timeout=WAIT_SECONDS)
 
     def page(daemon, path):
         url = f"http://{daemon.admin.address}{path}"
@@ -203,8 +205,8 @@
     assert page(entry, "/healthz").status == 200
 
 
-def test_nothing_is_left_behind():
-    """A daemon that leaves a thread behind can't be replaced in place."""
+def test_close_ends_all_threads():
+    """A daemon that leaks a thread can't be replaced in place."""
     before = set(threading.enumerate())
     started = emulators.Emulator()
     started.start()
@@ -216,11 +218,12 @@
     assert not [each.name for each in left]
 
 
-def test_a_vm_that_the_platform_takes_away_gets_no_new_work(emulator):
-    """The platform lists a VM as leaving; its agent knows nothing of it.
+def test_a_vm_listed_as_leaving_gets_no_new_requests(emulator):
+    """The platform lists a VM as leaving; its agent is not notified.
 
-    A request sent there would be cut when the VM goes. The entry reads the
-    list and places work elsewhere, though the declaration still says "in".
+    A request sent there would be cut off when the VM stops. The entry must
+    read the list and exclude the server, although its declaration is still
+    "in".
     """
     emulator.add_runner("r1", "m", step_seconds=0.002)
     entry = start_entry(emulator, vm_list_seconds="1")
@@ -234,8 +237,8 @@
     processes.wait_until(
         lambda: entry.loop.query(lambda core: core.membership.leaving_vms)
     )
-    refused = ask(entry)
+    refused = request_completion(entry)
     error = json.loads(refused.read())["error"]
     assert (error["code"], error["outcome"]) == ("NO_SERVER", "not_run")
     emulator.vm_list.remove("vm-1")
-    processes.wait_until(lambda: ask(entry).status == 200)
+    processes.wait_until(lambda: request_completion(entry).status == 200)
--- a/pimentoledge/tests/test_poison.py
+++ b/pimentoledge/tests/test_poison.py
@@ -8,40 +8,46 @@
 
 ENTRIES = 10
 RESENDS = 8
-WAIT = 40.0
+WAIT_SECONDS = 40.0
 POISON = "poison " * 300
 MANUALS = [f"manual {number} " * 300 for number in range(5)]
 
 
-def path_of(**changes):
+def start_cluster(**changes):
     fields = {"entry_count": ENTRIES, "runners": 9, "slots": 4}
     return simulated_clusters.SimulatedCluster(**{**fields, **changes})
 
 
-def send_poison(path, number, copies=1):
-    """Sends copies through successive entries; returns their errors."""
+def send_poison(cluster, number, copies=1):
+    """Sends copies of poison through successive entries; returns the errors."""
     names = [f"x{number}.{copy}" for copy in range(copies)]
     for copy, name in enumerate(names):
-        path.request((number + copy) % ENTRIES, name, POISON)
-    path.run(WAIT, until=lambda: all(each in path.answers for each in names))
-    return [path.answers[each][0] for each in names]
+        cluster.request((number + copy) % ENTRIES, name, POISON)
+    cluster.run(
+        WAIT_SECONDS,
+        until=lambda: all(each in cluster.answers for each in names),
+    )
+    return [cluster.answers[each][0] for each in names]
 
 
-def send_innocents(path, number):
+def send_innocents(cluster, number):
     for each, manual in enumerate(MANUALS):
         entry = (number + each) % ENTRIES
-        path.request(entry, f"i{number}.{each}", manual, tokens=60)
+        cluster.request(entry, f"i{number}.{each}", manual, tokens=60)
 
 
-def check_innocents(path, sent):
-    path.run(WAIT, until=lambda: sum("i" in e for e in path.answers) == sent)
+def check_innocents(cluster, sent):
+    cluster.run(
+        WAIT_SECONDS,
+        until=lambda: sum("i" in e for e in cluster.answers) == sent,
+    )
     wrong = {
-        each: path.result_code(each)
-        for each in path.answers
-        if each[0] == "i" and path.result_code(each) != results.Code.OK
+        each: cluster.result_code(each)
+        for each in cluster.answers
+        if each[0] == "i" and cluster.result_code(each) != results.Code.OK
     }
     assert not wrong
-    for each, text in path.texts.items():
+    for each, text in cluster.texts.items():
         if each[0] == "i":
             manual = MANUALS[int(each[-1])]
             assert text == fake_engines.expected_text(manual, 0, 60)
@@ -55,50 +61,52 @@
     or ten copies at a time, while other clients use the same engines. Their
     answers must be complete, and the poison's error must state that it ran.
     """
-    path = path_of()
+    cluster = start_cluster()
     for number in range(RESENDS):
-        send_innocents(path, number)
-        for error in send_poison(path, number, copies):
+        send_innocents(cluster, number)
+        for error in send_poison(cluster, number, copies):
             assert error.code == results.Code.POISON
             assert error.outcome() == results.Ran.RAN
             assert error.retry_after > 0
-    check_innocents(path, RESENDS * len(MANUALS))
+    check_innocents(cluster, RESENDS * len(MANUALS))
     # After the short refusal it may run once more, on the third and last
     # engine.
-    path.run(31.0)
+    cluster.run(31.0)
     for number in range(RESENDS):
-        send_poison(path, number + RESENDS)
-    assert 2 <= path.crash_count() <= 3
+        send_poison(cluster, number + RESENDS)
+    assert 2 <= cluster.crash_count() <= 3
 
 
 def test_two_poison_requests_in_one_batch():
     """Two poison requests share engines, so no crash identifies one alone."""
-    path = path_of()
+    cluster = start_cluster()
     for number in range(RESENDS):
-        send_innocents(path, number)
+        send_innocents(cluster, number)
         other = f"y{number}"
-        path.request(number % ENTRIES, other, "other " + POISON)
-        send_poison(path, number)
-        path.run(WAIT, until=lambda name=other: name in path.answers)
-        assert path.result_code(other) == results.Code.POISON
-    check_innocents(path, RESENDS * len(MANUALS))
-    assert path.crash_count() <= 6
+        cluster.request(number % ENTRIES, other, "other " + POISON)
+        send_poison(cluster, number)
+        cluster.run(
+            WAIT_SECONDS, until=lambda name=other: name in cluster.answers
+        )
+        assert cluster.result_code(other) == results.Code.POISON
+    check_innocents(cluster, RESENDS * len(MANUALS))
+    assert cluster.crash_count() <= 6
 
 
 def test_all_entries_restart_between_two_resends():
-    """Entries that lose their memory must read the crashes from the store."""
-    path = path_of()
-    send_poison(path, 0)
-    path.run(31.0)
-    send_poison(path, 1)
-    before = path.crash_count()
+    """Restarted entries have lost the crashes and must read the store's."""
+    cluster = start_cluster()
+    send_poison(cluster, 0)
+    cluster.run(31.0)
+    send_poison(cluster, 1)
+    before = cluster.crash_count()
     for number in range(ENTRIES):
-        path.start_entry(number)
-    path.run(8.0)
+        cluster.start_entry(number)
+    cluster.run(8.0)
     for number in range(RESENDS):
-        (error,) = send_poison(path, number + 2)
+        (error,) = send_poison(cluster, number + 2)
         assert error.code == results.Code.POISON
-    assert before == path.crash_count() <= 3
+    assert before == cluster.crash_count() <= 3
 
 
 def test_isolated_entries_receive_crashes_through_the_store():
@@ -107,13 +115,13 @@
     The store is reachable. The client waits two seconds between resends, in
     which each entry receives the crashes from the store.
     """
-    path = path_of()
-    entries = set(path.entry_addresses)
-    path.cut = lambda sender, receiver: entries >= {sender, receiver}
+    cluster = start_cluster()
+    entries = set(cluster.entry_addresses)
+    cluster.cut = lambda sender, receiver: entries >= {sender, receiver}
     for number in range(RESENDS):
-        send_poison(path, number)
-        path.run(2.0)
-    assert path.crash_count() <= 3
+        send_poison(cluster, number)
+        cluster.run(2.0)
+    assert cluster.crash_count() <= 3
 
 
 def test_innocents_of_a_crash_are_released_soon():
@@ -122,13 +130,13 @@
     Poison crashes an engine that runs three other requests. These are tried
     one by one, complete within seconds and leave no record.
     """
-    path = path_of(entry_count=2, runners=2)
+    cluster = start_cluster(entry_count=2, runners=2)
     for number, manual in enumerate(MANUALS[:3]):
-        path.request(0, f"i0.{number}", manual, tokens=60)
-    path.run(0.3)
-    path.request(1, "x", POISON)
-    path.run(WAIT, until=lambda: "x" in path.answers)
-    check_innocents(path, 3)
-    path.run(1.0)
+        cluster.request(0, f"i0.{number}", manual, tokens=60)
+    cluster.run(0.3)
+    cluster.request(1, "x", POISON)
+    cluster.run(WAIT_SECONDS, until=lambda: "x" in cluster.answers)
+    check_innocents(cluster, 3)
+    cluster.run(1.0)
     for entry in range(2):
-        assert len(path.crash_records(entry)) == 1
+        assert len(cluster.crash_records(entry)) == 1
--- a/pimentoledge/tests/test_processes.py
+++ b/pimentoledge/tests/test_processes.py
@@ -18,7 +18,7 @@
 
 def can_serve(entry) -> bool:
     """Returns whether an entry answers a short request."""
-    return entry.ready() and entry.ask(1).status == 200
+    return entry.ready() and entry.request_stream(1).status == 200
 
 
 def expected_stream(tokens: int) -> tuple[str, bool]:
@@ -31,10 +31,10 @@
     The entry gets SIGTERM in the middle of a stream. The caller must read the
     whole answer, then the entry's process exits; the agent's exits as well.
     """
-    _, agent = deployment.runner("r1")
-    entry = deployment.entry("e1")
+    _, agent = deployment.start_runner("r1")
+    entry = deployment.start_entry("e1")
     processes.wait_until(lambda: can_serve(entry))
-    response = entry.ask(120)
+    response = entry.request_stream(120)
     first = response.read(10)
     entry.process.popen.send_signal(signal.SIGTERM)
     processes.wait_until(lambda: not entry.ready())
@@ -52,10 +52,10 @@
     The entry detects the broken connection and continues the stream on the
     other runner after the text already sent.
     """
-    pairs = [deployment.runner("r1"), deployment.runner("r2")]
-    entry = deployment.entry("e1")
+    pairs = [deployment.start_runner("r1"), deployment.start_runner("r2")]
+    entry = deployment.start_entry("e1")
     processes.wait_until(lambda: can_serve(entry))
-    response = entry.ask(200)
+    response = entry.request_stream(200)
     first = response.read(200)
     used = chosen_server(entry)
     for each in pairs[int(used[1:]) - 1]:
@@ -82,13 +82,15 @@
     It stores no state, so it must serve as soon as it has read the
     configuration, without an operator's help.
     """
-    deployment.runner("r1")
-    killed = deployment.entry("e1")
+    deployment.start_runner("r1")
+    killed = deployment.start_entry("e1")
     processes.wait_until(lambda: can_serve(killed))
     assert killed.process.end(signal.SIGKILL) == -signal.SIGKILL
-    restarted = deployment.entry("e1")
+    restarted = deployment.start_entry("e1")
     processes.wait_until(lambda: can_serve(restarted))
-    assert processes.read_stream(restarted.ask(20)) == expected_stream(20)
+    assert processes.read_stream(
+        restarted.request_stream(20)
+    ) == expected_stream(20)
 
 
 # Seven processes start one after the other, which is slow on a busy machine.
@@ -104,10 +106,12 @@
     addresses = [processes.free_mailbox() for _ in range(2)]
     peers = ",".join(addresses)
     for name in ("r1", "r2"):
-        deployment.runner(name, peers=peers)
+        deployment.start_runner(name, peers=peers)
 
     def start(number):
-        return deployment.entry(f"e{number}", addresses[number], peers=peers)
+        return deployment.start_entry(
+            f"e{number}", addresses[number], peers=peers
+        )
 
     entries = [start(0), start(1)]
     for each in entries:
@@ -121,7 +125,9 @@
     entries = [start(0), start(1)]
     for each in entries:
         processes.wait_until(lambda each=each: can_serve(each))
-        assert processes.read_stream(each.ask(20)) == expected_stream(20)
+        assert processes.read_stream(
+            each.request_stream(20)
+        ) == expected_stream(20)
 
 
 def test_a_card_posted_before_and_after_a_kill_runs_once(deployment):
@@ -131,8 +137,10 @@
     The second entry must return the first run's answer: the claim is stored by
     the agent beside the service and in the store, not by the entry.
     """
-    deployment.service("c1")
-    killed, survivor = deployment.entry("e1"), deployment.entry("e2")
+    deployment.start_service("c1")
+    killed, survivor = deployment.start_entry("e1"), deployment.start_entry(
+        "e2"
+    )
     answer = processes.wait_until(
         lambda: a if (a := killed.post_card("k1")).status == 200 else None
     )
--- a/pimentoledge/tests/test_upgrades.py
+++ b/pimentoledge/tests/test_upgrades.py
@@ -87,7 +87,7 @@
 
     def ask(self):
         while not self.stopped:
-            response = test_path.ask(self.entry, tokens=TOKENS)
+            response = test_path.request_completion(self.entry, tokens=TOKENS)
             if response.status == 200:
                 self.answers.append(processes.read_stream(response))
             else:
@@ -137,7 +137,9 @@
     for adapter in ("a1", "a1", "a2", ""):
         before = engine.counters.cached_tokens
         model = f"m:{adapter}" if adapter else "m"
-        processes.read_stream(test_path.ask(entry, model=model, tokens=5))
+        processes.read_stream(
+            test_path.request_completion(entry, model=model, tokens=5)
+        )
         cached.append(engine.counters.cached_tokens - before)
     assert cached[0] == cached[2] == cached[3] == 0 < cached[1]
 
