--- a/benches/admission.py
+++ b/benches/admission.py
@@ -22,7 +22,7 @@
 from pimentoledge.decisions import stores
 from pimentoledge.nodes import messages
 from pimentoledge.runners import fake_engines
-from pimentoledge.tests import paths
+from pimentoledge.tests import simulated_clusters
 
 SEEDS = (1, 2, 3)
 SLOTS = 16
@@ -592,8 +592,10 @@
     Returns:
         Engine crashes, the other requests' results and store writes.
     """
-    path = paths.Path(entry_count=10, runners=9, slots=4)
-    entry_names = set(path.entry_names)
+    path = simulated_clusters.SimulatedCluster(
+        entry_count=10, runners=9, slots=4
+    )
+    entry_names = set(path.entry_addresses)
     if "apart" in name:
         path.cut = lambda sender, receiver: entry_names >= {sender, receiver}
     if "no store" in name:
@@ -638,11 +640,13 @@
         for e in other_requests
         if e in path.answers
     ]
-    not_served = [e for e in other_requests if path.code(e) != results.Code.OK]
+    not_served = [
+        e for e in other_requests if path.result_code(e) != results.Code.OK
+    ]
     writes = [e for e in path.store.calls[before:] if _is_quarantine_write(e)]
     return {
         "case": name,
-        "engines_crashed": path.crashes(),
+        "engines_crashed": path.crash_count(),
         "innocents": len(other_requests),
         "not_served": len(not_served),
         "answer_p50_s": quantile(latencies, 0.5),
--- a/pimentoledge/tests/soak/clients.py
+++ b/pimentoledge/tests/soak/clients.py
@@ -24,9 +24,9 @@
 
     head_at: float | None = None
 
-    async def _head(self):
+    async def _read_head(self):
         self.head_at = None
-        found = await super()._head()
+        found = await super()._read_head()
         if found is not None:
             self.head_at = time.monotonic()
         return found
@@ -137,6 +137,6 @@
             request.status = answer.status
             request.headers = answer.headers
             request.answer = answer.body
-            request.whole = answer.whole
+            request.whole = answer.complete
         request.headed = connection.head_at
         request.ended = time.monotonic()
--- a/pimentoledge/tests/soak/fleets.py
+++ b/pimentoledge/tests/soak/fleets.py
@@ -161,7 +161,7 @@
             "router", f"--config={router.settings}"
         )
         log = f"{router.name}-{len(router.process_runs)}"
-        self.logs[log] = router.process.seen
+        self.logs[log] = router.process.consumed_lines
 
     async def _restart_when_ended(self, router: Router) -> None:
         """Restarts a router whenever its process has ended."""
@@ -243,7 +243,7 @@
 
 def _read_remaining_lines(process: processes.Process) -> None:
     while not process.lines.empty():
-        process.seen.append(process.lines.get())
+        process.consumed_lines.append(process.lines.get())
 
 
 async def _wait_for_restart(
