--- a/benches/clients.py
+++ b/benches/clients.py
@@ -25,9 +25,9 @@
         failed: whether the status was not 200.
     """
 
-    begun: float = 0.0
-    first: float = 0.0
-    ended: float = 0.0
+    started_at: float = 0.0
+    first_text_at: float = 0.0
+    ended_at: float = 0.0
     events: int = 0
     tail: bytes = b""
     failed: bool = False
@@ -83,7 +83,7 @@
         """Opens a connection and sends a request on it."""
         sock = socket.create_connection(self.address)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = Stream(begun=time.perf_counter())
+        stream = Stream(started_at=time.perf_counter())
         sock.sendall(request)
         sock.setblocking(False)
         self.selector.register(sock, selectors.EVENT_READ, stream)
@@ -99,7 +99,7 @@
             for key, _ in self.selector.select(left):
                 self.read(key.fileobj, key.data)
 
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Returns how many streams are open."""
         return len(self.selector.get_map())
 
@@ -118,14 +118,14 @@
             data = b""
         now = time.perf_counter()
         if not data:
-            stream.ended = now
+            stream.ended_at = now
             self.selector.unregister(sock)
             sock.close()
             return
         if not stream.tail:
             stream.failed = b" 200 " not in data[:20]
-        if not stream.first and _TEXT in data:
-            stream.first = now
+        if not stream.first_text_at and _TEXT in data:
+            stream.first_text_at = now
         events = data.count(b"data: ")
         stream.events += events
         self.events += events
--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -23,7 +23,7 @@
 _SALT = b"s" * 32
 
 
-def _wanted(number: int, tokens: int) -> placement.PlacementRequest:
+def _make_request(number: int, tokens: int) -> placement.PlacementRequest:
     shared = random.Random(number % _PREFIXES).randbytes(
         tokens * workloads.TOKEN_BYTES - _TAIL_BYTES
     )
@@ -42,7 +42,7 @@
     )
 
 
-def _fleet(count: int) -> list[declarations.BackendServer]:
+def _make_servers(count: int) -> list[declarations.BackendServer]:
     return [
         declarations.BackendServer(
             name=f"s{number}", serves="m", agent="tcp://127.0.0.1:1"
@@ -51,7 +51,7 @@
     ]
 
 
-def _truth(name: str) -> messages.ServerStatus:
+def _status_of(name: str) -> messages.ServerStatus:
     return messages.ServerStatus(
         server=name,
         incarnation="i1",
@@ -61,32 +61,32 @@
     )
 
 
-def decision(servers: int, tokens: int) -> tuple[float, float]:
+def decision_microseconds(servers: int, tokens: int) -> tuple[float, float]:
     """Returns the median microseconds to choose, and for the rest.
 
     Args:
         servers: declared servers.
         tokens: prompt length.
     """
-    fleet = _fleet(servers)
+    declared = _make_servers(servers)
     placer = placement.Placer(seed=1, data_centre="")
-    for server in fleet:
-        placer.learned(_truth(server.name), 0.0)
+    for server in declared:
+        placer.learned(_status_of(server.name), 0.0)
     choosing = []
-    learning = []
+    updating = []
     for number in range(_ROUNDS):
-        wanted = _wanted(number, tokens)
+        request = _make_request(number, tokens)
         now = number * 0.01
-        began = time.process_time_ns()
-        choice = placer.choose(wanted, fleet, now)
-        chosen = time.process_time_ns()
-        placer.sent(choice.server, wanted.request, 100, now)
-        placer.learned(_truth(choice.server), now)
-        placer.finished(choice.server, wanted.request, wanted.blocks, 0, now)
-        ended = time.process_time_ns()
-        choosing.append((chosen - began) / 1000)
-        learning.append((ended - chosen) / 1000)
-    return statistics.median(choosing), statistics.median(learning)
+        started_at = time.process_time_ns()
+        choice = placer.choose(request, declared, now)
+        chosen_at = time.process_time_ns()
+        placer.sent(choice.server, request.request, 100, now)
+        placer.learned(_status_of(choice.server), now)
+        placer.finished(choice.server, request.request, request.blocks, 0, now)
+        ended_at = time.process_time_ns()
+        choosing.append((chosen_at - started_at) / 1000)
+        updating.append((ended_at - chosen_at) / 1000)
+    return statistics.median(choosing), statistics.median(updating)
 
 
 def chain_seconds() -> float:
@@ -94,9 +94,9 @@
     text = random.Random(1).randbytes(1_000_000)
     times = []
     for _ in range(9):
-        began = time.process_time()
+        started_at = time.process_time()
         prefixes.chain(salt=_SALT, text=text, block_bytes=workloads.BLOCK_BYTES)
-        times.append(time.process_time() - began)
+        times.append(time.process_time() - started_at)
     return statistics.median(times)
 
 
@@ -120,8 +120,8 @@
     print("| --- | --- | --- | --- |")
     for servers in _SERVERS:
         for tokens in _PROMPT_TOKENS:
-            choosing, learning = decision(servers, tokens)
-            print(f"| {servers} | {tokens} | {choosing:.0f} | {learning:.0f} |")
+            choosing, updating = decision_microseconds(servers, tokens)
+            print(f"| {servers} | {tokens} | {choosing:.0f} | {updating:.0f} |")
     print(f"chain: {chain_seconds() * 1000:.1f} ms of processor per MB")
     print(f"hint: {hint_bytes(20_000):.0f} bytes")
 
--- a/benches/engines.py
+++ b/benches/engines.py
@@ -32,11 +32,11 @@
 
     arrival: workloads.Arrival
     attempt: int
-    expected: int
+    expected_tokens: int
     crashes: int = 0
     cached: int | None = None
-    left: int = 0
-    stored: int = 0
+    tokens_left: int = 0
+    stored_blocks: int = 0
     generated: int = 0
 
 
@@ -59,12 +59,12 @@
 
     def depth(self, blocks: list[bytes]) -> int:
         """Returns how many leading blocks are held by any engine."""
-        return _leading(blocks, self.counts)
+        return _leading_cached(blocks, self.counts)
 
 
-def _leading(blocks: list[bytes], held) -> int:
+def _leading_cached(blocks: list[bytes], cached) -> int:
     for depth, block in enumerate(blocks):
-        if block not in held:
+        if block not in cached:
             return depth
     return len(blocks)
 
@@ -98,7 +98,9 @@
     def submit(self, job: Job):
         """Takes a job into the batch, anew or after a pause."""
         job.cached = None
-        job.left = job.arrival.prompt_tokens - job.expected + job.generated
+        job.tokens_left = (
+            job.arrival.prompt_tokens - job.expected_tokens + job.generated
+        )
         self.batch.append(job)
 
     def cancel(self, job: Job):
@@ -112,42 +114,46 @@
 
     def left_tokens(self) -> int:
         """Returns the prompt tokens still to compute."""
-        return sum(job.left for job in self.batch)
+        return sum(job.tokens_left for job in self.batch)
 
     def depth(self, blocks: list[bytes]) -> int:
         """Returns how many leading blocks are in the cache."""
-        return _leading(blocks, self.cache)
+        return _leading_cached(blocks, self.cache)
 
     def start_step(self) -> float:
         """Begins a step and returns how long it takes."""
         budget = _CHUNK_TOKENS
         self.prefilled = []
         order = sorted(
-            (job for job in self.batch if job.cached is None or job.left),
+            (
+                job
+                for job in self.batch
+                if job.cached is None or job.tokens_left
+            ),
             key=lambda job: job.arrival.priority != workloads.INTERACTIVE,
         )
         for job in order:
             if budget <= 0:
                 break
             if job.cached is None:
-                self.look_up(job)
-            tokens = min(budget, job.left)
+                self.use_cached_prefix(job)
+            tokens = min(budget, job.tokens_left)
             budget -= tokens
             self.prefilled.append((job, tokens))
-        spent = (_CHUNK_TOKENS - budget) * self.pool.token_seconds
-        return self.pool.step_seconds + spent
+        prefill_seconds = (_CHUNK_TOKENS - budget) * self.pool.token_seconds
+        return self.pool.step_seconds + prefill_seconds
 
-    def look_up(self, job: Job):
+    def use_cached_prefix(self, job: Job):
         """Takes what the cache has of a job's prompt."""
         depth = self.depth(job.arrival.blocks)
-        elsewhere = self.holders.depth(job.arrival.blocks)
-        wasted = max(0, elsewhere - depth) * workloads.BLOCK_TOKENS
+        cached_anywhere = self.holders.depth(job.arrival.blocks)
+        wasted = max(0, cached_anywhere - depth) * workloads.BLOCK_TOKENS
         job.cached = depth * workloads.BLOCK_TOKENS
-        job.stored = depth
+        job.stored_blocks = depth
         # One token at least is computed, to have the first answer's token.
         # Of a resumed job, what it had generated is computed again too.
         known = job.arrival.prompt_tokens + job.generated
-        job.left = max(1, known - job.cached)
+        job.tokens_left = max(1, known - job.cached)
         self.touch(job.arrival.blocks[:depth])
         self.started.append((job, wasted))
 
@@ -169,34 +175,34 @@
         first: list[Job] = []
         done: list[Job] = []
         for job in self.batch:
-            if job.cached is not None and not job.left:
+            if job.cached is not None and not job.tokens_left:
                 job.generated += 1
         for job, tokens in self.prefilled:
-            job.left -= tokens
+            job.tokens_left -= tokens
             self.store(job)
-            if not job.left:
+            if not job.tokens_left:
                 job.generated += 1
                 first.append(job)
         for job in self.batch:
             if job.generated >= job.arrival.output_tokens:
                 done.append(job)
         if done:
-            gone = set(map(id, done))
-            self.batch = [job for job in self.batch if id(job) not in gone]
+            done_ids = set(map(id, done))
+            self.batch = [job for job in self.batch if id(job) not in done_ids]
         return first, done
 
     def store(self, job: Job):
         """Puts the blocks that a job has computed into the cache."""
-        known = max(0, job.arrival.prompt_tokens - job.left)
+        known = max(0, job.arrival.prompt_tokens - job.tokens_left)
         depth = min(len(job.arrival.blocks), known // workloads.BLOCK_TOKENS)
-        for block in job.arrival.blocks[job.stored : depth]:
+        for block in job.arrival.blocks[job.stored_blocks : depth]:
             if block not in self.cache:
                 self.cache[block] = None
                 self.holders.add(block)
-        job.stored = max(job.stored, depth)
+        job.stored_blocks = max(job.stored_blocks, depth)
         self.touch(job.arrival.blocks[:depth])
-        most = self.pool.cache_tokens // workloads.BLOCK_TOKENS
-        while len(self.cache) > most:
+        max_blocks = self.pool.cache_tokens // workloads.BLOCK_TOKENS
+        while len(self.cache) > max_blocks:
             block, _ = self.cache.popitem(last=False)
             self.holders.remove(block)
 
--- a/benches/fakes.py
+++ b/benches/fakes.py
@@ -24,7 +24,7 @@
 PROMPT_BYTES = 8192
 
 
-def run_of(*, number: int, tokens: int) -> actions.RunCompletion:
+def make_run(*, number: int, tokens: int) -> actions.RunCompletion:
     """Returns a completion; sixteen in a row share their prompt."""
     prompt = f"{number // 16:08d}" + "x" * (PROMPT_BYTES - 8)
     return actions.RunCompletion(
@@ -39,25 +39,25 @@
 
 def measure_engine(*, requests: int, tokens: int) -> None:
     """Runs completions in virtual time and prints what they cost."""
-    for every in (1, 16):
+    for text_every in (1, 16):
         engine = fake_engines.FakeEngine(
             slots=64, cache_blocks=20_000, token_seconds=1e-6
         )
-        engine.text_every = every
-        begin = time.process_time()
+        engine.text_every = text_every
+        started_at = time.process_time()
         now = 0.0
         steps = 0
         for number in range(requests):
-            engine.submit(run_of(number=number, tokens=tokens), "s", now)
+            engine.submit(make_run(number=number, tokens=tokens), "s", now)
         while (wake := engine.next_wake()) is not None:
             engine.step(wake)
             steps += 1
-        spent = time.process_time() - begin
-        made = engine.counters.generated_tokens
+        elapsed = time.process_time() - started_at
+        generated = engine.counters.generated_tokens
         print(
-            f"pure engine, text_every {every}: {requests / spent:,.0f}"
-            f" requests/s, {made / spent:,.0f} tokens/s,"
-            f" {steps / spent:,.0f} steps/s"
+            f"pure engine, text_every {text_every}: {requests / elapsed:,.0f}"
+            f" requests/s, {generated / elapsed:,.0f} tokens/s,"
+            f" {steps / elapsed:,.0f} steps/s"
         )
 
 
@@ -94,81 +94,88 @@
 
     def __init__(self):
         self.tokens = 0
-        self.pieces = 0
+        self.text_events = 0
         self.calls = 0
 
-    def take(self, found: list[streams.Event]) -> None:
+    def count(self, received: list[streams.Event]) -> None:
         """Counts events; the client's receiver."""
         self.calls += 1
-        for event in found:
+        for event in received:
             if isinstance(event, events.EngineText):
                 self.tokens += event.tokens
-                self.pieces += 1
+                self.text_events += 1
 
 
 def measure_pair(
     *, streams: int, seconds: float, step_seconds: float, by: str
 ) -> None:
     """Runs a server and its client and prints what a token costs each."""
-    ours, theirs = multiprocessing.Pipe()
+    parent_pipe, child_pipe = multiprocessing.Pipe()
     server = multiprocessing.get_context("spawn").Process(
-        target=serve, args=(theirs, streams, step_seconds)
+        target=serve, args=(child_pipe, streams, step_seconds)
     )
     server.start()
-    client = engines.EngineClient(url=ours.recv())
+    client = engines.EngineClient(url=parent_pipe.recv())
     client.start()
     counter = Counter()
-    threads = begin(client=client, count=streams, by=by, counter=counter)
+    threads = start_streams(
+        client=client, count=streams, by=by, counter=counter
+    )
     time.sleep(1)
-    ours.send("cost")
-    server_before, made_before = ours.recv()
-    before = (processor_seconds(), counter.tokens, counter.pieces)
+    parent_pipe.send("cost")
+    server_before, generated_before = parent_pipe.recv()
+    before = (processor_seconds(), counter.tokens, counter.text_events)
     calls = counter.calls
     start = time.monotonic()
     time.sleep(seconds)
-    after = (processor_seconds(), counter.tokens, counter.pieces)
-    cost, tokens, pieces = (y - x for x, y in zip(before, after, strict=True))
+    after = (processor_seconds(), counter.tokens, counter.text_events)
+    cost, tokens, text_events = (
+        y - x for x, y in zip(before, after, strict=True)
+    )
     calls = counter.calls - calls
-    spent = time.monotonic() - start
-    ours.send("cost")
-    server_after, made_after = ours.recv()
-    ours.send("end")
+    elapsed = time.monotonic() - start
+    parent_pipe.send("cost")
+    server_after, generated_after = parent_pipe.recv()
+    parent_pipe.send("end")
     server.join()
     for thread in threads:
         thread.join()
     client.close()
-    theirs_cost = (server_after - server_before) / (made_after - made_before)
+    server_cost = (server_after - server_before) / (
+        generated_after - generated_before
+    )
     print(
         f"pair by {by}, {streams} streams, step {step_seconds * 1000:g} ms:"
-        f" {tokens / spent:,.0f} tokens/s (due {streams / step_seconds:,.0f})"
-        f" in {pieces / spent:,.0f} events/s, {calls / spent:,.0f} calls/s;"
-        f" server {theirs_cost * 1e6:.1f} us a token,"
+        f" {tokens / elapsed:,.0f} tokens/s (due {streams / step_seconds:,.0f})"
+        f" in {text_events / elapsed:,.0f} events/s,"
+        f" {calls / elapsed:,.0f} calls/s;"
+        f" server {server_cost * 1e6:.1f} us a token,"
         f" client {cost / tokens * 1e6:.1f} us a token"
     )
 
 
-def begin(
+def start_streams(
     *, client: engines.EngineClient, count: int, by: str, counter: Counter
 ) -> list[threading.Thread]:
     """Begins the streams, read by one receiver or by a thread for each."""
     threads = []
     for number in range(count):
-        run = run_of(number=number, tokens=1_000_000)
+        run = make_run(number=number, tokens=1_000_000)
         if by == "receiver":
-            client.start_run(run, "s", counter.take)
+            client.start_run(run, "s", counter.count)
             continue
         thread = threading.Thread(
-            target=iterate, args=(client.run(run, "s"), counter)
+            target=read_stream, args=(client.run(run, "s"), counter)
         )
         thread.start()
         threads.append(thread)
     return threads
 
 
-def iterate(found: Iterator[streams.Event], counter: Counter) -> None:
+def read_stream(received: Iterator[streams.Event], counter: Counter) -> None:
     """Reads one stream to its end."""
-    for event in found:
-        counter.take([event])
+    for event in received:
+        counter.count([event])
 
 
 def main() -> None:
@@ -183,15 +190,15 @@
     parser.add_argument(
         "--by", choices=["receiver", "iterator"], default="receiver"
     )
-    given = parser.parse_args()
-    if given.what == "engine":
-        measure_engine(requests=given.requests, tokens=given.tokens)
+    arguments = parser.parse_args()
+    if arguments.what == "engine":
+        measure_engine(requests=arguments.requests, tokens=arguments.tokens)
     else:
         measure_pair(
-            streams=given.streams,
-            seconds=given.seconds,
-            step_seconds=given.step,
-            by=given.by,
+            streams=arguments.streams,
+            seconds=arguments.seconds,
+            step_seconds=arguments.step,
+            by=arguments.by,
         )
 
 
--- a/benches/fleet_engines.py
+++ b/benches/fleet_engines.py
@@ -17,12 +17,12 @@
 from pimentoledge.routing import request_types
 
 # A transfer that would wait longer than this is not started.
-MOST_TRANSFER_WAIT_SECONDS = 2.0
+MAX_TRANSFER_WAIT_SECONDS = 2.0
 # Between data centres a transfer takes so many times as long.
-ELSEWHERE_TIMES = 2.0
+CROSS_CENTRE_FACTOR = 2.0
 
 
-class Agenda:
+class Scheduler:
     """Virtual time: what is due when.
 
     Attributes:
@@ -31,28 +31,30 @@
 
     def __init__(self):
         self.now = 0.0
-        self._due: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = itertools.count()
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self._sequence = itertools.count()
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
+    def schedule(self, due_at: float, action: Callable[[], None]) -> None:
         """Plans an action."""
-        item = (max(when, self.now), next(self._numbers), action)
-        heapq.heappush(self._due, item)
+        item = (max(due_at, self.now), next(self._sequence), action)
+        heapq.heappush(self._scheduled, item)
 
-    def after(self, seconds: float, action: Callable[[], None]) -> None:
+    def schedule_after(
+        self, seconds: float, action: Callable[[], None]
+    ) -> None:
         """Plans an action some seconds from now."""
-        self.at(self.now + seconds, action)
+        self.schedule(self.now + seconds, action)
 
     def run(self, until: float) -> None:
         """Does all that is due up to a time."""
-        while self._due and self._due[0][0] <= until:
-            self.now, _, action = heapq.heappop(self._due)
+        while self._scheduled and self._scheduled[0][0] <= until:
+            self.now, _, action = heapq.heappop(self._scheduled)
             action()
         self.now = until
 
 
 @attrs.frozen(kw_only=True)
-class Shape:
+class EngineSpec:
     """An engine's figures.
 
     Attributes:
@@ -72,17 +74,17 @@
     """
 
     slots: int = 16
-    waiting: int = 48
+    max_waiting: int = 48
     memory_tokens: int = 59572
     step_seconds: float = 0.00612
     slot_seconds: float = 0.0000234
-    read_tokens: float = 32400.0
+    prefill_tokens_per_second: float = 32400.0
     pair_seconds: float = 1.18e-9
     chunk_tokens: int = 1024
-    first_seconds: float = 0.064
-    event_steps: int = 4
+    first_event_seconds: float = 0.064
+    steps_per_event: int = 4
     token_bytes: int = 131072
-    link_bytes: float = 550e9 / 8
+    link_bytes_per_second: float = 550e9 / 8
     load_seconds: float = 0.55
 
 
@@ -100,12 +102,14 @@
         readers: engines that read each part, by namespace and name.
     """
 
-    read: int = 0
-    again: int = 0
-    kept: int = 0
+    prefill_tokens: int = 0
+    repeated_tokens: int = 0
+    cached_tokens: int = 0
     moved_bytes: int = 0
     not_started: int = 0
-    readers: collections.Counter = attrs.field(factory=collections.Counter)
+    prefill_counts: collections.Counter = attrs.field(
+        factory=collections.Counter
+    )
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -119,7 +123,7 @@
     """
 
     data_centre: str
-    speed: float
+    bytes_per_second: float
     free_at: float = 0.0
 
 
@@ -128,17 +132,17 @@
 
     One that would wait too long is not started.
     """
-    starts = max(now, source.free_at, target.free_at)
-    if starts - now > MOST_TRANSFER_WAIT_SECONDS:
+    starts_at = max(now, source.free_at, target.free_at)
+    if starts_at - now > MAX_TRANSFER_WAIT_SECONDS:
         return None
-    seconds = size / min(source.speed, target.speed)
+    seconds = size / min(source.bytes_per_second, target.bytes_per_second)
     if source.data_centre != target.data_centre:
-        seconds *= ELSEWHERE_TIMES
-    source.free_at = target.free_at = starts + seconds
-    return starts + seconds
+        seconds *= CROSS_CENTRE_FACTOR
+    source.free_at = target.free_at = starts_at + seconds
+    return starts_at + seconds
 
 
-class Kept:
+class PrefixCache:
     """Cached parts by namespace and name, least recently used first.
 
     Attributes:
@@ -151,16 +155,18 @@
         )
         self.tokens = 0
 
-    def prefix(self, namespace: str, parts: list[request_types.Part]) -> int:
+    def use_prefix(
+        self, namespace: str, parts: list[request_types.Part]
+    ) -> int:
         """Returns how many of the first parts are kept, and uses them."""
-        found = 0
+        count = 0
         for part in parts:
             if (namespace, part.name) not in self.parts:
                 break
-            found += 1
-        for part in reversed(parts[:found]):
+            count += 1
+        for part in reversed(parts[:count]):
             self.parts.move_to_end((namespace, part.name))
-        return found
+        return count
 
     def put(self, namespace: str, part: request_types.Part) -> None:
         """Keeps a part."""
@@ -170,15 +176,17 @@
             self.tokens += part.tokens
         self.parts.move_to_end(key)
 
-    def drop_to(self, most: int, used: collections.Counter) -> None:
+    def evict_to(
+        self, max_tokens: int, use_counts: collections.Counter
+    ) -> None:
         """Lets the least recently used parts yield that nobody runs on."""
-        if self.tokens <= most:
+        if self.tokens <= max_tokens:
             return
         for key in list(self.parts):
-            if used[key]:
+            if use_counts[key]:
                 continue
             self.tokens -= self.parts.pop(key)
-            if self.tokens <= most:
+            if self.tokens <= max_tokens:
                 return
 
 
@@ -196,15 +204,17 @@
     def __init__(self, *, address: str, link: Link, memory_tokens: int):
         self.address = address
         self.link = link
-        self.inward = Link(data_centre=link.data_centre, speed=link.speed)
+        self.inbound_link = Link(
+            data_centre=link.data_centre, bytes_per_second=link.bytes_per_second
+        )
         self.memory_tokens = memory_tokens
-        self.kept = Kept()
+        self.cache = PrefixCache()
 
     def put(self, namespace: str, parts: list[request_types.Part]) -> None:
         """Keeps parts that have come."""
         for part in parts:
-            self.kept.put(namespace, part)
-        self.kept.drop_to(self.memory_tokens, collections.Counter())
+            self.cache.put(namespace, part)
+        self.cache.evict_to(self.memory_tokens, collections.Counter())
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -228,18 +238,18 @@
     """
 
     client_request: request_types.ClientRequest
-    sent: request_types.Dispatch
+    dispatch: request_types.Dispatch
     events: int
-    began: Callable[[], None]
-    paused: Callable[[float], None]
-    ended: Callable[[bool], None]
+    on_first_event: Callable[[], None]
+    on_event_gap: Callable[[float], None]
+    on_end: Callable[[bool], None]
     parts: list[request_types.Part] = attrs.field(factory=list)
     ready: bool = False
-    left: int | None = None
-    done: int = 0
+    tokens_left: int | None = None
+    tokens_read: int = 0
     steps: int = 0
-    turn: int = 0
-    event_at: float | None = None
+    last_read_number: int = 0
+    last_event_at: float | None = None
 
     @property
     def tokens(self) -> int:
@@ -272,40 +282,42 @@
         name: str,
         address: str,
         data_centre: str,
-        shape: Shape,
-        agenda: Agenda,
+        spec: EngineSpec,
+        scheduler: Scheduler,
         totals: Totals,
         sources: dict[str, "Engine | CacheServer"],
     ):
         self.name = name
-        self.shape = shape
-        self.link = Link(data_centre=data_centre, speed=shape.link_bytes)
-        self.agenda = agenda
+        self.spec = spec
+        self.link = Link(
+            data_centre=data_centre, bytes_per_second=spec.link_bytes_per_second
+        )
+        self.scheduler = scheduler
         self.totals = totals
         self.sources = sources
         self.waiting: list[Run] = []
         self.running: list[Run] = []
-        self.kept = Kept()
-        self.used: collections.Counter = collections.Counter()
+        self.cache = PrefixCache()
+        self.use_counts: collections.Counter = collections.Counter()
         self.loading = False
         self.up = True
         self.version = 1
         self._stepping = False
-        self._turns = itertools.count(1)
+        self._read_numbers = itertools.count(1)
         sources[address] = self
 
     def load(self) -> request_types.ServerLoad:
         """Returns what it says of its load: what is being read waits."""
-        reading = sum(1 for each in self.running if each.left)
+        reading = sum(1 for each in self.running if each.tokens_left)
         return request_types.ServerLoad(
             running=len(self.running) - reading,
             waiting=len(self.waiting) + reading,
-            slots=self.shape.slots,
+            slots=self.spec.slots,
         )
 
     def submit(self, run: Run) -> bool:
         """Takes a request, or returns that it is full or loading."""
-        full = len(self.waiting) >= self.shape.waiting
+        full = len(self.waiting) >= self.spec.max_waiting
         if full or self.loading:
             return False
         run.parts = list(run.client_request.parts)
@@ -318,178 +330,193 @@
         if run in self.waiting:
             self.waiting.remove(run)
         elif run in self.running:
-            self._leave(run)
+            self._remove(run)
 
     def load_weights(self, done: Callable[[], None]) -> None:
         """Loads weights: what it kept is gone, what runs goes on."""
         self.loading = True
-        self.kept = Kept()
+        self.cache = PrefixCache()
 
         def loaded() -> None:
             self.loading = False
-            self.kept = Kept()
+            self.cache = PrefixCache()
             done()
 
-        self.agenda.after(self.shape.load_seconds, loaded)
+        self.scheduler.schedule_after(self.spec.load_seconds, loaded)
 
     def _fetch(self, run: Run) -> None:
         """Fetches what a source keeps of a prompt beyond what is kept here."""
-        source = self.sources.get(run.sent.fetch_from or "")
-        namespace = run.sent.namespace or ""
-        have = self.kept.prefix(namespace, run.parts)
-        more = 0 if source is None else source.kept.prefix(namespace, run.parts)
-        wanted = run.parts[have:more]
-        if not wanted:
-            self._ready(run)
+        source = self.sources.get(run.dispatch.fetch_from or "")
+        namespace = run.dispatch.namespace or ""
+        cached_count = self.cache.use_prefix(namespace, run.parts)
+        source_count = (
+            0
+            if source is None
+            else source.cache.use_prefix(namespace, run.parts)
+        )
+        missing = run.parts[cached_count:source_count]
+        if not missing:
+            self._set_ready(run)
             return
-        size = sum(each.tokens for each in wanted) * self.shape.token_bytes
-        ends = transfer(source.link, self.link, size, self.agenda.now)
-        if ends is None:
+        size = sum(each.tokens for each in missing) * self.spec.token_bytes
+        ends_at = transfer(source.link, self.link, size, self.scheduler.now)
+        if ends_at is None:
             self.totals.not_started += 1
-            self._ready(run)
+            self._set_ready(run)
             return
         self.totals.moved_bytes += size
 
         def fetched() -> None:
-            for part in wanted:
-                self.kept.put(namespace, part)
-            self._ready(run)
+            for part in missing:
+                self.cache.put(namespace, part)
+            self._set_ready(run)
 
-        self.agenda.at(ends, fetched)
+        self.scheduler.schedule(ends_at, fetched)
 
-    def _ready(self, run: Run) -> None:
+    def _set_ready(self, run: Run) -> None:
         run.ready = True
-        self._wake()
+        self._start_stepping()
 
-    def _wake(self) -> None:
+    def _start_stepping(self) -> None:
         if not self._stepping:
             self._stepping = True
             self._step()
 
-    def _memory(self) -> int:
+    def _running_tokens(self) -> int:
         """Returns tokens that running requests take, shared parts once."""
         parts = {
-            (each.sent.namespace, part.name): part.tokens
+            (each.dispatch.namespace, part.name): part.tokens
             for each in self.running
             for part in each.parts
         }
-        made = sum(each.steps for each in self.running)
-        return made + sum(parts.values())
+        generated = sum(each.steps for each in self.running)
+        return generated + sum(parts.values())
 
     def _admit(self) -> None:
         """Lets requests run while there are slots and memory."""
-        if not self.waiting or len(self.running) >= self.shape.slots:
+        if not self.waiting or len(self.running) >= self.spec.slots:
             return
-        self.waiting.sort(key=lambda each: each.sent.urgency or 0)
-        memory = self._memory()
+        self.waiting.sort(key=lambda each: each.dispatch.urgency or 0)
+        memory = self._running_tokens()
         for run in [each for each in self.waiting if each.ready]:
-            if len(self.running) >= self.shape.slots:
+            if len(self.running) >= self.spec.slots:
                 return
             if self.running and (
                 memory + run.client_request.prompt_tokens
-                > self.shape.memory_tokens
+                > self.spec.memory_tokens
             ):
                 return
             self.waiting.remove(run)
-            self._begin(run)
-            memory = self._memory()
-
-    def _begin(self, run: Run) -> None:
-        namespace = run.sent.namespace or ""
-        have = self.kept.prefix(namespace, run.parts)
-        run.done = sum(each.tokens for each in run.parts[:have])
-        run.left = max(1, run.client_request.prompt_tokens - run.done)
-        self.totals.kept += run.done
-        self.totals.read += run.left
-        for part in run.parts[have:-1]:
-            if self.totals.readers[namespace, part.name]:
-                self.totals.again += part.tokens
-            self.totals.readers[namespace, part.name] += 1
+            self._start(run)
+            memory = self._running_tokens()
+
+    def _start(self, run: Run) -> None:
+        namespace = run.dispatch.namespace or ""
+        cached_count = self.cache.use_prefix(namespace, run.parts)
+        run.tokens_read = sum(each.tokens for each in run.parts[:cached_count])
+        run.tokens_left = max(
+            1, run.client_request.prompt_tokens - run.tokens_read
+        )
+        self.totals.cached_tokens += run.tokens_read
+        self.totals.prefill_tokens += run.tokens_left
+        for part in run.parts[cached_count:-1]:
+            if self.totals.prefill_counts[namespace, part.name]:
+                self.totals.repeated_tokens += part.tokens
+            self.totals.prefill_counts[namespace, part.name] += 1
         for part in run.parts:
-            self.used[namespace, part.name] += 1
+            self.use_counts[namespace, part.name] += 1
         self.running.append(run)
 
-    def _leave(self, run: Run) -> None:
+    def _remove(self, run: Run) -> None:
         self.running.remove(run)
         for part in run.parts:
-            self.used[run.sent.namespace or "", part.name] -= 1
+            self.use_counts[run.dispatch.namespace or "", part.name] -= 1
 
     def _step(self) -> None:
         self._admit()
         if not self.running or not self.up:
             self._stepping = False
             return
-        budget = self.shape.chunk_tokens
-        seconds = self.shape.step_seconds
-        seconds += self.shape.slot_seconds * len(self.running)
+        budget = self.spec.chunk_tokens
+        seconds = self.spec.step_seconds
+        seconds += self.spec.slot_seconds * len(self.running)
         reads: list[tuple[Run, int]] = []
-        self.running.sort(key=lambda each: each.turn)
+        self.running.sort(key=lambda each: each.last_read_number)
         for run in self.running:
-            if not run.left or budget <= 0:
+            if not run.tokens_left or budget <= 0:
                 continue
-            run.turn = next(self._turns)
-            tokens = min(budget, run.left)
+            run.last_read_number = next(self._read_numbers)
+            tokens = min(budget, run.tokens_left)
             budget -= tokens
             reads.append((run, tokens))
-            pairs = tokens * (run.done + tokens / 2)
-            seconds += tokens / self.shape.read_tokens
-            seconds += pairs * self.shape.pair_seconds
-        decoding = [each for each in self.running if not each.left]
-        self.agenda.after(seconds, lambda: self._end_step(reads, decoding))
+            pairs = tokens * (run.tokens_read + tokens / 2)
+            seconds += tokens / self.spec.prefill_tokens_per_second
+            seconds += pairs * self.spec.pair_seconds
+        decoding = [each for each in self.running if not each.tokens_left]
+        self.scheduler.schedule_after(
+            seconds, lambda: self._end_step(reads, decoding)
+        )
 
     def _end_step(
         self, reads: list[tuple[Run, int]], decoding: list[Run]
     ) -> None:
         for run in decoding:
             if run in self.running:
-                self._make_token(run)
+                self._generate_token(run)
         for run, tokens in reads:
             if run in self.running:
-                run.left -= tokens
-                run.done += tokens
-                if not run.left:
-                    self._has_read(run)
-        most = self.shape.memory_tokens - sum(
-            each.done if each.left else each.steps for each in self.running
+                run.tokens_left -= tokens
+                run.tokens_read += tokens
+                if not run.tokens_left:
+                    self._finish_prefill(run)
+        max_cached = self.spec.memory_tokens - sum(
+            each.tokens_read if each.tokens_left else each.steps
+            for each in self.running
         )
-        self.kept.drop_to(most, self.used)
+        self.cache.evict_to(max_cached, self.use_counts)
         self._step()
 
-    def _has_read(self, run: Run) -> None:
-        namespace = run.sent.namespace or ""
+    def _finish_prefill(self, run: Run) -> None:
+        namespace = run.dispatch.namespace or ""
         for part in run.parts:
-            self.kept.put(namespace, part)
+            self.cache.put(namespace, part)
         self._save(run)
-        self.agenda.after(self.shape.first_seconds, lambda: self._first(run))
+        self.scheduler.schedule_after(
+            self.spec.first_event_seconds, lambda: self._send_first_event(run)
+        )
 
-    def _first(self, run: Run) -> None:
+    def _send_first_event(self, run: Run) -> None:
         if run in self.running:
-            run.event_at = self.agenda.now
-            run.began()
+            run.last_event_at = self.scheduler.now
+            run.on_first_event()
 
     def _save(self, run: Run) -> None:
         """Sends a prompt's parts to the KV cache server that lacks them."""
-        server = self.sources.get(run.sent.save_to or "")
+        server = self.sources.get(run.dispatch.save_to or "")
         if server is None:
             return
-        namespace = run.sent.namespace or ""
-        have = server.kept.prefix(namespace, run.parts)
-        size = sum(each.tokens for each in run.parts[have:])
-        size *= self.shape.token_bytes
-        ends = transfer(self.link, server.inward, size, self.agenda.now)
-        if ends is None:
+        namespace = run.dispatch.namespace or ""
+        cached_count = server.cache.use_prefix(namespace, run.parts)
+        size = sum(each.tokens for each in run.parts[cached_count:])
+        size *= self.spec.token_bytes
+        ends_at = transfer(
+            self.link, server.inbound_link, size, self.scheduler.now
+        )
+        if ends_at is None:
             self.totals.not_started += 1
             return
         self.totals.moved_bytes += size
-        self.agenda.at(ends, lambda: server.put(namespace, run.parts))
+        self.scheduler.schedule(
+            ends_at, lambda: server.put(namespace, run.parts)
+        )
 
-    def _make_token(self, run: Run) -> None:
+    def _generate_token(self, run: Run) -> None:
         run.steps += 1
-        if run.event_at is None or run.steps % self.shape.event_steps:
+        if run.last_event_at is None or run.steps % self.spec.steps_per_event:
             return
-        now = self.agenda.now
-        run.paused(now - run.event_at)
-        run.event_at = now
-        if run.steps >= run.events * self.shape.event_steps:
-            self._leave(run)
-            run.ended(True)
+        now = self.scheduler.now
+        run.on_event_gap(now - run.last_event_at)
+        run.last_event_at = now
+        if run.steps >= run.events * self.spec.steps_per_event:
+            self._remove(run)
+            run.on_end(True)
--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -39,7 +39,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Work:
+class RequestKind:
     """One kind of requests.
 
     Attributes:
@@ -63,7 +63,7 @@
     urgency: int
     objective_seconds: float
     patience_seconds: float
-    commons: int
+    common_parts: int
     common_tokens: int
     topics: int
     topic_tokens: int
@@ -73,13 +73,13 @@
     repeatable: bool
 
 
-LOOK_UP = Work(
+LOOK_UP = RequestKind(
     name="look-up",
     share=0.46,
     urgency=1,
     objective_seconds=0.818,
     patience_seconds=3.27,
-    commons=4,
+    common_parts=4,
     common_tokens=2520,
     topics=877,
     topic_tokens=3780,
@@ -88,13 +88,13 @@
     event_spread=1.0,
     repeatable=True,
 )
-DRAFT = Work(
+DRAFT = RequestKind(
     name="draft",
     share=0.54,
     urgency=0,
     objective_seconds=0.508,
     patience_seconds=2.03,
-    commons=39,
+    common_parts=39,
     common_tokens=119,
     topics=1035,
     topic_tokens=79,
@@ -132,10 +132,10 @@
     data_centres: int = 5
     seconds: float = 20.0
     rate: float = 240.0
-    works: tuple[Work, ...] = (LOOK_UP, DRAFT)
-    shape: fleet_engines.Shape = fleet_engines.Shape()
-    weights_at: tuple[float, ...] = ()
-    dark: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    kinds: tuple[RequestKind, ...] = (LOOK_UP, DRAFT)
+    engine_spec: fleet_engines.EngineSpec = fleet_engines.EngineSpec()
+    rollouts_at: tuple[float, ...] = ()
+    outage: tuple[float, float, float] = (0.0, 0.0, 0.0)
     organisations: int = 140
     isolated_share: float = 0.3
     cache_tokens: int = 1744752
@@ -156,39 +156,39 @@
         firsts: seconds to each first event.
     """
 
-    asked: int = 0
+    requests: int = 0
     in_time: int = 0
     late: int = 0
     refused: int = 0
     failed: int = 0
-    firsts: list[float] = attrs.field(factory=list)
+    first_event_waits: list[float] = attrs.field(factory=list)
 
     def share_in_time(self) -> float:
         """Returns the part of the requests that were answered in time."""
-        return self.in_time / max(1, self.asked)
+        return self.in_time / max(1, self.requests)
 
 
-class _Everyone:
+class _FullRoster:
     """Stands for a roster in which each router hears all others."""
 
     def __init__(self, own: str):
         self.own = own
-        self.others: dict[str, rosters.Peer] = {}
+        self.peers: dict[str, rosters.Peer] = {}
 
     def present(self, now: float) -> dict[str, rosters.Peer]:
         """Returns the other routers."""
-        return self.others
+        return self.peers
 
     members = present
 
     def reaches_all(self) -> bool:
         """Returns whether every router hears the others itself."""
-        return len(self.others) <= heartbeat_rings.ALL_TO_ALL
+        return len(self.peers) <= heartbeat_rings.ALL_TO_ALL
 
     @property
     def known(self) -> dict[str, rosters.Peer]:
         """Returns the other routers."""
-        return self.others
+        return self.peers
 
 
 @attrs.define(kw_only=True, eq=False)
@@ -223,16 +223,16 @@
     """
 
     client_request: request_types.ClientRequest
-    work: Work
+    kind: RequestKind
     organisation: configurations.Organisation
     events: int
-    began: float
-    tries: int = 0
-    over: bool = False
-    first: float | None = None
-    gap: float = 0.0
+    started_at: float
+    attempts: int = 0
+    ended: bool = False
+    first_event_at: float | None = None
+    longest_gap: float = 0.0
     tried: set[str] = attrs.field(factory=set)
-    account: attempt_loads.AttemptLoad | None = None
+    attempt_load: attempt_loads.AttemptLoad | None = None
     run: fleet_engines.Run | None = None
     engine: fleet_engines.Engine | None = None
 
@@ -251,56 +251,58 @@
 
     def __init__(self, plan: Plan):
         self.plan = plan
-        self.agenda = fleet_engines.Agenda()
+        self.scheduler = fleet_engines.Scheduler()
         self.totals = fleet_engines.Totals()
         self.engines: dict[str, fleet_engines.Engine] = {}
         self.routers: list[Router] = []
-        self.outcomes = {each.name: Outcome() for each in plan.works}
+        self.outcomes = {each.name: Outcome() for each in plan.kinds}
         self.version = 1
-        self._drawn = random.Random(plan.seed)
-        self._numbers = itertools.count()
-        self._sources: dict = {}
+        self._random = random.Random(plan.seed)
+        self._request_numbers = itertools.count()
+        self._cache_sources: dict = {}
         self._organisations = self._make_organisations()
-        self._configuration = self._configure()
+        self._configuration = self._make_configuration()
         self._make_engines()
         self._make_routers()
-        self._lengths: dict[str, int] = {}
+        self._tokens_by_part: dict[str, int] = {}
 
     def _make_organisations(self) -> list[configurations.Organisation]:
         """Some are large: the n-th asks 1/n times as often."""
-        every = max(1, round(1 / max(0.01, self.plan.isolated_share)))
+        isolated_interval = max(
+            1, round(1 / max(0.01, self.plan.isolated_share))
+        )
         return [
             configurations.Organisation(
                 name=f"o{number}",
                 keys=(),
                 urgency=None,
-                isolated=number % every == every - 1,
+                isolated=number % isolated_interval == isolated_interval - 1,
             )
             for number in range(self.plan.organisations)
         ]
 
-    def _configure(self) -> configurations.Configuration:
+    def _make_configuration(self) -> configurations.Configuration:
         plan = self.plan
         services = [
             configurations.Service(
                 name=SERVICE,
                 max_connections=0,
                 models=(MODEL,),
-                slots=plan.shape.slots,
-                cache_tokens=plan.shape.memory_tokens,
+                slots=plan.engine_spec.slots,
+                cache_tokens=plan.engine_spec.memory_tokens,
                 cache_address=None,
                 data_centre=None,
-                token_bytes=plan.shape.token_bytes,
-                link_bytes=plan.shape.link_bytes,
+                token_bytes=plan.engine_spec.token_bytes,
+                link_bytes=plan.engine_spec.link_bytes_per_second,
             )
         ]
         for number in range(CACHE_SERVERS):
             address = f"cache-{number}"
             place = f"d{number % plan.data_centres}"
-            self._sources[address] = fleet_engines.CacheServer(
+            self._cache_sources[address] = fleet_engines.CacheServer(
                 address=address,
                 link=fleet_engines.Link(
-                    data_centre=place, speed=plan.cache_link_bytes
+                    data_centre=place, bytes_per_second=plan.cache_link_bytes
                 ),
                 memory_tokens=plan.cache_tokens,
             )
@@ -331,10 +333,10 @@
                 name=name,
                 address=f"10.0.0.{number}:80",
                 data_centre=f"d{number % self.plan.data_centres}",
-                shape=self.plan.shape,
-                agenda=self.agenda,
+                spec=self.plan.engine_spec,
+                scheduler=self.scheduler,
                 totals=self.totals,
-                sources=self._sources,
+                sources=self._cache_sources,
             )
 
     def _registration(self, name: str, version: int):
@@ -344,7 +346,7 @@
             service=SERVICE,
             address=f"10.0.0.{number}:80",
             data_centre=f"d{number % self.plan.data_centres}",
-            slots=self.plan.shape.slots,
+            slots=self.plan.engine_spec.slots,
             leaving=False,
             weights={MODEL: version},
         )
@@ -367,14 +369,14 @@
                     view=view,
                     reports=load_reports.LoadReports(
                         view=view,
-                        roster=_Everyone(name),
-                        send_all=self._sender(name),
+                        roster=_FullRoster(name),
+                        send_all=self._make_sender(name),
                     ),
                 )
             )
         by_name = {each.name: each for each in self.routers}
         for router in self.routers:
-            router.reports.roster.others = {
+            router.reports.roster.peers = {
                 name: rosters.Peer(
                     data_centre=each.view.data_centre, last_heard_at=0.0
                 )
@@ -382,83 +384,95 @@
                 if name != router.name
             }
 
-    def _sender(self, sender: str):
+    def _make_sender(self, sender: str):
         def deliver(address: str, message: object) -> None:
             receiver = self.routers[int(address.removeprefix("tcp://r"))]
-            receiver.reports.receive(sender, message, self.agenda.now)
+            receiver.reports.receive(sender, message, self.scheduler.now)
 
         def send_all(addresses: list[str], message: object) -> None:
             for address in addresses:
-                self.agenda.after(
+                self.scheduler.schedule_after(
                     HOP_SECONDS,
                     functools.partial(deliver, address, message),
                 )
 
         return send_all
 
-    def play(self) -> "Fleet":
+    def run(self) -> "Fleet":
         """Plays the plan; returns itself."""
         plan = self.plan
-        for work in plan.works:
-            self._plan_arrival(work)
+        for kind in plan.kinds:
+            self._schedule_arrival(kind)
         for number, router in enumerate(self.routers):
             offset = daemons.TICK_SECONDS * number / len(self.routers)
-            self.agenda.at(offset, lambda router=router: self._tick(router))
-        for when in plan.weights_at:
-            self.agenda.at(when, self._name_weights)
-        share, since, until = plan.dark
+            self.scheduler.schedule(
+                offset, lambda router=router: self._tick(router)
+            )
+        for when in plan.rollouts_at:
+            self.scheduler.schedule(when, self._start_rollout)
+        share, since, until = plan.outage
         for name in list(self.engines)[:: round(1 / share)] if share else ():
-            self.agenda.at(since, lambda name=name: self._fall_silent(name))
-            self.agenda.at(until, lambda name=name: self._come_back(name))
-        self.agenda.run(plan.seconds)
-        self.agenda.run(plan.seconds + 8.0)
+            self.scheduler.schedule(
+                since, lambda name=name: self._stop_engine(name)
+            )
+            self.scheduler.schedule(
+                until, lambda name=name: self._restart_engine(name)
+            )
+        self.scheduler.run(plan.seconds)
+        self.scheduler.run(plan.seconds + 8.0)
         return self
 
     def _tick(self, router: Router) -> None:
-        router.reports.tick(self.agenda.now)
-        if self.agenda.now < self.plan.seconds:
-            self.agenda.after(daemons.TICK_SECONDS, lambda: self._tick(router))
+        router.reports.tick(self.scheduler.now)
+        if self.scheduler.now < self.plan.seconds:
+            self.scheduler.schedule_after(
+                daemons.TICK_SECONDS, lambda: self._tick(router)
+            )
 
-    def _plan_arrival(self, work: Work) -> None:
-        wait = self._drawn.expovariate(self.plan.rate * work.share)
-        when = self.agenda.now + wait
+    def _schedule_arrival(self, kind: RequestKind) -> None:
+        wait = self._random.expovariate(self.plan.rate * kind.share)
+        when = self.scheduler.now + wait
         if when > self.plan.seconds:
             return
 
         def arrive() -> None:
-            self._plan_arrival(work)
-            self._arrive(work)
+            self._schedule_arrival(kind)
+            self._start_client(kind)
 
-        self.agenda.at(when, arrive)
+        self.scheduler.schedule(when, arrive)
 
-    def _length(self, name: str, mean: int, spread: float) -> int:
+    def _part_tokens(self, name: str, mean: int, spread: float) -> int:
         """Returns the length of a part, the same each time."""
-        if name not in self._lengths:
-            drawn = random.Random(f"{self.plan.seed}/{name}")
-            self._lengths[name] = _lognormal(drawn, mean, spread)
-        return self._lengths[name]
-
-    def _ask(self, work: Work) -> request_types.ClientRequest:
-        drawn = self._drawn
-        topic = int(work.topics * drawn.random() ** 1.3)
-        common = min(topic * 2654435761 % 16 // 4, work.commons - 1)
-        if work.commons > 4:
-            common = topic % work.commons
-        elif drawn.random() < 0.6:
+        if name not in self._tokens_by_part:
+            generator = random.Random(f"{self.plan.seed}/{name}")
+            self._tokens_by_part[name] = _draw_lognormal(
+                generator, mean, spread
+            )
+        return self._tokens_by_part[name]
+
+    def _make_request(self, kind: RequestKind) -> request_types.ClientRequest:
+        generator = self._random
+        topic = int(kind.topics * generator.random() ** 1.3)
+        common = min(topic * 2654435761 % 16 // 4, kind.common_parts - 1)
+        if kind.common_parts > 4:
+            common = topic % kind.common_parts
+        elif generator.random() < 0.6:
             common = 0
-        first = f"{work.name}-c{common}"
-        second = f"{work.name}-t{topic}"
-        number = next(self._numbers)
+        common_name = f"{kind.name}-c{common}"
+        topic_name = f"{kind.name}-t{topic}"
+        number = next(self._request_numbers)
         parts = (
             request_types.Part(
-                name=first, tokens=self._length(first, work.common_tokens, 0.4)
+                name=common_name,
+                tokens=self._part_tokens(common_name, kind.common_tokens, 0.4),
             ),
             request_types.Part(
-                name=second, tokens=self._length(second, work.topic_tokens, 0.7)
+                name=topic_name,
+                tokens=self._part_tokens(topic_name, kind.topic_tokens, 0.7),
             ),
             request_types.Part(
                 name=f"own-{number}",
-                tokens=_lognormal(drawn, work.own_tokens, 1.0),
+                tokens=_draw_lognormal(generator, kind.own_tokens, 1.0),
             ),
         )
         return request_types.ClientRequest(
@@ -476,47 +490,49 @@
             resume_after=None,
             passed_on=[],
             body=b"",
-            arrived=self.agenda.now,
+            arrived=self.scheduler.now,
         )
 
-    def _arrive(self, work: Work) -> None:
-        client_request = self._ask(work)
-        rank = int(len(self._organisations) ** self._drawn.random()) - 1
-        events = _lognormal(self._drawn, work.events, work.event_spread)
-        client_request.answer_tokens = events * self.plan.shape.event_steps
+    def _start_client(self, kind: RequestKind) -> None:
+        client_request = self._make_request(kind)
+        rank = int(len(self._organisations) ** self._random.random()) - 1
+        events = _draw_lognormal(self._random, kind.events, kind.event_spread)
+        client_request.answer_tokens = (
+            events * self.plan.engine_spec.steps_per_event
+        )
         client = Client(
             client_request=client_request,
-            work=work,
+            kind=kind,
             organisation=self._organisations[rank],
             events=events,
-            began=self.agenda.now,
+            started_at=self.scheduler.now,
         )
-        self.outcomes[work.name].asked += 1
-        self._try(client)
+        self.outcomes[kind.name].requests += 1
+        self._start_attempt(client)
 
-    def _try(self, client: Client) -> None:
-        client.tries += 1
-        client.over = False
+    def _start_attempt(self, client: Client) -> None:
+        client.attempts += 1
+        client.ended = False
         client.tried = set()
-        router = self._drawn.choice(self.routers)
+        router = self._random.choice(self.routers)
         client_request = client.client_request
-        client_request.arrived = self.agenda.now
+        client_request.arrived = self.scheduler.now
         router.view.mean_unshared(MODEL).note(
             client_request.parts[-1].tokens + client_request.answer_tokens
         )
-        tries = client.tries
-        self.agenda.after(
-            client.work.patience_seconds,
-            lambda: self._lose_patience(client, tries),
+        attempts = client.attempts
+        self.scheduler.schedule_after(
+            client.kind.patience_seconds,
+            lambda: self._on_patience_timeout(client, attempts),
         )
-        self._route(router, client, self.agenda.now)
+        self._route(router, client, self.scheduler.now)
 
-    def _route(self, router: Router, client: Client, since: float) -> None:
+    def _route(self, router: Router, client: Client, arrived_at: float) -> None:
         """Chooses an engine, as exchanges do, and sends the request there."""
-        if client.over:
+        if client.ended:
             return
-        now = self.agenda.now
-        route = _route_of(client.work)
+        now = self.scheduler.now
+        route = _route_of(client.kind)
         choice = selections.select(
             view=router.view,
             client_request=client.client_request,
@@ -527,16 +543,16 @@
         )
         chosen = isinstance(choice, placements.Choice)
         if chosen and len(client.tried) < retry_rules.MAX_SENDS:
-            self._send(router, client, route, choice)
-        elif now - since < exchanges.WAIT_SHARE * route.objective_seconds:
-            self.agenda.after(
+            self._dispatch(router, client, route, choice)
+        elif now - arrived_at < exchanges.WAIT_SHARE * route.objective_seconds:
+            self.scheduler.schedule_after(
                 exchanges.WAIT_STEP_SECONDS,
-                lambda: self._route(router, client, since),
+                lambda: self._route(router, client, arrived_at),
             )
         else:
-            self._end(client, again_after=RETRY_SECONDS, refused=True)
+            self._fail_attempt(client, retry_after=RETRY_SECONDS, refused=True)
 
-    def _send(
+    def _dispatch(
         self,
         router: Router,
         client: Client,
@@ -544,7 +560,7 @@
         choice: placements.Choice,
     ) -> None:
         backend = choice.backend
-        now = self.agenda.now
+        now = self.scheduler.now
         sent = selections.dispatch(
             view=router.view,
             client_request=client.client_request,
@@ -555,198 +571,214 @@
             seconds_left=10.0,
             now=now,
         )
-        account = attempt_loads.AttemptLoad(
+        attempt_load = attempt_loads.AttemptLoad(
             client_request=client.client_request, backend=backend, dispatch=sent
         )
-        account.start(selections.speeds_of(router.view, MODEL, SERVICE), now)
+        attempt_load.start(
+            selections.speeds_of(router.view, MODEL, SERVICE), now
+        )
         selections.note_sent(
             router.view, client.client_request, backend, sent, now
         )
         router.reports.prompt_changed(client.client_request.prompt_tokens, now)
-        client.account = account
+        client.attempt_load = attempt_load
         engine = self.engines[backend.registration.server]
         client.engine = engine
         client.run = fleet_engines.Run(
             client_request=client.client_request,
-            sent=sent,
+            dispatch=sent,
             events=client.events,
-            began=lambda: self._began(router, client, engine.load()),
-            paused=lambda seconds: self._paused(client, seconds),
-            ended=lambda whole: self._whole(client, backend),
+            on_first_event=lambda: self._on_first_event(
+                router, client, engine.load()
+            ),
+            on_event_gap=lambda seconds: self._on_event_gap(client, seconds),
+            on_end=lambda whole: self._on_complete(client, backend),
         )
         run = client.run
-        self.agenda.after(
-            HOP_SECONDS, lambda: self._reach(router, client, run, engine)
+        self.scheduler.schedule_after(
+            HOP_SECONDS, lambda: self._submit(router, client, run, engine)
         )
 
-    def _reach(self, router, client, run, engine) -> None:
-        if client.over or client.run is not run or not engine.up:
+    def _submit(self, router, client, run, engine) -> None:
+        if client.ended or client.run is not run or not engine.up:
             return
-        version = router.view.servers.by_server[engine.name]
-        right = version.registration.weights[MODEL] == engine.version
-        if not right or not engine.submit(run):
-            client.account.close()
-            client.account = None
-            backend = run_backend(router, engine)
-            backend.back_off_full(self.agenda.now)
-            backend.update_load(engine.load(), self.agenda.now)
+        registered = router.view.servers.by_server[engine.name]
+        weights_match = registered.registration.weights[MODEL] == engine.version
+        if not weights_match or not engine.submit(run):
+            client.attempt_load.close()
+            client.attempt_load = None
+            backend = backend_of(router, engine)
+            backend.back_off_full(self.scheduler.now)
+            backend.update_load(engine.load(), self.scheduler.now)
             client.tried.add(backend.registration.incarnation)
-            self._route(router, client, self.agenda.now)
-
-    def _began(self, router, client, load: request_types.ServerLoad) -> None:
-        now = self.agenda.now
-        client.first = now
-        account = client.account
-        account.backend.update_load(load, now)
-        account.note_first_event(router.view.first_event(MODEL), now)
+            self._route(router, client, self.scheduler.now)
+
+    def _on_first_event(
+        self, router, client, load: request_types.ServerLoad
+    ) -> None:
+        now = self.scheduler.now
+        client.first_event_at = now
+        attempt_load = client.attempt_load
+        attempt_load.backend.update_load(load, now)
+        attempt_load.note_first_event(router.view.first_event(MODEL), now)
         selections.note_read(
             router.view,
             client.client_request,
-            account.backend,
-            account.dispatch,
+            attempt_load.backend,
+            attempt_load.dispatch,
             now,
         )
         router.reports.prompt_changed(client.client_request.prompt_tokens, now)
 
-    def _paused(self, client: Client, seconds: float) -> None:
-        client.gap = max(client.gap, seconds)
-        if client.account is not None:
-            client.account.backend.note_event_gap(seconds)
+    def _on_event_gap(self, client: Client, seconds: float) -> None:
+        client.longest_gap = max(client.longest_gap, seconds)
+        if client.attempt_load is not None:
+            client.attempt_load.backend.note_event_gap(seconds)
 
-    def _whole(self, client: Client, backend) -> None:
-        if client.over:
+    def _on_complete(self, client: Client, backend) -> None:
+        if client.ended:
             return
-        client.over = True
-        client.account.close()
+        client.ended = True
+        client.attempt_load.close()
         backend.note_success()
-        found = self.outcomes[client.work.name]
-        waited = client.first - client.began
-        found.firsts.append(waited)
-        late = waited > client.work.objective_seconds
-        if late or client.gap > GAP_SECONDS:
-            found.late += 1
+        outcome = self.outcomes[client.kind.name]
+        first_event_wait = client.first_event_at - client.started_at
+        outcome.first_event_waits.append(first_event_wait)
+        late = first_event_wait > client.kind.objective_seconds
+        if late or client.longest_gap > GAP_SECONDS:
+            outcome.late += 1
         else:
-            found.in_time += 1
-
-    def _lose_patience(self, client: Client, tries: int) -> None:
-        if client.over or client.first is not None or client.tries != tries:
+            outcome.in_time += 1
+
+    def _on_patience_timeout(self, client: Client, attempts: int) -> None:
+        if (
+            client.ended
+            or client.first_event_at is not None
+            or client.attempts != attempts
+        ):
             return
         if client.engine is not None and client.run is not None:
             client.engine.cancel(client.run)
-        self._end(client, again_after=0.05, refused=False)
+        self._fail_attempt(client, retry_after=0.05, refused=False)
 
-    def _end(
-        self, client: Client, *, again_after: float, refused: bool
+    def _fail_attempt(
+        self, client: Client, *, retry_after: float, refused: bool
     ) -> None:
         """Ends a try without an answer; the client has one try more."""
-        client.over = True
-        if client.account is not None:
-            client.account.close()
-            client.account = None
-        if client.tries < 2:
-            self.agenda.after(again_after, lambda: self._try(client))
+        client.ended = True
+        if client.attempt_load is not None:
+            client.attempt_load.close()
+            client.attempt_load = None
+        if client.attempts < 2:
+            self.scheduler.schedule_after(
+                retry_after, lambda: self._start_attempt(client)
+            )
         elif refused:
-            self.outcomes[client.work.name].refused += 1
+            self.outcomes[client.kind.name].refused += 1
         else:
-            self.outcomes[client.work.name].failed += 1
+            self.outcomes[client.kind.name].failed += 1
 
-    def _name_weights(self) -> None:
+    def _start_rollout(self) -> None:
         self.version += 1
-        now = self.agenda.now
+        now = self.scheduler.now
         for router in self.routers:
             router.view.set_wanted_version(MODEL, self.version, now)
-        waves = list(self.engines.values())
-        size = max(1, int(len(waves) * rollouts.CONCURRENT_LOAD_SHARE))
-        load = self.plan.shape.load_seconds
-        for number in range(0, len(waves), size):
-            for engine in waves[number : number + size]:
-                self.agenda.after(
-                    load * (number // size) + 0.02,
-                    lambda engine=engine: self._load(engine),
+        engines = list(self.engines.values())
+        size = max(1, int(len(engines) * rollouts.CONCURRENT_LOAD_SHARE))
+        load_seconds = self.plan.engine_spec.load_seconds
+        for number in range(0, len(engines), size):
+            for engine in engines[number : number + size]:
+                self.scheduler.schedule_after(
+                    load_seconds * (number // size) + 0.02,
+                    lambda engine=engine: self._load_weights(engine),
                 )
 
-    def _load(self, engine: fleet_engines.Engine) -> None:
+    def _load_weights(self, engine: fleet_engines.Engine) -> None:
         version = self.version
         for router in self.routers:
-            found = run_backend(router, engine)
-            found.loading_until = self.agenda.now + rollouts.LOAD_SECONDS
+            backend = backend_of(router, engine)
+            backend.loading_until = self.scheduler.now + rollouts.LOAD_SECONDS
 
-        def done() -> None:
+        def finish() -> None:
             engine.version = version
             for router in self.routers:
-                found = self._registration(engine.name, version)
-                router.view.servers.put(found)
+                registration = self._registration(engine.name, version)
+                router.view.servers.put(registration)
 
-        engine.load_weights(done)
+        engine.load_weights(finish)
 
-    def _fall_silent(self, name: str) -> None:
+    def _stop_engine(self, name: str) -> None:
         self.engines[name].up = False
         for router in self.routers:
-            found = run_backend(router, self.engines[name])
-            found.avoid_until = self.plan.dark[2]
+            backend = backend_of(router, self.engines[name])
+            backend.avoid_until = self.plan.outage[2]
 
-    def _come_back(self, name: str) -> None:
+    def _restart_engine(self, name: str) -> None:
         self.engines[name].up = True
 
 
-def run_backend(router: Router, engine: fleet_engines.Engine):
+def backend_of(router: Router, engine: fleet_engines.Engine):
     """Returns a router's beliefs of an engine."""
     return router.view.servers.by_server[engine.name]
 
 
-def _lognormal(drawn: random.Random, mean: float, spread: float) -> int:
+def _draw_lognormal(
+    generator: random.Random, mean: float, spread: float
+) -> int:
     """Returns a whole number of at least one, with this mean."""
-    middle = mean / 2.718281828 ** (spread * spread / 2)
-    found = middle * 2.718281828 ** (spread * drawn.gauss(0, 1))
-    return max(1, min(int(found), int(6.3 * mean)))
+    median = mean / 2.718281828 ** (spread * spread / 2)
+    value = median * 2.718281828 ** (spread * generator.gauss(0, 1))
+    return max(1, min(int(value), int(6.3 * mean)))
 
 
-def _route_of(work: Work) -> configurations.Route:
+def _route_of(kind: RequestKind) -> configurations.Route:
     return configurations.Route(
-        name=work.name,
+        name=kind.name,
         host="h",
         path_prefix="/",
         kind=configurations.Repeatability.STREAM,
         timeout_seconds=10.0,
-        objective_seconds=work.objective_seconds,
-        urgency=work.urgency,
+        objective_seconds=kind.objective_seconds,
+        urgency=kind.urgency,
         shares=(configurations.ServiceShare(service=SERVICE, weight=1),),
-        most_servers=2 if work.repeatable else 1,
+        most_servers=2 if kind.repeatable else 1,
         open=True,
         by_prefix=True,
-        resumable=work.repeatable,
+        resumable=kind.repeatable,
         gap_seconds=GAP_SECONDS,
     )
 
 
-def worth(fleet: Fleet) -> float:
+def utility(fleet: Fleet) -> float:
     """Returns the part of their worth that clients get.
 
     A late answer counts for three tenths; a client that was refused twice has
     waited for nothing, which counts against that.
     """
-    found = fleet.outcomes.values()
-    got = sum(
-        each.in_time + 0.3 * each.late - 0.3 * each.refused for each in found
+    outcomes = fleet.outcomes.values()
+    credit = sum(
+        each.in_time + 0.3 * each.late - 0.3 * each.refused for each in outcomes
     )
-    return got / max(1, sum(each.asked for each in found))
+    return credit / max(1, sum(each.requests for each in outcomes))
 
 
-def line(fleet: Fleet) -> str:
+def summary_line(fleet: Fleet) -> str:
     """Returns a run's figures on one line."""
-    parts = [f"worth {worth(fleet):.3f}"]
+    parts = [f"worth {utility(fleet):.3f}"]
     for name, each in fleet.outcomes.items():
-        firsts = sorted(each.firsts) or [0.0]
+        waits = sorted(each.first_event_waits) or [0.0]
         parts.append(
             f"{name} {each.share_in_time():.3f} in time"
             f" (late {each.late} refused {each.refused} failed {each.failed},"
-            f" p50 {firsts[len(firsts) // 2]:.2f}"
-            f" p90 {firsts[len(firsts) * 9 // 10]:.2f} s)"
+            f" p50 {waits[len(waits) // 2]:.2f}"
+            f" p90 {waits[len(waits) * 9 // 10]:.2f} s)"
         )
     totals = fleet.totals
     parts.append(
-        f"read {totals.read / 1e6:.1f}M again {totals.again / 1e6:.2f}M"
-        f" kept {totals.kept / 1e6:.1f}M moved {totals.moved_bytes / 1e9:.0f}GB"
+        f"read {totals.prefill_tokens / 1e6:.1f}M"
+        f" again {totals.repeated_tokens / 1e6:.2f}M"
+        f" kept {totals.cached_tokens / 1e6:.1f}M"
+        f" moved {totals.moved_bytes / 1e9:.0f}GB"
         f" not started {totals.not_started}"
     )
     return "; ".join(parts)
@@ -762,17 +794,17 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--weights", type=float, nargs="*", default=[])
     parser.add_argument("--dark", type=float, default=0.0)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     plan = Plan(
-        routers=given.routers,
-        engines=given.engines,
-        seconds=given.seconds,
-        rate=given.rate,
-        seed=given.seed,
-        weights_at=tuple(given.weights),
-        dark=(given.dark, 2.5, 16.5),
+        routers=arguments.routers,
+        engines=arguments.engines,
+        seconds=arguments.seconds,
+        rate=arguments.rate,
+        seed=arguments.seed,
+        rollouts_at=tuple(arguments.weights),
+        outage=(arguments.dark, 2.5, 16.5),
     )
-    print(line(Fleet(plan).play()))
+    print(summary_line(Fleet(plan).run()))
 
 
 if __name__ == "__main__":
--- a/benches/fleets.py
+++ b/benches/fleets.py
@@ -22,7 +22,7 @@
 from pimentoledge.stores import fake_objects
 
 STATUS_SECONDS = 0.1
-WAKE_LIMIT = 200_000
+MAX_CALLBACKS = 200_000
 
 
 def server_of(name: str, **fields) -> declarations.BackendServer:
@@ -49,7 +49,7 @@
         self.orders = None
         self.paused = False
         self.deferred = []
-        self.lives = 0
+        self.agent_starts = 0
 
 
 class Fleet:
@@ -85,15 +85,15 @@
         )
         self.servers = {}
         self.nodes = {}
-        self.given = []
-        self.fewest = size
-        self.most_loading = 0
+        self.engine_orders = []
+        self.min_open_nodes = size
+        self.max_loading = 0
         self.broken = 0
         self.refused = 0
         self.unplaced = 0
-        self.ended = 0
-        self.heap = []
-        self.order = itertools.count()
+        self.completed = 0
+        self.scheduled = []
+        self.sequence = itertools.count()
         for number in range(1, size + 1):
             name = f"r{number}"
             self.add_server(server_of(name, checks_orders=checks_orders))
@@ -108,7 +108,9 @@
             self.nodes[name] = Node(name=name, engine=engine)
         for node in self.nodes.values():
             self.start_agent(node)
-            self.at(self.random.uniform(0, STATUS_SECONDS), self.poll, node)
+            self.schedule(
+                self.random.uniform(0, STATUS_SECONDS), self.poll, node
+            )
 
     def add_server(self, server):
         """Declares a server, here and in the store."""
@@ -119,62 +121,66 @@
         )
         self.store.objects[path] = stored
 
-    def at(self, when, what, *arguments):
+    def schedule(self, when, callback, *arguments):
         """Has something done at a time."""
-        heapq.heappush(self.heap, (when, next(self.order), what, arguments))
+        heapq.heappush(
+            self.scheduled, (when, next(self.sequence), callback, arguments)
+        )
 
     def run(self, until):
         """Lets the time go on; raises when a machine asks for no rest."""
-        for _ in range(WAKE_LIMIT):
-            if not self.heap or self.heap[0][0] > until:
+        for _ in range(MAX_CALLBACKS):
+            if not self.scheduled or self.scheduled[0][0] > until:
                 self.now = until
                 return
-            self.now, _, what, arguments = heapq.heappop(self.heap)
-            what(*arguments)
+            self.now, _, callback, arguments = heapq.heappop(self.scheduled)
+            callback(*arguments)
             self.record_load()
         raise AssertionError("a machine wakes again and again")
 
     def record_load(self):
         """Takes note of how many runners take work, and how many load."""
         loading = [each for each in self.nodes.values() if each.engine.loading]
-        self.most_loading = max(self.most_loading, len(loading))
-        self.fewest = min(self.fewest, len(self.open_nodes()))
+        self.max_loading = max(self.max_loading, len(loading))
+        self.min_open_nodes = min(self.min_open_nodes, len(self.open_nodes()))
 
-    def run_until(self, condition, longest=600.0):
+    def run_until(self, condition, timeout_seconds=600.0):
         """Lets the time go on until a condition; returns the seconds."""
-        began = self.now
+        started_at = self.now
         while not condition():
-            assert self.now < began + longest, "condition never held"
+            assert (
+                self.now < started_at + timeout_seconds
+            ), "condition never held"
             self.run(self.now + 0.05)
-        return self.now - began
+        return self.now - started_at
 
     def start_agent(self, node, address=None):
         """Starts a new life of a node's agent."""
-        node.lives += 1
+        node.agent_starts += 1
         node.paused = False
         node.deferred = []
         node.orders = orders.Orders(
             server=node.name,
-            life=f"{node.name}-{node.lives}",
+            life=f"{node.name}-{node.agent_starts}",
             address=address or self.servers[node.name].agent,
-            seed=self.seed + node.lives,
+            seed=self.seed + node.agent_starts,
         )
         self.declare(node)
 
     def declare(self, node):
         """Tells a node what is declared now."""
-        runners = [
+        usable_servers = [
             each
             for each in self.servers.values()
             if each.state is declarations.ServerState.IN
         ]
-        found = node.orders.declare(
+        requested = node.orders.declare(
             server=self.servers[node.name],
             model=self.model,
-            runners=len(runners),
+            runners=len(usable_servers),
             now=self.now,
         )
-        self.act(node, node.orders, found)
+        self.run_actions(node, node.orders, requested)
 
     def upgrade(self, weights, adapters=()):
         """Declares other weights; each agent learns it within 0.2 s."""
@@ -185,7 +191,7 @@
             concurrent_loads=self.model.concurrent_loads,
         )
         for node in self.nodes.values():
-            self.at(
+            self.schedule(
                 self.now + self.random.uniform(0, 0.2),
                 self.apply_declaration,
                 node,
@@ -196,7 +202,7 @@
         if node.orders is not None:
             self.declare(node)
 
-    def upgraded(self):
+    def is_upgraded(self):
         """Returns whether each engine has what is declared."""
         return all(
             each.engine.weights == self.model.weights
@@ -216,7 +222,7 @@
 
     def poll(self, node):
         """Reads an engine's status, again and again."""
-        self.at(self.now + STATUS_SECONDS, self.poll, node)
+        self.schedule(self.now + STATUS_SECONDS, self.poll, node)
         self.step(node)
         self.deliver(node, node.orders, node.engine.status(self.now))
         self.report_work(node)
@@ -226,7 +232,7 @@
         for event in node.engine.step(self.now):
             match event:
                 case events.EngineEnded():
-                    self.ended += 1
+                    self.completed += 1
                 case events.EngineBroken():
                     self.broken += 1
 
@@ -235,14 +241,14 @@
         machine = node.orders
         if machine is None or node.paused:
             return
-        found = machine.work(
+        requested = machine.work(
             running=len(node.engine.streams),
             adapters=frozenset(
                 each.adapter for each in node.engine.streams.values()
             ),
             now=self.now,
         )
-        self.act(node, machine, found)
+        self.run_actions(node, machine, requested)
 
     def deliver(self, node, machine, event):
         """Gives an event to a machine, now or when it goes on."""
@@ -251,7 +257,7 @@
         if node.paused:
             node.deferred.append(lambda: self.deliver(node, machine, event))
             return
-        self.act(node, machine, machine.handle(event, self.now))
+        self.run_actions(node, machine, machine.handle(event, self.now))
 
     def wake(self, node, machine):
         """Wakes a machine if its time has come."""
@@ -259,35 +265,35 @@
         if machine is not node.orders or node.paused or due is None:
             return
         if due <= self.now:
-            self.act(node, machine, machine.wake(self.now))
+            self.run_actions(node, machine, machine.wake(self.now))
 
-    def act(self, node, machine, found):
+    def run_actions(self, node, machine, requested):
         """Carries out what a machine asks for."""
-        for each in found:
+        for each in requested:
             match each:
                 case actions.CallStore(call=call):
                     sent = self.now + self.latency / 2
-                    self.at(sent, self.call, node, machine, call)
+                    self.schedule(sent, self.call_store, node, machine, call)
                 case actions.OrderEngine(order=order):
                     self.send_order(node, machine, order)
         due = machine.next_wake()
         if due is not None:
-            self.at(max(due, self.now), self.wake, node, machine)
+            self.schedule(max(due, self.now), self.wake, node, machine)
 
-    def call(self, node, machine, call):
+    def call_store(self, node, machine, call):
         """A call reaches the store; its answer comes back."""
         answer = self.store.call(call)
-        self.at(
+        self.schedule(
             self.now + self.latency / 2, self.deliver, node, machine, answer
         )
 
     def send_order(self, node, machine, order):
         """An order reaches the engine."""
-        self.given.append((self.now, node.name, order))
+        self.engine_orders.append((self.now, node.name, order))
         self.step(node)
         answer = node.engine.order(order, self.now)
         done = events.OrderDone(order=order, answer=answer)
-        self.at(self.now + 0.001, self.deliver, node, machine, done)
+        self.schedule(self.now + 0.001, self.deliver, node, machine, done)
 
     def resume(self, node):
         """Ends a pause."""
@@ -297,16 +303,16 @@
         for each in deferred:
             each()
         if node.orders is not None:
-            self.act(node, node.orders, node.orders.wake(self.now))
+            self.run_actions(node, node.orders, node.orders.wake(self.now))
 
-    def traffic(self, per_second, until, tokens=60):
+    def schedule_traffic(self, per_second, until, tokens=60):
         """Starts streams at random times on runners that seem open."""
         when = self.now
         while when < until:
             when += self.random.expovariate(per_second)
-            self.at(when, self.stream, f"q{when:.6f}", tokens)
+            self.schedule(when, self.submit_stream, f"q{when:.6f}", tokens)
 
-    def stream(self, request, tokens):
+    def submit_stream(self, request, tokens):
         """Tries the runners in random order until one takes a stream."""
         names = self.random.sample(sorted(self.nodes), len(self.nodes))
         for name in names:
@@ -329,9 +335,9 @@
         self.unplaced += 1
 
 
-def holders_of(fleet: Fleet) -> list[permits.PermitEntry]:
+def permit_holders(fleet: Fleet) -> list[permits.PermitEntry]:
     """Returns the entries of the object of permits."""
-    found = fleet.store.objects.get(permits.PATH)
-    if found is None:
+    stored = fleet.store.objects.get(permits.PATH)
+    if stored is None:
         return []
-    return msgspec.json.decode(found.value, type=permits.PermitTable).holders
+    return msgspec.json.decode(stored.value, type=permits.PermitTable).holders
--- a/benches/measure.py
+++ b/benches/measure.py
@@ -119,7 +119,7 @@
         seed=task.seed,
     )
     figures = Figures()
-    start = workloads.WARM_UP
+    start = workloads.WARM_UP_SECONDS
     if task.fault in placement_runs.SUDDEN:
         start = workloads.FAULT_AT
     for measured in made.run():
--- a/benches/orders.py
+++ b/benches/orders.py
@@ -16,9 +16,9 @@
 from pimentoledge.decisions import permits
 
 SEEDS = range(1, 6)
-REPEATS = 200
+USABLE_CALLS = 200
 # Share of the engines' slots that the traffic fills.
-FILLED = 0.5
+FILLED_SHARE = 0.5
 SLOTS = 16
 STEP_SECONDS = 0.032
 
@@ -39,21 +39,21 @@
     """
     fleet = fleets.Fleet(size=size, limit=limit, seed=seed)
     if tokens:
-        rate = FILLED * SLOTS * size / (tokens * STEP_SECONDS)
-        fleet.traffic(rate, 300.0, tokens)
+        rate = FILLED_SHARE * SLOTS * size / (tokens * STEP_SECONDS)
+        fleet.schedule_traffic(rate, 300.0, tokens)
     fleet.run(20.0)
     before = dict(fleet.store.counts)
     fleet.upgrade("w2")
     seconds = fleet.run_until(
-        lambda: fleet.upgraded() and not fleets.holders_of(fleet)
+        lambda: fleet.is_upgraded() and not fleets.permit_holders(fleet)
     )
     counts = fleet.store.counts
     return [
         seconds,
         counts["writes"] - before["writes"],
         counts["reads"] - before["reads"],
-        fleet.most_loading,
-        fleet.fewest,
+        fleet.max_loading,
+        fleet.min_open_nodes,
         fleet.refused,
         fleet.unplaced,
         fleet.broken,
@@ -72,25 +72,25 @@
                 upgrade_figures(size, limit, tokens, seed) for seed in SEEDS
             ]
             columns = list(zip(*rows, strict=True))
-            middles = [statistics.median(each) for each in columns]
+            medians = [statistics.median(each) for each in columns]
             print(
                 f"{size:7} {limit:5} {tokens * STEP_SECONDS:8.1f}"
-                f" {middles[0]:6.1f} ({max(columns[0]):.1f})"
-                f" {middles[1]:4.0f} ({max(columns[1])})"
-                f" {middles[2]:5.0f} ({max(columns[2])})"
+                f" {medians[0]:6.1f} ({max(columns[0]):.1f})"
+                f" {medians[1]:4.0f} ({max(columns[1])})"
+                f" {medians[2]:5.0f} ({max(columns[2])})"
                 f" {max(columns[3]):3} {min(columns[4]):3}"
                 f" of >={size - permits.max_out_of_service(size)}"
-                f" {middles[5]:6.0f} ({max(columns[5])})"
+                f" {medians[5]:6.0f} ({max(columns[5])})"
                 f" {max(columns[6]):3} {max(columns[7]):3}"
             )
 
 
-def usable_seconds(size: int, troubled: int, leaving_vms: int) -> float:
+def usable_seconds(size: int, refused: int, leaving_vms: int) -> float:
     """Returns the median seconds of one call of `usable`.
 
     Args:
         size: declared servers.
-        troubled: servers held back.
+        refused: servers that have just refused a request.
         leaving_vms: VMs that the platform lists as leaving.
     """
     servers = [
@@ -102,7 +102,7 @@
         for number in range(size)
     ]
     members = membership.Membership(seed=1)
-    for server in servers[:troubled]:
+    for server in servers[:refused]:
         members.record_refusal(server.name, 0.0)
     states = [
         events.ListedVm(address=membership.host_of(each.agent), leaving=True)
@@ -110,10 +110,10 @@
     ]
     members.update_vms(states, 0.0)
     times = []
-    for _ in range(REPEATS):
-        began = time.perf_counter()
+    for _ in range(USABLE_CALLS):
+        started_at = time.perf_counter()
         members.usable(servers, 0.1)
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started_at)
     return statistics.median(times)
 
 
@@ -121,12 +121,12 @@
     """Prints the time of `usable` by number of servers."""
     print("servers  healthy_us  1%_held_us  1%_held_1%_vms_leaving_us")
     for size in (10, 150, 2400):
-        few = max(1, size // 100)
+        one_percent = max(1, size // 100)
         print(
             f"{size:7}"
             f" {usable_seconds(size, 0, 0) * 1e6:10.1f}"
-            f" {usable_seconds(size, few, 0) * 1e6:10.1f}"
-            f" {usable_seconds(size, few, few) * 1e6:10.1f}"
+            f" {usable_seconds(size, one_percent, 0) * 1e6:10.1f}"
+            f" {usable_seconds(size, one_percent, one_percent) * 1e6:10.1f}"
         )
 
 
--- a/benches/path.py
+++ b/benches/path.py
@@ -215,7 +215,11 @@
 
 
 def _quantiles(streams) -> dict[str, float]:
-    times = sorted(each.first - each.begun for each in streams if each.first)
+    times = sorted(
+        each.first_text_at - each.started_at
+        for each in streams
+        if each.first_text_at
+    )
     found = {"answered": len(times), "asked": len(streams)}
     for name, share in (("p50", 0.5), ("p95", 0.95), ("p99", 0.99)):
         found[name] = round(times[int(share * (len(times) - 1))] * 1e3, 2)
@@ -287,7 +291,7 @@
     load.run(begun + seconds)
     took = time.perf_counter() - begun
     after = [each.usage() for each in parts]
-    got, still = load.events - events, load.open()
+    got, still = load.events - events, load.open_count()
     load.close()
     used = [b.cpu - a.cpu for a, b in zip(before, after, strict=True)]
     return {
@@ -321,7 +325,7 @@
     prompts = _prompts(f"closed {callers}")
     before, begun = deployment.usage(), time.perf_counter()
     while time.perf_counter() < begun + seconds:
-        while load.open() < callers:
+        while load.open_count() < callers:
             load.begin(_routed(next(prompts), 1))
         for key, _ in load.selector.select(1.0):
             load.read(key.fileobj, key.data)
--- a/benches/placement_runs.py
+++ b/benches/placement_runs.py
@@ -131,9 +131,9 @@
         nor what the cache really had.
         """
         return self.admission.queued_tokens + sum(
-            max(0, job.arrival.prompt_tokens - job.expected)
+            max(0, job.arrival.prompt_tokens - job.expected_tokens)
             for job in self.engine.batch
-            if job.left
+            if job.tokens_left
         )
 
     def left_tokens(self) -> int:
@@ -298,7 +298,7 @@
         job = engines.Job(
             arrival=arrival,
             attempt=measured.sent,
-            expected=choice.expected_depth,
+            expected_tokens=choice.expected_depth,
             crashes=measured.crashes,
         )
         sender = (entry.number, entry.life)
@@ -322,7 +322,7 @@
             server=choice.server,
             incarnation=choice.incarnation,
             weights=workloads.WEIGHTS,
-            expected_depth=job.expected,
+            expected_depth=job.expected_tokens,
             prompt_tokens=arrival.prompt_tokens,
             fingerprint=arrival.request.encode(),
             crashes=job.crashes,
@@ -392,7 +392,7 @@
             sender = (entry.number, entry.life)
             truth = agent.truth(sender)
             self.tell(sender, self.learned, truth, lossy=True)
-        if self.now < workloads.SECONDS:
+        if self.now < workloads.DURATION_SECONDS:
             self.at(self.now + _REPORT_SECONDS, self.report, name)
 
     def dispatched(self, choice, job: engines.Job, sender):
--- a/benches/quota_ways.py
+++ b/benches/quota_ways.py
@@ -10,21 +10,21 @@
 from pimentoledge.routing.quotas import rights
 
 # Between two tellings of what ran, and how soon a router counts as silent.
-TELL_SECONDS = 0.1
+BROADCAST_SECONDS = 0.1
 SILENT_SECONDS = 0.6
 # Part of a limit that routers use beside an owner that they can't hear.
-OWN_SHARE = 0.5
+FALLBACK_SHARE = 0.5
 
 
 @attrs.define(kw_only=True)
-class Counted:
+class CountReport:
     """What ran at one router since it started, by organisation."""
 
     life: int
     costs: dict[str, float]
 
 
-class Way:
+class LocalLimiter:
     """What the ways have in common: an own ledger, decided at once."""
 
     def __init__(self, *, own, life, bounds, share, routers, send):
@@ -49,17 +49,19 @@
         """Returns what never ran."""
         self.ledger.give_back(organisation, cost, now)
 
-    def hold(self, share, now):
+    def set_share(self, share, now):
         """Sets the part of every limit that this router has."""
         for slot in self.ledger.slots:
-            held = slot.leases.get(self.own)
-            if share and (held is None or held.share != share):
+            lease_before = slot.leases.get(self.own)
+            if share and (lease_before is None or lease_before.share != share):
                 lease = ledgers.RightsLease(share=share, until=rights.NEVER)
-                slot.put(self.own, lease, allowance=held is None, now=now)
+                slot.put(
+                    self.own, lease, allowance=lease_before is None, now=now
+                )
 
     def tick(self, now):
         """Keeps the own part up to date."""
-        self.hold(self.share(now), now)
+        self.set_share(self.share(now), now)
 
     def handle(self, sender, message, now):
         """Takes no messages."""
@@ -72,82 +74,82 @@
         self.leaving = True
 
 
-class EqualParts(Way):
+class EqualShares(LocalLimiter):
     """Each router has an equal part, and nothing is said."""
 
 
-class Counts(Way):
+class BroadcastCounts(LocalLimiter):
     """Each router tells all others what ran, and keeps the whole limit.
 
     A router that is silent is taken to use its part.
     """
 
-    def __init__(self, **more):
-        super().__init__(**more)
+    def __init__(self, **fields):
+        super().__init__(**fields)
         self.costs: dict[str, float] = {}
-        self.known: dict[str, tuple[int, dict[str, float]]] = {}
-        self.heard: dict[str, float] = {}
+        self.last_reports: dict[str, tuple[int, dict[str, float]]] = {}
+        self.last_report_at: dict[str, float] = {}
         self.limits: dict[str, ledgers.Limit] = {}
-        self._next = 0.0
-        self._news = False
+        self._next_broadcast_at = 0.0
+        self._changed = False
 
     def acquire(self, organisation, limit, cost, now, decided):
         """Decides by the replica, and counts what runs."""
         self.limits[organisation] = limit
 
-        def counted(answer):
+        def record_decision(answer):
             if answer.decision.granted:
                 total = self.costs.get(organisation, 0.0) + cost
                 self.costs[organisation] = total
-                self._news = True
+                self._changed = True
             decided(answer)
 
-        return super().acquire(organisation, limit, cost, now, counted)
+        return super().acquire(organisation, limit, cost, now, record_decision)
 
     def tick(self, now):
         """Tells what ran; shrinks to what those who are heard have."""
-        own = self.share(now)
-        heard = [
+        own_share = self.share(now)
+        reporting = [
             each
-            for each, when in self.heard.items()
+            for each, when in self.last_report_at.items()
             if now - when < SILENT_SECONDS
         ]
-        self.hold(min(1.0, own * (1 + len(heard))), now)
-        if now < self._next:
+        self.set_share(min(1.0, own_share * (1 + len(reporting))), now)
+        if now < self._next_broadcast_at:
             return
-        self._next = now + TELL_SECONDS
-        told = Counted(life=self.life, costs=dict(self.costs))
+        self._next_broadcast_at = now + BROADCAST_SECONDS
+        report = CountReport(life=self.life, costs=dict(self.costs))
         for each in self.routers(now):
-            self.send(each, told)
+            self.send(each, report)
 
     def handle(self, sender, message, now):
         """Takes what another router has counted."""
-        self.heard[sender] = now
-        life, before = self.known.get(sender, (message.life, {}))
+        self.last_report_at[sender] = now
+        life, before = self.last_reports.get(sender, (message.life, {}))
         if life != message.life:
             before = {}
-        self.known[sender] = (message.life, message.costs)
+        self.last_reports[sender] = (message.life, message.costs)
         for name, total in message.costs.items():
-            more = total - before.get(name, 0.0)
+            increase = total - before.get(name, 0.0)
             limit = self.limits.get(name)
-            if more <= 0 or limit is None:
+            if increase <= 0 or limit is None:
                 continue
             slot = self.ledger.slots[ledgers.slot_of(name)]
             pool = slot.pool(name, limit, now)
-            pool.level -= more
+            pool.level -= increase
 
 
-class WholeOwner(Way):
+class SingleOwner(LocalLimiter):
     """One owner has the whole limit; who can't hear it uses a part of half.
 
     As `decisions.lending` does for entries, with costs instead of requests.
     """
 
-    def __init__(self, **more):
-        super().__init__(**more)
+    def __init__(self, **fields):
+        super().__init__(**fields)
         bounds = self.ledger.bounds
-        self.owned = ledgers.Ledger(bounds=bounds)
-        for slot in self.owned.slots:
+        self.owner_ledger = ledgers.Ledger(bounds=bounds)
+        for slot in self.owner_ledger.slots:
             lease = ledgers.RightsLease(share=1.0, until=rights.NEVER)
             slot._counted_at = -100.0
             slot.put(self.own, lease, allowance=False, now=-100.0)
@@ -159,41 +161,44 @@
             routers=self.routers,
             send=self.send,
         )
-        self.limiter.ledger = self.owned
+        self.limiter.ledger = self.owner_ledger
         self.limiter.rights = self
         self.limiter._decide_here = self._decide_here
-        self.talks: dict[str, float] = {}
+        self.retry_at: dict[str, float] = {}
 
     def target(self, slot, now):
         """Returns the owner of a slot, or this router."""
-        sure = [
+        reachable = [
             each
             for each in self.routers(now)
-            if now >= self.talks.get(each, -rights.NEVER)
+            if now >= self.retry_at.get(each, -rights.NEVER)
         ]
-        return rights.owner_of(slot, [*sure, self.own])
+        return rights.owner_of(slot, [*reachable, self.own])
 
-    def doubt(self, owner, now):
+    def suspect(self, owner, now):
         """Asks an owner nothing for a second."""
-        self.talks[owner] = now + 1.0
+        self.retry_at[owner] = now + 1.0
 
     def acquire(self, organisation, limit, cost, now, decided):
         """Asks the owner."""
         return self.limiter.acquire(organisation, limit, cost, now, decided)
 
-    def _decide_here(self, question, now):
-        owner = self.target(ledgers.slot_of(question.organisation), now)
-        ledger = self.owned if owner == self.own else self.ledger
+    def _decide_here(self, pending_acquire, now):
+        owner = self.target(ledgers.slot_of(pending_acquire.organisation), now)
+        ledger = self.owner_ledger if owner == self.own else self.ledger
         decision = ledger.acquire(
-            question.organisation, question.limit, question.cost, now
+            pending_acquire.organisation,
+            pending_acquire.limit,
+            pending_acquire.cost,
+            now,
         )
-        question.decided(
+        pending_acquire.decided(
             limiters.AcquireResult(decision=decision, owner=self.own)
         )
 
     def tick(self, now):
         """Looks at late answers."""
-        self.hold(OWN_SHARE * self.share(now), now)
+        self.set_share(FALLBACK_SHARE * self.share(now), now)
         self.limiter._check_pending(now)
 
     def handle(self, sender, message, now):
@@ -202,13 +207,13 @@
 
     def unreachable(self, address, now):
         """Takes that a connection broke."""
-        if address in self.talks:
-            self.doubt(address, now)
+        if address in self.retry_at:
+            self.suspect(address, now)
 
 
-WAYS = {
-    "equal parts": EqualParts,
-    "counts told": Counts,
-    "whole owner": WholeOwner,
+LIMITERS = {
+    "equal parts": EqualShares,
+    "counts told": BroadcastCounts,
+    "whole owner": SingleOwner,
     "lent rights": limiters.Limiter,
 }
--- a/benches/quotas.py
+++ b/benches/quotas.py
@@ -25,17 +25,17 @@
     window_seconds=WINDOW_SECONDS, over=0.1, slack=72000.0
 )
 TICK_SECONDS = 0.1
-IN_CENTRE_SECONDS = 0.0005
-APART_SECONDS = 0.0018
+SAME_CENTRE_DELAY_SECONDS = 0.0005
+CROSS_CENTRE_DELAY_SECONDS = 0.0018
 # A process needs so long to come up again, slow VMs longer.
-START_SECONDS = (0.4, 1.0)
+RESTART_SECONDS = (0.4, 1.0)
 # What a router that starts needs to read the number of routers.
-READ_SECONDS = 0.02
+ROUTER_COUNT_READ_SECONDS = 0.02
 # After which a router that started is known, and who died is forgotten.
-MEET_SECONDS = 0.3
-MEMBER_SECONDS = 30.0
+DISCOVERY_SECONDS = 0.3
+MEMBERSHIP_SECONDS = 30.0
 # What a cut held up comes after it, if it is over so soon.
-HELD_SECONDS = 4.0
+MAX_HEAL_DELAY_SECONDS = 4.0
 # Around a message, in bytes.
 ENVELOPE_BYTES = 40
 DRAFT_COST = 900.0
@@ -79,14 +79,14 @@
     """
 
     name: str
-    hot: tuple[float, float, float] = (1.0, 0.0, 0.0)
-    one: bool = False
-    cuts: tuple[float, float, float] = (0.0, 0.0, 0.0)
-    alone: bool = False
+    hot_load: tuple[float, float, float] = (1.0, 0.0, 0.0)
+    hot_at_one_router: bool = False
+    partition: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    isolated: bool = False
     one_way: bool = False
-    kills: tuple[float, ...] = ()
+    kill_all_at: tuple[float, ...] = ()
     kill_owner_at: float = 0.0
-    roll_from: float = 0.0
+    rolling_restart_from: float = 0.0
     lowered_at: float = 0.0
 
 
@@ -95,17 +95,27 @@
     each.name: each
     for each in (
         Case(name="calm"),
-        Case(name="hot", hot=HOT),
-        Case(name="hot-one", hot=HOT, one=True),
-        Case(name="hot-alone", hot=HOT, cuts=(0.35, 8.0, 18.0), alone=True),
-        Case(name="hot-halves", hot=HOT, cuts=(0.5, 8.0, 18.0)),
-        Case(name="hot-one-way", hot=HOT, cuts=(0.3, 8.0, 18.0), one_way=True),
-        Case(name="hot-kills", hot=HOT, kills=(9.0, 12.0)),
-        Case(name="hot-owner-dies", hot=HOT, kill_owner_at=10.0),
-        Case(name="hot-rolling", hot=HOT, roll_from=8.0),
-        Case(name="hot-lowered", hot=HOT, lowered_at=12.0),
-        Case(name="kills", kills=(9.0, 12.0)),
-        Case(name="alone", cuts=(0.35, 8.0, 18.0), alone=True),
+        Case(name="hot", hot_load=HOT),
+        Case(name="hot-one", hot_load=HOT, hot_at_one_router=True),
+        Case(
+            name="hot-alone",
+            hot_load=HOT,
+            partition=(0.35, 8.0, 18.0),
+            isolated=True,
+        ),
+        Case(name="hot-halves", hot_load=HOT, partition=(0.5, 8.0, 18.0)),
+        Case(
+            name="hot-one-way",
+            hot_load=HOT,
+            partition=(0.3, 8.0, 18.0),
+            one_way=True,
+        ),
+        Case(name="hot-kills", hot_load=HOT, kill_all_at=(9.0, 12.0)),
+        Case(name="hot-owner-dies", hot_load=HOT, kill_owner_at=10.0),
+        Case(name="hot-rolling", hot_load=HOT, rolling_restart_from=8.0),
+        Case(name="hot-lowered", hot_load=HOT, lowered_at=12.0),
+        Case(name="kills", kill_all_at=(9.0, 12.0)),
+        Case(name="alone", partition=(0.35, 8.0, 18.0), isolated=True),
         Case(name="owner-dies", kill_owner_at=10.0),
     )
 }
@@ -125,22 +135,22 @@
 
     name: str
     number: int
-    way: object = None
-    born: float = 0.0
+    limiter: object = None
+    started_at: float = 0.0
     weight: float = 1.0
 
 
 @attrs.define(kw_only=True)
-class Ran:
+class ExecutedRequest:
     """A request that ran."""
 
-    sent: float
-    ran: float
+    arrived_at: float
+    executed_at: float
     cost: float
 
 
 @attrs.define(kw_only=True)
-class Found:
+class Result:
     """What a play came to.
 
     Attributes:
@@ -156,8 +166,8 @@
         owner_kilobytes: the same in kilobytes.
     """
 
-    worst: float
-    refused_below: float
+    worst_ratio: float
+    refused_below_limit: float
     messages: float
     kilobytes: float
     wait_p99_ms: float
@@ -169,17 +179,24 @@
     """Routers, links and requests."""
 
     def __init__(
-        self, *, way, routers, case, organisations=None, seed=1, rate=None
+        self,
+        *,
+        limiter_class,
+        routers,
+        case,
+        organisations=None,
+        seed=1,
+        rate=None,
     ):
         self.random = random.Random(seed)
         self.case = case
-        self.make = way
+        self.limiter_class = limiter_class
         self.now = 0.0
-        self.heap = []
-        self.order = itertools.count()
-        self.stored = routers
+        self.scheduled = []
+        self.sequence = itertools.count()
+        self.stored_router_count = routers
         self.rate = rate or 9.0 * routers
-        self.organisations = organisations or usual(self.rate)
+        self.organisations = organisations or default_organisations(self.rate)
         self.version = 1
         self.limits = {
             each.name: ledgers.Limit(
@@ -196,152 +213,168 @@
             for number in range(routers)
         }
         self.names = list(self.routers)
-        self.last_up: dict[str, float] = {}
-        self.ran = collections.defaultdict(list)
-        self.asked = collections.defaultdict(list)
-        self.sent_messages = 0
-        self.sent_bytes = 0
-        self.load_since = 0.0
-        self.load_seconds = 1.0
-        self.load_messages = collections.Counter()
-        self.load_bytes = collections.Counter()
+        self.last_up_at: dict[str, float] = {}
+        self.executed = collections.defaultdict(list)
+        self.arrivals = collections.defaultdict(list)
+        self.message_count = 0
+        self.byte_count = 0
+        self.owner_load_from = 0.0
+        self.owner_load_seconds = 1.0
+        self.messages_by_router = collections.Counter()
+        self.bytes_by_router = collections.Counter()
         self.waits = []
-        self.lives = itertools.count(1)
-        self.cut = set()
+        self.start_numbers = itertools.count(1)
+        self.partitioned = set()
 
-    def at(self, when, what, *arguments):
+    def schedule(self, when, callback, *arguments):
         """Has something done at a time."""
-        heapq.heappush(self.heap, (when, next(self.order), what, arguments))
+        heapq.heappush(
+            self.scheduled, (when, next(self.sequence), callback, arguments)
+        )
 
-    def play(self, seconds=30.0, lead=4.0):
+    def run(self, seconds=30.0, lead=4.0):
         """Plays the case; returns the judge's findings."""
         for router in self.routers.values():
-            self.at(self.random.uniform(0, 0.3), self.start, router)
+            self.schedule(self.random.uniform(0, 0.3), self.start, router)
         case = self.case
-        for when in case.kills:
-            self.at(lead + when, self.kill_all)
+        for when in case.kill_all_at:
+            self.schedule(lead + when, self.kill_all)
         if case.kill_owner_at:
-            self.at(lead + case.kill_owner_at, self.kill_owner)
-        if case.roll_from:
+            self.schedule(lead + case.kill_owner_at, self.kill_owner)
+        if case.rolling_restart_from:
             for turn, router in enumerate(self.routers.values()):
-                when = lead + case.roll_from + 0.5 * turn
-                self.at(when, self.stop, router)
-        if case.cuts[0]:
-            self.at(lead + case.cuts[1], self.begin_cut)
-            self.at(lead + case.cuts[2], self.end_cut)
+                when = lead + case.rolling_restart_from + 0.5 * turn
+                self.schedule(when, self.stop, router)
+        if case.partition[0]:
+            self.schedule(lead + case.partition[1], self.begin_partition)
+            self.schedule(lead + case.partition[2], self.end_partition)
         if case.lowered_at:
-            self.at(lead + case.lowered_at, self.lower)
+            self.schedule(lead + case.lowered_at, self.lower_limit)
         for each in self.organisations:
-            self.at(lead, self.request, each, lead)
+            self.schedule(lead, self.request, each, lead)
         end = lead + seconds
-        _, since, until = case.hot if case.hot[0] > 1 else (1, 0, seconds)
-        self.load_since = lead + since
-        self.load_seconds = min(until, seconds) - since
-        while self.heap and self.heap[0][0] < end:
-            self.now, _, what, arguments = heapq.heappop(self.heap)
-            what(*arguments)
-        return self.judge(seconds)
+        _, since, until = (
+            case.hot_load if case.hot_load[0] > 1 else (1, 0, seconds)
+        )
+        self.owner_load_from = lead + since
+        self.owner_load_seconds = min(until, seconds) - since
+        while self.scheduled and self.scheduled[0][0] < end:
+            self.now, _, callback, arguments = heapq.heappop(self.scheduled)
+            callback(*arguments)
+        return self.measure(seconds)
 
     def start(self, router):
         """Starts a router, which knows nothing."""
-        router.born = self.now
-        router.way = self.make(
+        router.started_at = self.now
+        router.limiter = self.limiter_class(
             own=router.name,
-            life=next(self.lives),
+            life=next(self.start_numbers),
             bounds=BOUNDS,
             share=lambda now: self.share(router, now),
-            routers=lambda now: self.known(router, now),
+            routers=lambda now: self.known_routers(router, now),
             send=lambda to, message: self.send(router, to, message),
         )
-        self.last_up[router.name] = self.now
-        self.at(self.now + 0.01, self.tick, router, router.way)
+        self.last_up_at[router.name] = self.now
+        self.schedule(self.now + 0.01, self.tick, router, router.limiter)
 
-    def tick(self, router, way):
+    def tick(self, router, limiter):
         """Lets a router do what is due."""
-        if router.way is not way:
+        if router.limiter is not limiter:
             return
-        self.last_up[router.name] = self.now
-        way.tick(self.now)
-        later = self.now + TICK_SECONDS * self.random.uniform(0.95, 1.1)
-        self.at(later, self.tick, router, way)
+        self.last_up_at[router.name] = self.now
+        limiter.tick(self.now)
+        next_tick_at = self.now + TICK_SECONDS * self.random.uniform(0.95, 1.1)
+        self.schedule(next_tick_at, self.tick, router, limiter)
 
     def share(self, router, now):
         """Returns a router's part, once it knows how many there are."""
-        if now - router.born < READ_SECONDS:
+        if now - router.started_at < ROUTER_COUNT_READ_SECONDS:
             return 0.0
-        return 1 / max(self.stored, 1 + len(self.known(router, now)))
+        return 1 / max(
+            self.stored_router_count, 1 + len(self.known_routers(router, now))
+        )
 
-    def known(self, router, now):
+    def known_routers(self, router, now):
         """Returns whom a router believes to live."""
-        if now - router.born < MEET_SECONDS:
+        if now - router.started_at < DISCOVERY_SECONDS:
             return []
         return [
             name
             for name, other in self.routers.items()
             if other is not router
-            and now - self.last_up.get(name, -1e9) < MEMBER_SECONDS
-            and (other.way is None or now - other.born >= MEET_SECONDS)
+            and now - self.last_up_at.get(name, -1e9) < MEMBERSHIP_SECONDS
+            and (
+                other.limiter is None
+                or now - other.started_at >= DISCOVERY_SECONDS
+            )
         ]
 
     def connected(self, sender, receiver):
         """Returns whether a message gets through."""
         if sender == receiver:
             return True
-        cut = (sender in self.cut, receiver in self.cut)
+        partitioned = (sender in self.partitioned, receiver in self.partitioned)
         if self.case.one_way:
-            return not cut[0] or cut[1]
-        if self.case.alone:
-            return not any(cut)
-        return cut[0] == cut[1]
+            return not partitioned[0] or partitioned[1]
+        if self.case.isolated:
+            return not any(partitioned)
+        return partitioned[0] == partitioned[1]
 
-    def send(self, router, to, message):
+    def send(self, router, receiver, message):
         """Sends a message, unless the sender is down."""
-        data = len(msgspec.msgpack.encode(message)) + ENVELOPE_BYTES
-        self.sent_messages += 1
-        self.sent_bytes += data
-        if 0 <= self.now - self.load_since < self.load_seconds:
-            for each in (router.name, to):
-                self.load_messages[each] += 1
-                self.load_bytes[each] += data
-        delay = IN_CENTRE_SECONDS
-        if router.number % 3 != self.routers[to].number % 3:
-            delay = APART_SECONDS
+        size = len(msgspec.msgpack.encode(message)) + ENVELOPE_BYTES
+        self.message_count += 1
+        self.byte_count += size
+        if 0 <= self.now - self.owner_load_from < self.owner_load_seconds:
+            for endpoint in (router.name, receiver):
+                self.messages_by_router[endpoint] += 1
+                self.bytes_by_router[endpoint] += size
+        delay = SAME_CENTRE_DELAY_SECONDS
+        if router.number % 3 != self.routers[receiver].number % 3:
+            delay = CROSS_CENTRE_DELAY_SECONDS
         delay *= self.random.uniform(0.9, 1.6)
-        way = router.way
-        if not self.connected(router.name, to):
-            heals = 4.0 + self.case.cuts[2]
-            if heals - self.now > HELD_SECONDS:
+        limiter = router.limiter
+        if not self.connected(router.name, receiver):
+            heals_at = 4.0 + self.case.partition[2]
+            if heals_at - self.now > MAX_HEAL_DELAY_SECONDS:
                 return
-            delay = heals - self.now + self.random.uniform(0, 0.3)
-        self.at(self.now + delay, self.deliver, router.name, way, to, message)
+            delay = heals_at - self.now + self.random.uniform(0, 0.3)
+        self.schedule(
+            self.now + delay,
+            self.deliver,
+            router.name,
+            limiter,
+            receiver,
+            message,
+        )
 
-    def deliver(self, sender, way, to, message):
+    def deliver(self, sender, limiter, receiver, message):
         """Brings a message, if the receiver is up."""
-        router = self.routers[to]
-        if router.way is None:
-            back = self.routers[sender]
-            if back.way is way:
-                back.way.unreachable(to, self.now)
+        router = self.routers[receiver]
+        if router.limiter is None:
+            sending_router = self.routers[sender]
+            if sending_router.limiter is limiter:
+                sending_router.limiter.unreachable(receiver, self.now)
             return
-        router.way.handle(sender, message, self.now)
+        router.limiter.handle(sender, message, self.now)
 
     def stop(self, router):
         """Tells a router to end; it comes back later."""
-        if router.way is None:
+        if router.limiter is None:
             return
-        router.way.leave(self.now)
-        self.at(self.now + 2.7, self.kill, router)
+        router.limiter.leave(self.now)
+        self.schedule(self.now + 2.7, self.kill, router)
 
     def kill(self, router):
         """Kills a router; it comes back knowing nothing."""
-        router.way = None
-        later = 1.0 + self.random.uniform(*START_SECONDS)
-        self.at(self.now + later, self.start, router)
+        router.limiter = None
+        restart_delay = 1.0 + self.random.uniform(*RESTART_SECONDS)
+        self.schedule(self.now + restart_delay, self.start, router)
 
     def kill_all(self):
         """Kills all routers."""
         for router in self.routers.values():
-            if router.way is not None:
+            if router.limiter is not None:
                 self.kill(router)
 
     def kill_owner(self):
@@ -350,20 +383,20 @@
         self.kill(
             max(
                 self.routers.values(),
-                key=lambda each: each.way.ledger.slots[slot].share,
+                key=lambda each: each.limiter.ledger.slots[slot].share,
             )
         )
 
-    def begin_cut(self):
+    def begin_partition(self):
         """Cuts some routers off."""
-        count = int(self.case.cuts[0] * len(self.names))
-        self.cut = set(self.random.sample(self.names, count))
+        count = int(self.case.partition[0] * len(self.names))
+        self.partitioned = set(self.random.sample(self.names, count))
 
-    def end_cut(self):
+    def end_partition(self):
         """Heals the cut."""
-        self.cut = set()
+        self.partitioned = set()
 
-    def lower(self):
+    def lower_limit(self):
         """Makes the first organisation's limit a third."""
         name = self.organisations[0].name
         before = self.limits[name]
@@ -375,11 +408,11 @@
 
     def request(self, organisation, lead):
         """Lets a request come, and plans the next."""
-        factor, since, until = self.case.hot
+        factor, since, until = self.case.hot_load
         hot = organisation is self.organisations[0]
         hot = hot and since <= self.now - lead < until
         rate = self.rate * organisation.share * (factor if hot else 1.0)
-        self.at(
+        self.schedule(
             self.now + self.random.expovariate(rate),
             self.request,
             organisation,
@@ -390,64 +423,75 @@
             mean = LOOK_UP_COST
         cost = round(mean * min(4.0, self.random.lognormvariate(-0.18, 0.6)))
         names = self.names
-        if hot and self.case.one and factor > 1:
+        if hot and self.case.hot_at_one_router and factor > 1:
             names = names[:1]
         weights = [self.routers[name].weight for name in names]
         router = self.routers[self.random.choices(names, weights)[0]]
-        if router.way is None:
+        if router.limiter is None:
             return
-        self.asked[organisation.name].append((self.now, cost))
-        began = self.now
+        self.arrivals[organisation.name].append((self.now, cost))
+        arrived_at = self.now
 
         def decided(answer):
-            self.waits.append(self.now - began)
+            self.waits.append(self.now - arrived_at)
             if answer.decision.granted:
-                self.ran[organisation.name].append(
-                    Ran(sent=began, ran=self.now, cost=cost)
+                self.executed[organisation.name].append(
+                    ExecutedRequest(
+                        arrived_at=arrived_at, executed_at=self.now, cost=cost
+                    )
                 )
 
         limit = self.limits[organisation.name]
-        router.way.acquire(organisation.name, limit, cost, self.now, decided)
+        router.limiter.acquire(
+            organisation.name, limit, cost, self.now, decided
+        )
 
-    def judge(self, seconds):
+    def measure(self, seconds):
         """Returns what the play came to."""
-        owed = lost = 0.0
+        allowed = refused = 0.0
         for organisation in self.organisations:
-            below = below_limit(organisation, self.asked[organisation.name])
-            let_in = sum(each.cost for each in self.ran[organisation.name])
-            owed += below
-            lost += max(0.0, below - let_in)
-        worst = max(
-            worst_window(organisation, self.ran[organisation.name])
+            allowed_of_organisation = single_bucket_cost(
+                organisation, self.arrivals[organisation.name]
+            )
+            executed = sum(
+                each.cost for each in self.executed[organisation.name]
+            )
+            allowed += allowed_of_organisation
+            refused += max(0.0, allowed_of_organisation - executed)
+        worst_ratio = max(
+            worst_window_ratio(organisation, self.executed[organisation.name])
             for organisation in self.organisations
         )
         waits = sorted(self.waits)
         routers = len(self.routers)
-        return Found(
-            worst=worst,
-            refused_below=lost / max(1.0, owed),
-            messages=self.sent_messages / seconds / routers,
-            kilobytes=self.sent_bytes / seconds / routers / 1000,
+        return Result(
+            worst_ratio=worst_ratio,
+            refused_below_limit=refused / max(1.0, allowed),
+            messages=self.message_count / seconds / routers,
+            kilobytes=self.byte_count / seconds / routers / 1000,
             wait_p99_ms=1000 * waits[int(0.99 * len(waits))],
-            owner_messages=most(self.load_messages) / self.load_seconds,
-            owner_kilobytes=most(self.load_bytes) / self.load_seconds / 1000,
+            owner_messages=highest_count(self.messages_by_router)
+            / self.owner_load_seconds,
+            owner_kilobytes=highest_count(self.bytes_by_router)
+            / self.owner_load_seconds
+            / 1000,
         )
 
 
-def most(counter):
+def highest_count(counter):
     """Returns the highest count, or 0."""
     return max(counter.values(), default=0)
 
 
-def usual(rate):
+def default_organisations(rate):
     """Returns sixteen organisations, a few of them large."""
     weights = [1 / rank for rank in range(1, 17)]
     mean = LOOK_UP_SHARE * LOOK_UP_COST + (1 - LOOK_UP_SHARE) * DRAFT_COST
-    found = []
+    organisations = []
     for number, weight in enumerate(weights):
         share = weight / sum(weights)
         per_second = max(18000.0, 1.8 * rate * share * mean)
-        found.append(
+        organisations.append(
             Organisation(
                 name=f"o{number}",
                 share=share,
@@ -455,36 +499,36 @@
                 burst=per_second,
             )
         )
-    return found
+    return organisations
 
 
-def below_limit(organisation, asked):
+def single_bucket_cost(organisation, arrivals):
     """Returns how many tokens one bucket would let in."""
     level = organisation.burst
-    before = found = 0.0
-    for when, cost in asked:
-        refill = organisation.per_second * (when - before)
+    last_at = admitted = 0.0
+    for when, cost in arrivals:
+        refill = organisation.per_second * (when - last_at)
         level = min(organisation.burst, level + refill)
-        before = when
+        last_at = when
         if level >= cost:
             level -= cost
-            found += cost
-    return found
+            admitted += cost
+    return admitted
 
 
-def worst_window(organisation, ran):
+def worst_window_ratio(organisation, executed):
     """Returns the most that ran in a window, by what is allowed."""
     limit = organisation.per_second * WINDOW_SECONDS + organisation.burst
     allowed = limit * (1 + BOUNDS.over) + BOUNDS.slack
-    worst = total = 0.0
+    highest = total = 0.0
     window = collections.deque()
-    for each in sorted(ran, key=lambda one: one.ran):
+    for each in sorted(executed, key=lambda one: one.executed_at):
         window.append(each)
         total += each.cost
-        while window[0].ran < each.ran - WINDOW_SECONDS:
+        while window[0].executed_at < each.executed_at - WINDOW_SECONDS:
             total -= window.popleft().cost
-        worst = max(worst, total)
-    return worst / allowed
+        highest = max(highest, total)
+    return highest / allowed
 
 
 def main():
@@ -492,30 +536,30 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--routers", default="3,22,68")
     parser.add_argument("--cases", default=",".join(CASES))
-    parser.add_argument("--ways", default=",".join(quota_ways.WAYS))
+    parser.add_argument("--ways", default=",".join(quota_ways.LIMITERS))
     parser.add_argument("--seed", type=int, default=1)
-    chosen = parser.parse_args()
+    arguments = parser.parse_args()
     print(
         "| routers | case | way | worst | below % | msg/s | kB/s | p99 ms |"
         " owner msg/s | owner kB/s |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for routers in map(int, chosen.routers.split(",")):
-        for case in chosen.cases.split(","):
-            for way in chosen.ways.split(","):
-                found = World(
-                    way=quota_ways.WAYS[way],
+    for routers in map(int, arguments.routers.split(",")):
+        for case in arguments.cases.split(","):
+            for way in arguments.ways.split(","):
+                result = World(
+                    limiter_class=quota_ways.LIMITERS[way],
                     routers=routers,
                     case=CASES[case],
-                    seed=chosen.seed,
-                ).play()
+                    seed=arguments.seed,
+                ).run()
                 print(
-                    f"| {routers} | {case} | {way} | {found.worst:.2f} |"
-                    f" {100 * found.refused_below:.2f} |"
-                    f" {found.messages:.0f} | {found.kilobytes:.1f} |"
-                    f" {found.wait_p99_ms:.1f} |"
-                    f" {found.owner_messages:.0f} |"
-                    f" {found.owner_kilobytes:.0f} |",
+                    f"| {routers} | {case} | {way} | {result.worst_ratio:.2f} |"
+                    f" {100 * result.refused_below_limit:.2f} |"
+                    f" {result.messages:.0f} | {result.kilobytes:.1f} |"
+                    f" {result.wait_p99_ms:.1f} |"
+                    f" {result.owner_messages:.0f} |"
+                    f" {result.owner_kilobytes:.0f} |",
                     flush=True,
                 )
 
--- a/benches/server_limits.py
+++ b/benches/server_limits.py
@@ -19,14 +19,14 @@
 
 WINDOW_SECONDS = ledgers.SERVER_BOUNDS.window_seconds
 # The users' figures: half of a limit more, and so many requests.
-OVER = 0.5
-SLACK = 5
+ALLOWED_EXCESS_SHARE = 0.5
+ALLOWED_EXCESS_REQUESTS = 5
 # From a server's first answer with a limit until it counts.
-CONTACT_SECONDS = 3.0
+SETTLING_SECONDS = 3.0
 # What a limit needs to reach the other routers, at most.
-SPREAD_SECONDS = 0.4
+PROPAGATION_SECONDS = 0.4
 # Requests a second that each server would get without a limit.
-DEMAND = 40.0
+DEMAND_PER_SECOND = 40.0
 
 
 @attrs.frozen(kw_only=True)
@@ -50,8 +50,8 @@
     joins: tuple[float, float] = (0.0, 0.0)
 
 
-def _faults(**given: object) -> quotas.Case:
-    return quotas.Case(name="faults", **given)
+def _fault_case(**fields: object) -> quotas.Case:
+    return quotas.Case(name="faults", **fields)
 
 
 CASES = {
@@ -64,14 +64,18 @@
         Case(name="raised", changes=((9.0, 6.0),)),
         Case(name="ends", changes=((9.0, None), (11.0, 1.0))),
         Case(name="flaps", changes=tuple((6.0 + t, 1.0 + t) for t in range(8))),
-        Case(name="halves", faults=_faults(cuts=(0.5, 6.0, 14.0))),
-        Case(name="alone", faults=_faults(cuts=(0.35, 6.0, 14.0), alone=True)),
+        Case(name="halves", faults=_fault_case(partition=(0.5, 6.0, 14.0))),
         Case(
-            name="one-way", faults=_faults(cuts=(0.3, 6.0, 14.0), one_way=True)
+            name="alone",
+            faults=_fault_case(partition=(0.35, 6.0, 14.0), isolated=True),
         ),
-        Case(name="kills", faults=_faults(kills=(7.0, 10.0))),
-        Case(name="owner-dies", faults=_faults(kill_owner_at=7.0)),
-        Case(name="rolling", faults=_faults(roll_from=5.0)),
+        Case(
+            name="one-way",
+            faults=_fault_case(partition=(0.3, 6.0, 14.0), one_way=True),
+        ),
+        Case(name="kills", faults=_fault_case(kill_all_at=(7.0, 10.0))),
+        Case(name="owner-dies", faults=_fault_case(kill_owner_at=7.0)),
+        Case(name="rolling", faults=_fault_case(rolling_restart_from=5.0)),
         Case(name="freezes", freezes=(0.4, 6.0, 9.0)),
         Case(name="joins", joins=(0.5, 7.0)),
     )
@@ -79,7 +83,7 @@
 
 
 @attrs.frozen(kw_only=True)
-class Found:
+class Result:
     """What a play came to.
 
     Attributes:
@@ -91,9 +95,9 @@
         owner_messages: a second, of the router that has most of them.
     """
 
-    worst: float
-    used: float
-    asks: float
+    worst_ratio: float
+    used_share: float
+    acquires: float
     messages: float
     kilobytes: float
     owner_messages: float
@@ -104,7 +108,7 @@
 
     def __init__(self, *, routers, case, servers=3, seed=1):
         super().__init__(
-            way=quota_ways.WAYS["lent rights"],
+            limiter_class=quota_ways.LIMITERS["lent rights"],
             routers=routers,
             case=case.faults,
             organisations=[
@@ -117,38 +121,40 @@
                 for number in range(servers)
             ],
             seed=seed,
-            rate=DEMAND,
+            rate=DEMAND_PER_SECOND,
         )
-        self.named = case
+        self.limit_case = case
         self.lead = 0.0
         self.advertised = {}
-        self.learnt = collections.defaultdict(dict)
+        self.known_limits = collections.defaultdict(dict)
         self.limited_until = {}
-        self.asked_count = 0
-        self.frozen = {}
-        self.came = collections.defaultdict(list)
-        self.owed = collections.defaultdict(float)
+        self.acquire_count = 0
+        self.frozen_until = {}
+        self.admitted_at = collections.defaultdict(list)
+        self.limit_integral = collections.defaultdict(float)
 
-    def play(self, seconds=18.0, lead=4.0):
+    def run(self, seconds=18.0, lead=4.0):
         """Plays the case; returns the judge's findings."""
         self.lead = lead
-        case = self.named
+        case = self.limit_case
         limits = [(0.0, case.per_second), *case.changes]
         for number, (when, per_second) in enumerate(limits):
-            self.at(lead + when, self.name_limit, per_second)
-            ends = [*limits, (seconds, None)][number + 1][0]
-            begins = max(when, CONTACT_SECONDS)
-            self.owed["all"] += (per_second or 0.0) * max(0.0, ends - begins)
+            self.schedule(lead + when, self.advertise_limit, per_second)
+            ends_at = [*limits, (seconds, None)][number + 1][0]
+            begins_at = max(when, SETTLING_SECONDS)
+            self.limit_integral["all"] += (per_second or 0.0) * max(
+                0.0, ends_at - begins_at
+            )
         if case.freezes[0]:
-            self.at(lead + case.freezes[1], self.freeze)
-        return super().play(seconds, lead)
+            self.schedule(lead + case.freezes[1], self.freeze)
+        return super().run(seconds, lead)
 
     def start(self, router):
         """Starts a router, unless it joins later."""
-        share, when = self.named.joins
-        late = router.number < share * len(self.names)
-        if late and self.now < self.lead + when:
-            self.at(self.lead + when, self.start, router)
+        share, joins_at = self.limit_case.joins
+        joins_later = router.number < share * len(self.names)
+        if joins_later and self.now < self.lead + joins_at:
+            self.schedule(self.lead + joins_at, self.start, router)
             return
         super().start(router)
         self.limited_until = {
@@ -156,61 +162,70 @@
             for key, until in self.limited_until.items()
             if key[0] != router.name
         }
-        self.learnt[router.name] = {}
-        self.tell(router.name)
+        self.known_limits[router.name] = {}
+        self.schedule_limit_update(router.name)
 
-    def tick(self, router, way):
+    def tick(self, router, limiter):
         """Lets a router do what is due, if some limit is known to it."""
-        until = self.frozen.get(router.name, 0.0)
-        if self.now < until:
-            self.at(until, self.tick, router, way)
+        resumes_at = self.frozen_until.get(router.name, 0.0)
+        if self.now < resumes_at:
+            self.schedule(resumes_at, self.tick, router, limiter)
             return
-        if self.learnt[router.name] or router.way is not way:
-            super().tick(router, way)
+        if self.known_limits[router.name] or router.limiter is not limiter:
+            super().tick(router, limiter)
             return
-        self.last_up[router.name] = self.now
-        self.at(self.now + quotas.TICK_SECONDS, self.tick, router, way)
+        self.last_up_at[router.name] = self.now
+        self.schedule(
+            self.now + quotas.TICK_SECONDS, self.tick, router, limiter
+        )
 
-    def deliver(self, sender, way, to, message):
+    def deliver(self, sender, limiter, receiver, message):
         """Brings a message; to a router that stands still, after that."""
-        until = self.frozen.get(to, 0.0)
-        if self.now < until:
-            self.at(until, self.deliver, sender, way, to, message)
+        resumes_at = self.frozen_until.get(receiver, 0.0)
+        if self.now < resumes_at:
+            self.schedule(
+                resumes_at, self.deliver, sender, limiter, receiver, message
+            )
             return
-        super().deliver(sender, way, to, message)
+        super().deliver(sender, limiter, receiver, message)
 
     def freeze(self):
         """Lets some routers stand still."""
-        share, _, end = self.named.freezes
+        share, _, end_at = self.limit_case.freezes
         for name in self.random.sample(
             self.names, int(share * len(self.names))
         ):
-            self.frozen[name] = self.lead + end
+            self.frozen_until[name] = self.lead + end_at
 
-    def name_limit(self, per_second):
+    def advertise_limit(self, per_second):
         """Lets all servers name a limit, or none."""
         for each in self.organisations:
             self.advertised[each.name] = (per_second, self.now)
         for name in self.names:
-            self.tell(name)
+            self.schedule_limit_update(name)
 
-    def tell(self, name):
+    def schedule_limit_update(self, router_name):
         """Lets a router learn soon what servers name now."""
         for server, limit in self.advertised.items():
-            later = self.now + self.random.uniform(0, SPREAD_SECONDS)
-            self.at(later, self.learn, name, server, limit)
+            received_at = self.now + self.random.uniform(0, PROPAGATION_SECONDS)
+            self.schedule(
+                received_at, self.receive_limit, router_name, server, limit
+            )
 
-    def learn(self, name, server, limit):
+    def receive_limit(self, router_name, server, limit):
         """Takes a limit that a server named."""
-        if self.routers[name].way is None:
+        if self.routers[router_name].limiter is None:
             return
-        if self.learnt[name].get(server, (None, 0.0))[1] < limit[1]:
-            self.learnt[name][server] = limit
-            self.limited_until.pop((name, server), None)
+        if (
+            self.known_limits[router_name].get(server, (None, 0.0))[1]
+            < limit[1]
+        ):
+            self.known_limits[router_name][server] = limit
+            self.limited_until.pop((router_name, server), None)
 
     def request(self, organisation, lead):
         """Lets a request to a server come, and plans the next."""
-        self.at(
+        self.schedule(
             self.now + self.random.expovariate(self.rate),
             self.request,
             organisation,
@@ -219,75 +234,90 @@
         weights = [each.weight for each in self.routers.values()]
         name = self.random.choices(self.names, weights)[0]
         router = self.routers[name]
-        if router.way is None or self.now < self.frozen.get(name, 0.0):
+        if router.limiter is None or self.now < self.frozen_until.get(
+            name, 0.0
+        ):
             return
         server = organisation.name
-        per_second, received_at = self.learnt[name].get(server, (None, 0.0))
+        per_second, received_at = self.known_limits[name].get(
+            server, (None, 0.0)
+        )
         if per_second is None:
             return
         if self.now < self.limited_until.get((name, server), 0.0):
             return
-        self.asked_count += 1
-        way = router.way
+        self.acquire_count += 1
+        limiter = router.limiter
 
         def decided(answer):
-            if router.way is not way:
+            if router.limiter is not limiter:
                 return
             if answer.decision.granted:
-                self.came[server].append(self.now)
+                self.admitted_at[server].append(self.now)
                 return
             wait = server_permits.wait_seconds(answer)
             self.limited_until[name, server] = self.now + wait
 
         limit = ledgers.server_limit(per_second, received_at)
-        way.acquire(server, limit, 1.0, self.now, decided)
+        limiter.acquire(server, limit, 1.0, self.now, decided)
 
-    def judge(self, seconds):
+    def measure(self, seconds):
         """Returns what the play came to."""
-        since = self.lead + CONTACT_SECONDS
-        worst = max(
-            (self.worst(came, since) for came in self.came.values()),
+        counted_from = self.lead + SETTLING_SECONDS
+        worst_ratio = max(
+            (
+                self.worst_ratio(came, counted_from)
+                for came in self.admitted_at.values()
+            ),
             default=0.0,
         )
-        got = sum(
-            sum(at >= since for at in came) for came in self.came.values()
+        admitted = sum(
+            sum(at >= counted_from for at in came)
+            for came in self.admitted_at.values()
         )
-        owed = len(self.organisations) * self.owed["all"]
+        allowed = len(self.organisations) * self.limit_integral["all"]
         routers = len(self.routers)
-        return Found(
-            worst=worst,
-            used=got / max(1.0, owed),
-            asks=self.asked_count / seconds / routers,
-            messages=self.sent_messages / seconds / routers,
-            kilobytes=self.sent_bytes / seconds / routers / 1000,
-            owner_messages=quotas.most(self.load_messages) / self.load_seconds,
+        return Result(
+            worst_ratio=worst_ratio,
+            used_share=admitted / max(1.0, allowed),
+            acquires=self.acquire_count / seconds / routers,
+            messages=self.message_count / seconds / routers,
+            kilobytes=self.byte_count / seconds / routers / 1000,
+            owner_messages=quotas.highest_count(self.messages_by_router)
+            / self.owner_load_seconds,
         )
 
-    def worst(self, came, since):
+    def worst_ratio(self, admitted_at, counted_from):
         """Returns the fullest window of a server, by what is allowed."""
-        worst = 0.0
+        worst_ratio = 0.0
         window = collections.deque()
-        for at in came:
-            if at < since:
+        for at in admitted_at:
+            if at < counted_from:
                 continue
             window.append(at)
             while window[0] <= at - WINDOW_SECONDS:
                 window.popleft()
-            most = (1 + OVER) * WINDOW_SECONDS * self.limit_in(window[0], at)
-            worst = max(worst, len(window) / (most + SLACK))
-        return worst
+            allowed = (
+                (1 + ALLOWED_EXCESS_SHARE)
+                * WINDOW_SECONDS
+                * self.highest_limit(window[0], at)
+            )
+            worst_ratio = max(
+                worst_ratio, len(window) / (allowed + ALLOWED_EXCESS_REQUESTS)
+            )
+        return worst_ratio
 
-    def limit_in(self, begin, end):
+    def highest_limit(self, begin, end):
         """Returns the highest limit that was named within a time.
 
         A limit counts for half a second more, in which it is on its way.
         """
-        case = self.named
+        case = self.limit_case
         limits = [(0.0, case.per_second), *case.changes]
         highest = 0.0
         for number, (when, per_second) in enumerate(limits):
-            later = limits[number + 1][0] if number + 1 < len(limits) else 1e9
-            if self.lead + when <= end and begin <= self.lead + later + 0.5:
+            ends_at = limits[number + 1][0] if number + 1 < len(limits) else 1e9
+            if self.lead + when <= end and begin <= self.lead + ends_at + 0.5:
                 highest = max(highest, per_second or 0.0)
         return highest
 
@@ -298,22 +328,22 @@
     parser.add_argument("--routers", default="3,22,68,300")
     parser.add_argument("--cases", default=",".join(CASES))
     parser.add_argument("--seed", type=int, default=1)
-    chosen = parser.parse_args()
+    arguments = parser.parse_args()
     print(
         "| routers | case | worst | used % | asks/s | msg/s | kB/s |"
         " owner msg/s |"
     )
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
-    for routers in map(int, chosen.routers.split(",")):
-        for case in chosen.cases.split(","):
-            found = World(
-                routers=routers, case=CASES[case], seed=chosen.seed
-            ).play()
+    for routers in map(int, arguments.routers.split(",")):
+        for case in arguments.cases.split(","):
+            result = World(
+                routers=routers, case=CASES[case], seed=arguments.seed
+            ).run()
             print(
-                f"| {routers} | {case} | {found.worst:.2f} |"
-                f" {100 * found.used:.0f} | {found.asks:.1f} |"
-                f" {found.messages:.1f} | {found.kilobytes:.1f} |"
-                f" {found.owner_messages:.0f} |",
+                f"| {routers} | {case} | {result.worst_ratio:.2f} |"
+                f" {100 * result.used_share:.0f} | {result.acquires:.1f} |"
+                f" {result.messages:.1f} | {result.kilobytes:.1f} |"
+                f" {result.owner_messages:.0f} |",
                 flush=True,
             )
 
--- a/benches/workloads.py
+++ b/benches/workloads.py
@@ -27,8 +27,8 @@
 TOKEN_BYTES = 4
 BLOCK_TOKENS = BLOCK_BYTES // TOKEN_BYTES
 WEIGHTS = "w1"
-SECONDS = 60.0
-WARM_UP = 10.0
+DURATION_SECONDS = 60.0
+WARM_UP_SECONDS = 10.0
 FAULT_AT = 30.0
 
 INTERACTIVE = declarations.Priority.INTERACTIVE
@@ -134,8 +134,8 @@
     return random.Random(name).randbytes(tokens * TOKEN_BYTES)
 
 
-def _length(name: str, low: int, high: int) -> int:
-    return random.Random(name).randint(low, high)
+def _length(name: str, min_tokens: int, max_tokens: int) -> int:
+    return random.Random(name).randint(min_tokens, max_tokens)
 
 
 class Generator:
@@ -157,7 +157,7 @@
         self.shift = shift
         self.arrivals: list[Arrival] = []
 
-    def shifted(self, at: float, share: float) -> bool:
+    def draws_hot_prefix(self, at: float, share: float) -> bool:
         """Returns whether a request goes to the newly hot prefix."""
         return self.shift and at >= FAULT_AT and self.rng.random() < share
 
@@ -173,11 +173,11 @@
         """Adds a request whose prompt is the segments and a unique tail."""
         # Named after the seed, so that each seed hashes to other servers.
         name = f"org-{self.seed}-{organisation}"
-        key = prefixes.salt(
+        salt = prefixes.salt(
             organisation=name, model=model, adapter="", weights=WEIGHTS
         )
         text = b"".join(segments)
-        blocks = prefixes.chain(salt=key, text=text, block_bytes=BLOCK_BYTES)
+        blocks = prefixes.chain(salt=salt, text=text, block_bytes=BLOCK_BYTES)
         arrival = Arrival(
             request="",
             at=at,
@@ -192,14 +192,16 @@
         )
         self.arrivals.append(arrival)
 
-    def tail(self, low: int, high: int) -> bytes:
+    def unique_tail(self, min_tokens: int, max_tokens: int) -> bytes:
         """Returns text that no other request has."""
-        return self.rng.randbytes(self.rng.randint(low, high) * TOKEN_BYTES)
+        return self.rng.randbytes(
+            self.rng.randint(min_tokens, max_tokens) * TOKEN_BYTES
+        )
 
-    def times(self, rate: float):
+    def arrival_times(self, rate: float):
         """Yields Poisson arrivals of a rate per second."""
         at = self.rng.expovariate(rate)
-        while at < SECONDS:
+        while at < DURATION_SECONDS:
             yield at
             at += self.rng.expovariate(rate)
 
@@ -208,23 +210,23 @@
         brands = Zipf(count=4, exponent=1.0)
         models = Zipf(count=6, exponent=1.0)
         years = Zipf(count=3, exponent=0.7)
-        for at in self.times(rate):
-            place = (
+        for at in self.arrival_times(rate):
+            prefix = (
                 self.organisations.draw(self.rng),
                 brands.draw(self.rng),
                 models.draw(self.rng),
                 years.draw(self.rng),
             )
-            if self.shifted(at, 0.6):
-                place = (1, 3, 5, 2)
+            if self.draws_hot_prefix(at, 0.6):
+                prefix = (1, 3, 5, 2)
             priority = BATCH if self.rng.random() < 0.15 else INTERACTIVE
-            org, brand, model, year = place
+            org, brand, model, year = prefix
             segments = [
-                _level(f"preamble {org}", 300, 500),
-                _level(f"brand {org} {brand}", 1000, 2000),
-                _level(f"model {org} {brand} {model}", 2000, 4000),
-                _level(f"year {place}", 800, 1600),
-                self.tail(80, 400),
+                _segment_between(f"preamble {org}", 300, 500),
+                _segment_between(f"brand {org} {brand}", 1000, 2000),
+                _segment_between(f"model {org} {brand} {model}", 2000, 4000),
+                _segment_between(f"year {prefix}", 800, 1600),
+                self.unique_tail(80, 400),
             ]
             output = self.rng.randint(30, 120)
             self.add(at, org, "large", priority, segments, output)
@@ -232,13 +234,13 @@
     def quotes(self, rate: float):
         """Adds short interactive work for the small runners."""
         lists = Zipf(count=4, exponent=0.8)
-        for at in self.times(rate):
+        for at in self.arrival_times(rate):
             org = self.organisations.draw(self.rng)
             number = lists.draw(self.rng)
             segments = [
-                _level(f"counter {org}", 300, 600),
-                _level(f"list {org} {number}", 500, 1200),
-                self.tail(50, 250),
+                _segment_between(f"counter {org}", 300, 600),
+                _segment_between(f"list {org} {number}", 500, 1200),
+                self.unique_tail(50, 250),
             ]
             output = self.rng.randint(30, 100)
             self.add(at, org, "small", INTERACTIVE, segments, output)
@@ -247,38 +249,38 @@
         """Adds checks of lots: each lot gets several within some seconds."""
         rules = Zipf(count=3, exponent=1.5)
         checks_per_lot = 8
-        for start in self.times(rate / checks_per_lot):
+        for start in self.arrival_times(rate / checks_per_lot):
             org = self.organisations.draw(self.rng)
             rule = rules.draw(self.rng)
-            if self.shifted(start, 0.5):
+            if self.draws_hot_prefix(start, 0.5):
                 org, rule = 2, 2
             shared = [
-                _level(f"rules {org} {rule}", 3000, 6000),
-                self.tail(1500, 5000),
+                _segment_between(f"rules {org} {rule}", 3000, 6000),
+                self.unique_tail(1500, 5000),
             ]
             at = start
             for _ in range(self.rng.randint(2, 2 * checks_per_lot - 2)):
-                segments = [*shared, self.tail(60, 200)]
+                segments = [*shared, self.unique_tail(60, 200)]
                 self.add(at, org, "large", BATCH, segments, 2)
                 at += self.rng.expovariate(0.8)
 
     def notes(self, rate: float):
         """Adds interactive notes for the runners of the long checks."""
         templates = Zipf(count=3, exponent=1.0)
-        for at in self.times(rate):
+        for at in self.arrival_times(rate):
             org = self.organisations.draw(self.rng)
             number = templates.draw(self.rng)
             segments = [
-                _level(f"desk {org}", 400, 800),
-                _level(f"template {org} {number}", 600, 1200),
-                self.tail(50, 200),
+                _segment_between(f"desk {org}", 400, 800),
+                _segment_between(f"template {org} {number}", 600, 1200),
+                self.unique_tail(50, 200),
             ]
             output = self.rng.randint(30, 80)
             self.add(at, org, "large", INTERACTIVE, segments, output)
 
 
-def _level(name: str, low: int, high: int) -> bytes:
-    return _segment(name, _length(name, low, high))
+def _segment_between(name: str, min_tokens: int, max_tokens: int) -> bytes:
+    return _segment(name, _length(name, min_tokens, max_tokens))
 
 
 @functools.cache
@@ -303,8 +305,8 @@
             generator.notes(rate=4.0 * load)
             generator.quotes(rate=14.0 * load)
     ordered = sorted(generator.arrivals, key=lambda each: each.at)
-    kept = [each for each in ordered if each.at < SECONDS]
+    in_time = [each for each in ordered if each.at < DURATION_SECONDS]
     return tuple(
         attrs.evolve(each, request=f"r{number}")
-        for number, each in enumerate(kept)
+        for number, each in enumerate(in_time)
     )
--- a/pimentoledge/tests/test_orders.py
+++ b/pimentoledge/tests/test_orders.py
@@ -22,7 +22,7 @@
 def _loads(fleet, weights):
     return [
         name
-        for _, name, order in fleet.given
+        for _, name, order in fleet.engine_orders
         if order.kind == "load" and order.value == weights
     ]
 
@@ -35,7 +35,9 @@
 
 def _run_until_settled(fleet):
     """Runs until the declared weights are loaded and no permit is held."""
-    fleet.run_until(lambda: fleet.upgraded() and not fleets.holders_of(fleet))
+    fleet.run_until(
+        lambda: fleet.is_upgraded() and not fleets.permit_holders(fleet)
+    )
 
 
 @pytest.mark.parametrize(("size", "limit"), [(9, 3), (5, 2), (3, 3), (3, 2)])
@@ -47,13 +49,13 @@
     runners in service for the clients.
     """
     fleet = _fleet(size, limit)
-    fleet.traffic(4 * size, 30.0)
+    fleet.schedule_traffic(4 * size, 30.0)
     fleet.run(5.0)
     fleet.upgrade("w2")
     _run_until_settled(fleet)
     assert sorted(_loads(fleet, "w2")) == sorted(fleet.nodes)
-    assert 0 < fleet.most_loading <= limit
-    assert fleet.fewest >= size - permits.max_out_of_service(size)
+    assert 0 < fleet.max_loading <= limit
+    assert fleet.min_open_nodes >= size - permits.max_out_of_service(size)
     assert fleet.broken == fleet.unplaced == 0
 
 
@@ -82,8 +84,8 @@
     fleet.upgrade(last)
     _run_until_settled(fleet)
     fleet.run(fleet.now + 2.0)
-    assert fleet.upgraded()
-    assert fleet.most_loading <= 2
+    assert fleet.is_upgraded()
+    assert fleet.max_loading <= 2
 
 
 @pytest.mark.parametrize("returns", [True, False])
@@ -96,8 +98,8 @@
     """
     fleet = _fleet()
     fleet.upgrade("w2")
-    fleet.run_until(lambda: len(fleet.given) == 2)
-    dead = [fleet.nodes[name] for _, name, _ in fleet.given]
+    fleet.run_until(lambda: len(fleet.engine_orders) == 2)
+    dead = [fleet.nodes[name] for _, name, _ in fleet.engine_orders]
     for node in dead:
         node.orders = None
     if returns:
@@ -106,9 +108,9 @@
             fleet.start_agent(node)
         _run_until_settled(fleet)
         return
-    assert fleet.run_until(fleet.upgraded) > 5.0
-    assert fleet.most_loading <= 2
-    holders = fleets.holders_of(fleet)
+    assert fleet.run_until(fleet.is_upgraded) > 5.0
+    assert fleet.max_loading <= 2
+    holders = fleets.permit_holders(fleet)
     kinds = {each.server: each.kind for each in holders}
     assert [kinds[each.name] for each in dead] == ["out", "out"]
 
@@ -123,16 +125,16 @@
     """
     fleet = _fleet()
     fleet.upgrade("w2")
-    fleet.run_until(lambda: fleet.given)
+    fleet.run_until(lambda: fleet.engine_orders)
     fleet.store.down = True
     fleet.run(fleet.now + 5.0)
-    started = len(fleet.given)
+    started = len(fleet.engine_orders)
     fleet.run(fleet.now + 600.0)
-    assert len(fleet.given) == started < 5
+    assert len(fleet.engine_orders) == started < 5
     assert len(fleet.open_nodes()) == 5
     fleet.store.down = False
     _run_until_settled(fleet)
-    assert fleet.most_loading <= 2
+    assert fleet.max_loading <= 2
 
 
 def test_store_loses_answers_during_an_upgrade():
@@ -141,7 +143,7 @@
     fleet.store.lose_requests = 3
     fleet.upgrade("w2")
     _run_until_settled(fleet)
-    assert fleet.most_loading <= 2
+    assert fleet.max_loading <= 2
     assert len(_loads(fleet, "w2")) == 5
 
 
@@ -151,7 +153,7 @@
     _run_until_settled(fleet)
     fleet.nodes["r1"].engine.crash(fleet.now)
     fleet.run(fleet.now + 8.0)
-    assert [each.kind for each in fleets.holders_of(fleet)] == ["out"]
+    assert [each.kind for each in fleets.permit_holders(fleet)] == ["out"]
     fleet.nodes["r1"].engine.restart(fleet.now)
     _run_until_settled(fleet)
 
@@ -168,7 +170,7 @@
     fleet.run(fleet.now + 8.0)
     fleet.upgrade("w2")
     fleet.run_until(lambda: len(_loads(fleet, "w2")) == 3)
-    assert fleet.fewest == 2
+    assert fleet.min_open_nodes == 2
     for name in ("r1", "r2"):
         fleet.nodes[name].engine.restart(fleet.now)
     _run_until_settled(fleet)
@@ -185,13 +187,13 @@
     fleet.run(fleet.now + 8.0)
     fleet.upgrade("w2")
     fleet.run(fleet.now + 60.0)
-    assert fleet.fewest == 1
-    assert fleet.given == []
+    assert fleet.min_open_nodes == 1
+    assert fleet.engine_orders == []
     leaving = declarations.ServerState.LEAVING
     fleet.add_server(attrs.evolve(fleet.servers["r1"], state=leaving))
     fleet.apply_declaration(fleet.nodes["r2"])
     fleet.run_until(lambda: fleet.nodes["r2"].engine.weights == "w2")
-    assert fleets.holders_of(fleet) == []
+    assert fleets.permit_holders(fleet) == []
 
 
 @pytest.mark.parametrize(
@@ -232,14 +234,14 @@
     """
     fleet = _fleet()
     fleet.upgrade("w2")
-    fleet.run_until(lambda: fleet.given)
-    node = fleet.nodes[fleet.given[0][1]]
+    fleet.run_until(lambda: fleet.engine_orders)
+    node = fleet.nodes[fleet.engine_orders[0][1]]
     fleet.store.down = down
     node.orders.retire(fleet.now)
     assert node.orders.held()
-    fleet.run_until(lambda: not node.orders.held(), longest=5.0)
+    fleet.run_until(lambda: not node.orders.held(), timeout_seconds=5.0)
     assert node.engine.weights == "w2"
-    servers = [each.server for each in fleets.holders_of(fleet)]
+    servers = [each.server for each in fleets.permit_holders(fleet)]
     assert (node.name in servers) is down
 
 
@@ -291,7 +293,7 @@
     del fleet.send_order
     paused = _take_over(fleet, node)
     fleet.upgrade("w3")
-    fleet.run_until(fleet.upgraded)
+    fleet.run_until(fleet.is_upgraded)
     fleet.run(fleet.now + 1.0)
     fleet.send_order(*sent[0])
     if checks:
@@ -319,7 +321,7 @@
     node = fleet.nodes["r1"]
     fleet.upgrade("w2")
     fleet.run_until(lambda: node.orders.permits.granted())
-    fleet.run_until(lambda: fleet.upgraded())
+    fleet.run_until(lambda: fleet.is_upgraded())
     old = _take_over(fleet, node)
     fleet.upgrade("w3")
     fleet.run(fleet.now + 60.0)
@@ -336,7 +338,7 @@
     under the old permit would exceed the limit of the weight store.
     """
     fleet = _fleet()
-    fleet.traffic(20, 3.0)
+    fleet.schedule_traffic(20, 3.0)
     fleet.run(2.5)
     fleet.upgrade("w2")
     fleet.run_until(lambda: any(e.orders.closing for e in fleet.nodes.values()))
@@ -348,7 +350,7 @@
     assert not paused.orders.permits.fresh(fleet.now)
     fleet.resume(paused)
     _run_until_settled(fleet)
-    assert fleet.most_loading <= 2
+    assert fleet.max_loading <= 2
 
 
 def test_paused_process_keeps_its_address():
@@ -400,8 +402,8 @@
     fleet.servers[node.name].state = declarations.ServerState.LEAVING
     for each in fleet.nodes.values():
         fleet.declare(each)
-    fleet.run_until(fleet.upgraded)
-    assert fleet.most_loading == 1
+    fleet.run_until(fleet.is_upgraded)
+    assert fleet.max_loading == 1
 
 
 def test_permit_of_an_agent_that_died_outlasts_its_load():
@@ -427,29 +429,29 @@
             fleet.declare(each)
     fleet.run(fleet.now + 0.3)
     fleet.declare(node)
-    fleet.run_until(fleet.upgraded)
-    assert fleet.most_loading == 1
+    fleet.run_until(fleet.is_upgraded)
+    assert fleet.max_loading == 1
 
 
 def _crash(fleet, node):
     node.engine.crash(fleet.now)
-    fleet.at(fleet.now + 3.0, lambda: node.engine.restart(fleet.now))
+    fleet.schedule(fleet.now + 3.0, lambda: node.engine.restart(fleet.now))
 
 
 def _die(fleet, node):
     node.orders = None
-    fleet.at(fleet.now + 3.0, fleet.start_agent, node)
+    fleet.schedule(fleet.now + 3.0, fleet.start_agent, node)
 
 
 def _pause(fleet, node):
     node.paused = True
-    fleet.at(fleet.now + 2.0, fleet.resume, node)
+    fleet.schedule(fleet.now + 2.0, fleet.resume, node)
 
 
 def _outage(fleet, node):
     del node
     fleet.store.down = True
-    fleet.at(fleet.now + 8.0, setattr, fleet.store, "down", False)
+    fleet.schedule(fleet.now + 8.0, setattr, fleet.store, "down", False)
 
 
 def _lose(fleet, node):
@@ -481,9 +483,9 @@
     for fault, name, wait in faults:
         fault(fleet, fleet.nodes[name])
         fleet.run(fleet.now + wait)
-        assert fleet.most_loading <= 2
+        assert fleet.max_loading <= 2
     fleet.run(fleet.now + 10.0)
     fleet.store.lose_answers = 0
     fleet.upgrade("last")
     _run_until_settled(fleet)
-    assert fleet.most_loading <= 2
+    assert fleet.max_loading <= 2
--- a/pimentoledge/tests/test_router_fleets.py
+++ b/pimentoledge/tests/test_router_fleets.py
@@ -20,7 +20,7 @@
 
 
 def simulate(plan):
-    return fleet_runs.Fleet(plan).play()
+    return fleet_runs.Fleet(plan).run()
 
 
 def test_prompts_are_placed_on_idle_engines():
@@ -47,7 +47,7 @@
     assert found.outcomes["draft"].share_in_time() > 0.8
     looked_up = found.outcomes["look-up"]
     # Prompts that can't be read in time are refused without a wait.
-    assert looked_up.failed <= 0.02 * looked_up.asked
+    assert looked_up.failed <= 0.02 * looked_up.requests
 
 
 def test_shared_parts_are_seldom_read_again():
@@ -57,7 +57,7 @@
     requests have left, one 24th of all.
     """
     found = simulate(BELOW_CAPACITY)
-    assert found.totals.again < 0.12 * found.totals.read
+    assert found.totals.repeated_tokens < 0.12 * found.totals.prefill_tokens
 
 
 @pytest.mark.parametrize("routers", [3, 60])
@@ -80,7 +80,7 @@
         BELOW_CAPACITY,
         cache_link_bytes=80e9 / 8,
         seconds=10.0,
-        weights_at=(3.0,),
+        rollouts_at=(3.0,),
     )
     found = simulate(slow)
     assert found.totals.not_started < 40
@@ -90,13 +90,13 @@
     """Tests of the simulated engine's cache, steps and memory."""
 
     def engine(self, **more):
-        agenda = fleet_engines.Agenda()
+        agenda = fleet_engines.Scheduler()
         engine = fleet_engines.Engine(
             name="e",
             address="e:80",
             data_centre="a",
-            shape=fleet_engines.Shape(**more),
-            agenda=agenda,
+            spec=fleet_engines.EngineSpec(**more),
+            scheduler=agenda,
             totals=fleet_engines.Totals(),
             sources={},
         )
@@ -111,20 +111,20 @@
         client_request = attrs.evolve(
             fleet_runs.Fleet(
                 attrs.evolve(BELOW_CAPACITY, routers=1, engines=1)
-            )._ask(fleet_runs.DRAFT),
+            )._make_request(fleet_runs.DRAFT),
             parts=parts,
             prompt_tokens=shared + own,
         )
         times = {}
         run = fleet_engines.Run(
             client_request=client_request,
-            sent=request_types.Dispatch(
+            dispatch=request_types.Dispatch(
                 server="e", organisation=None, seconds_left=9.0, namespace="1"
             ),
             events=events,
-            began=lambda: times.setdefault("first", agenda.now),
-            paused=lambda seconds: times.update(pause=seconds),
-            ended=lambda whole: times.setdefault("end", agenda.now),
+            on_first_event=lambda: times.setdefault("first", agenda.now),
+            on_event_gap=lambda seconds: times.update(pause=seconds),
+            on_end=lambda whole: times.setdefault("end", agenda.now),
         )
         assert engine.submit(run)
         return times
@@ -137,7 +137,7 @@
         agenda.run(4.0)
         assert first["first"] > 0.19
         assert again["first"] - 2.0 < 0.11
-        assert engine.totals.read == 4500 + 600
+        assert engine.totals.prefill_tokens == 4500 + 600
 
     def test_a_long_prompt_slows_concurrent_streams_sevenfold(self):
         agenda, engine = self.engine()
@@ -155,5 +155,5 @@
         for number in range(6):
             self.run(agenda, engine, 3000, 50 + number, name=f"p{number}")
         agenda.run(9.0)
-        assert engine.kept.tokens <= 10000
+        assert engine.cache.tokens <= 10000
         assert not engine.running and not engine.waiting
--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -23,29 +23,29 @@
 
 def played(case, *, routers=22, seed=1, seconds=24.0, **more):
     world = quotas.World(
-        way=quota_ways.WAYS["lent rights"],
+        limiter_class=quota_ways.LIMITERS["lent rights"],
         routers=routers,
         case=case,
         seed=seed,
         **more,
     )
-    return world.play(seconds=seconds)
+    return world.run(seconds=seconds)
 
 
 @pytest.mark.parametrize("routers", [3, 22, 68])
 def test_requests_below_the_limits_are_not_refused(routers):
     """Guards against refusals below a limit when all load is below limits."""
     found = played(quotas.CASES["calm"], routers=routers, seconds=12.0)
-    assert found.refused_below < MOST_BELOW
-    assert found.worst < 1
+    assert found.refused_below_limit < MOST_BELOW
+    assert found.worst_ratio < 1
 
 
 @pytest.mark.parametrize("name", ["hot", "hot-one"])
 def test_a_hot_organisation_gets_its_limit_and_no_more(name):
     """Guards against an organisation that gets 2.1 times its limit."""
     found = played(quotas.CASES[name])
-    assert found.refused_below < MOST_BELOW
-    assert found.worst < 1
+    assert found.refused_below_limit < MOST_BELOW
+    assert found.worst_ratio < 1
 
 
 @pytest.mark.parametrize(
@@ -65,39 +65,41 @@
     Both sides of a network partition, or a router before and after its restart,
     may use it.
     """
-    assert played(quotas.CASES[name]).worst < 1
+    assert played(quotas.CASES[name]).worst_ratio < 1
 
 
 def test_a_lowered_limit_binds_a_window_later():
     """Guards against an owner that continues with the older configuration."""
     world = quotas.World(
-        way=quota_ways.WAYS["lent rights"],
+        limiter_class=quota_ways.LIMITERS["lent rights"],
         routers=22,
         case=quotas.CASES["hot-lowered"],
     )
-    world.play(seconds=26.0)
+    world.run(seconds=26.0)
     first = world.organisations[0]
     third = attrs.evolve(
         first, per_second=first.per_second / 3, burst=first.burst / 3
     )
     binds = 4.0 + 12.0 + quotas.WINDOW_SECONDS
-    later = [each for each in world.ran[first.name] if each.ran > binds]
+    later = [
+        each for each in world.executed[first.name] if each.executed_at > binds
+    ]
     assert later
-    assert quotas.worst_window(third, later) < 1
+    assert quotas.worst_window_ratio(third, later) < 1
 
 
 def test_an_owner_that_dies_costs_its_organisations_little():
     """Guards against refusals of a limit until its owner is back."""
     found = played(quotas.CASES["owner-dies"])
-    assert found.refused_below < 0.05
+    assert found.refused_below_limit < 0.05
 
 
 def test_rights_of_routers_that_were_killed_are_not_spent_twice():
     """Guards against full buckets after restarts, twice within a window."""
     case = attrs.evolve(
-        quotas.CASES["hot-kills"], kills=(9.0, 11.5, 14.0, 16.5)
+        quotas.CASES["hot-kills"], kill_all_at=(9.0, 11.5, 14.0, 16.5)
     )
-    assert played(case).worst < 1
+    assert played(case).worst_ratio < 1
 
 
 @settings(max_examples=15, deadline=None)
@@ -119,15 +121,15 @@
     """Guards against rights added by any sequence of faults and changes."""
     case = quotas.Case(
         name="drawn",
-        hot=(hot, 3.0, 18.0),
-        cuts=(share, begins, begins + lasts),
-        alone=alone,
+        hot_load=(hot, 3.0, 18.0),
+        partition=(share, begins, begins + lasts),
+        isolated=alone,
         one_way=one_way,
-        kills=tuple(kills),
+        kill_all_at=tuple(kills),
         lowered_at=lowered,
     )
     found = played(case, routers=routers, seed=seed, seconds=18.0)
-    assert found.worst < 1
+    assert found.worst_ratio < 1
 
 
 class TestLedger:
--- a/pimentoledge/tests/test_router_server_limits_fleet.py
+++ b/pimentoledge/tests/test_router_server_limits_fleet.py
@@ -16,7 +16,7 @@
     world = server_limits.World(
         routers=routers, case=case, seed=seed, servers=servers
     )
-    return world.play(**more)
+    return world.run(**more)
 
 
 @pytest.mark.parametrize("routers", [3, 22, 68])
@@ -25,16 +25,16 @@
     """Guards against a fixed part for each router, too small to be used."""
     case = server_limits.CASES[name]
     found = played(case, routers=routers, servers=6, seconds=40.0)
-    assert found.worst <= 1
-    assert found.used > LEAST_USED
+    assert found.worst_ratio <= 1
+    assert found.used_share > LEAST_USED
 
 
 def test_300_routers_share_a_limit_that_is_below_one_request_a_router():
     """Guards against one request of each router at the same time."""
     case = server_limits.CASES["fraction"]
     found = played(case, routers=300, servers=6, seconds=20.0)
-    assert found.worst <= 1
-    assert found.used > LEAST_USED
+    assert found.worst_ratio <= 1
+    assert found.used_share > LEAST_USED
     assert found.messages < 15
 
 
@@ -57,7 +57,7 @@
 )
 def test_no_fault_and_no_change_exceeds_a_limit(name):
     """Guards against a limit used twice, by two owners or after a restart."""
-    assert played(server_limits.CASES[name]).worst <= 1
+    assert played(server_limits.CASES[name]).worst_ratio <= 1
 
 
 @settings(max_examples=12, deadline=None)
@@ -105,12 +105,12 @@
         changes=tuple(sorted(changes, key=lambda each: each[0])),
         faults=quotas.Case(
             name="drawn",
-            cuts=(share, begins, begins + lasts),
-            alone=alone,
+            partition=(share, begins, begins + lasts),
+            isolated=alone,
             one_way=one_way,
-            kills=tuple(kills),
+            kill_all_at=tuple(kills),
         ),
         freezes=(freezes, begins, begins + lasts / 2),
         joins=(joins, begins),
     )
-    assert played(case, routers=routers, seed=seed).worst <= 1
+    assert played(case, routers=routers, seed=seed).worst_ratio <= 1
