--- a/benches/fleet_engines.py
+++ b/benches/fleet_engines.py
@@ -1,10 +1,11 @@
-"""Model engines and KV cache servers in virtual time, for routers' decisions.
-
-An engine runs in steps. Each gives every request past its prompt a token, and
-reads one chunk of the prompts that are yet to be read, in turn: so one long
-prompt slows all answers of its engine, and a short one waits little for it.
-Memory is shared by what runs and by cached parts; the least recently used part
-that nobody runs on yields first. Transfers of cached parts queue at both links.
+"""Simulated engines and KV cache servers in virtual time.
+
+An engine runs in steps. A step generates a token for each request whose prompt
+is read, and prefills one chunk of the other prompts, round-robin. So a long
+prompt slows all answers of its engine, but a short one waits little for it.
+Running requests and cached prompt parts share the memory; the least recently
+used part that no running request uses is evicted first. Transfers of cached
+parts queue at the links of both ends.
 """
 
 import collections
@@ -16,17 +17,17 @@
 
 from pimentoledge.routing import request_types
 
-# A transfer that would wait longer than this is not started.
+# Transfers that would wait longer than this are not started.
 MAX_TRANSFER_WAIT_SECONDS = 2.0
-# Between data centres a transfer takes so many times as long.
+# Transfers between data centres take so many times as long.
 CROSS_CENTRE_FACTOR = 2.0
 
 
 class Scheduler:
-    """Virtual time: what is due when.
+    """Scheduler of actions in virtual time.
 
     Attributes:
-        now: the time, in seconds.
+        now: current virtual time in seconds.
     """
 
     def __init__(self):
@@ -35,18 +36,18 @@
         self._sequence = itertools.count()
 
     def schedule(self, due_at: float, action: Callable[[], None]) -> None:
-        """Plans an action."""
+        """Schedules an action at a time."""
         item = (max(due_at, self.now), next(self._sequence), action)
         heapq.heappush(self._scheduled, item)
 
     def schedule_after(
         self, seconds: float, action: Callable[[], None]
     ) -> None:
-        """Plans an action some seconds from now."""
+        """Schedules an action some seconds from now."""
         self.schedule(self.now + seconds, action)
 
     def run(self, until: float) -> None:
-        """Does all that is due up to a time."""
+        """Runs all actions that are due up to a time."""
         while self._scheduled and self._scheduled[0][0] <= until:
             self.now, _, action = heapq.heappop(self._scheduled)
             action()
@@ -55,22 +56,23 @@
 
 @attrs.frozen(kw_only=True)
 class EngineSpec:
-    """An engine's figures.
+    """Sizes and speeds of an engine.
 
     Attributes:
-        slots: requests that run at once.
-        waiting: requests that may wait besides.
-        memory_tokens: tokens of its memory.
-        step_seconds: a step with one request and nothing to read.
-        slot_seconds: added to a step for each further request.
-        read_tokens: prompt tokens read in a second.
-        pair_seconds: added for each pair of a read token and one before it.
-        chunk_tokens: prompt tokens read in a step at most.
-        first_seconds: from a read prompt to its first event's leaving.
-        event_steps: steps for each event.
-        token_bytes: memory of a token.
-        link_bytes: bytes that its link carries in a second.
-        load_seconds: to load weights.
+        slots: maximum number of running requests.
+        max_waiting: maximum number of waiting requests.
+        memory_tokens: KV cache memory in tokens.
+        step_seconds: base duration of a step without prefill.
+        slot_seconds: duration added to a step for each running request.
+        prefill_tokens_per_second: prompt tokens prefilled per second.
+        pair_seconds: duration added for each pair of a prefilled token and one
+            before it, as for attention.
+        chunk_tokens: maximum number of prompt tokens prefilled in a step.
+        first_event_seconds: time from the end of prefill to the first event.
+        steps_per_event: steps, and so tokens, of each event.
+        token_bytes: KV cache memory of a token.
+        link_bytes_per_second: bandwidth of the engine's link.
+        load_seconds: time to load weights.
     """
 
     slots: int = 16
@@ -90,16 +92,16 @@
 
 @attrs.define(kw_only=True)
 class Totals:
-    """What all engines did.
+    """Counts of all engines' work.
 
     Attributes:
-        read: prompt tokens read.
-        again: of these, tokens of shared parts that some engine had read
-            under the same namespace before.
-        kept: prompt tokens found in an engine's memory, or fetched.
-        moved_bytes: cached memory sent over links.
+        prefill_tokens: prompt tokens prefilled.
+        repeated_tokens: of these, tokens of shared parts that an engine had
+            already prefilled under the same namespace.
+        cached_tokens: prompt tokens found in an engine's memory, or fetched.
+        moved_bytes: bytes of cached parts sent over links.
         not_started: transfers that would have waited too long.
-        readers: engines that read each part, by namespace and name.
+        prefill_counts: number of prefills of each part, by namespace and name.
     """
 
     prefill_tokens: int = 0
@@ -114,12 +116,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Link:
-    """One end of transfers, which it carries one after another.
+    """A network link of one node, which carries one transfer at a time.
 
     Attributes:
-        data_centre: where it is.
-        speed: bytes in a second.
-        free_at: when it has nothing left to carry.
+        data_centre: data centre of the node.
+        bytes_per_second: bandwidth.
+        free_at: when the last transfer in its queue ends.
     """
 
     data_centre: str
@@ -128,9 +130,9 @@
 
 
 def transfer(source: Link, target: Link, size: int, now: float) -> float | None:
-    """Returns when a transfer that is asked for now ends, or None.
+    """Queues a transfer at both links and returns when it ends.
 
-    One that would wait too long is not started.
+    Returns None if the transfer would wait too long and is not started.
     """
     starts_at = max(now, source.free_at, target.free_at)
     if starts_at - now > MAX_TRANSFER_WAIT_SECONDS:
@@ -146,7 +148,8 @@
     """Cached parts by namespace and name, least recently used first.
 
     Attributes:
-        tokens: sum of them.
+        parts: tokens of each part by namespace and name.
+        tokens: total tokens of the parts.
     """
 
     def __init__(self):
@@ -158,7 +161,7 @@
     def use_prefix(
         self, namespace: str, parts: list[request_types.Part]
     ) -> int:
-        """Returns how many of the first parts are kept, and uses them."""
+        """Returns the number of leading parts cached; marks them as used."""
         count = 0
         for part in parts:
             if (namespace, part.name) not in self.parts:
@@ -169,7 +172,7 @@
         return count
 
     def put(self, namespace: str, part: request_types.Part) -> None:
-        """Keeps a part."""
+        """Adds a part, or marks it as used."""
         key = (namespace, part.name)
         if key not in self.parts:
             self.parts[key] = part.tokens
@@ -179,7 +182,7 @@
     def evict_to(
         self, max_tokens: int, use_counts: collections.Counter
     ) -> None:
-        """Lets the least recently used parts yield that nobody runs on."""
+        """Evicts the least recently used parts that are not in use."""
         if self.tokens <= max_tokens:
             return
         for key in list(self.parts):
@@ -191,14 +194,14 @@
 
 
 class CacheServer:
-    """Keeps parts that engines save.
+    """A KV cache server, which stores the parts that engines save.
 
     Attributes:
-        address: of it.
-        link: carries what is fetched from it.
-        inward: carries what is saved to it.
-        memory_tokens: tokens that it keeps.
-        kept: the parts.
+        address: the server's address.
+        link: link for parts that engines fetch.
+        inbound_link: link for parts that engines save.
+        memory_tokens: capacity in tokens.
+        cache: the stored parts.
     """
 
     def __init__(self, *, address: str, link: Link, memory_tokens: int):
@@ -211,7 +214,7 @@
         self.cache = PrefixCache()
 
     def put(self, namespace: str, parts: list[request_types.Part]) -> None:
-        """Keeps parts that have come."""
+        """Stores parts and evicts others beyond the capacity."""
         for part in parts:
             self.cache.put(namespace, part)
         self.cache.evict_to(self.memory_tokens, collections.Counter())
@@ -223,18 +226,19 @@
 
     Attributes:
         client_request: the request.
-        sent: what was sent with it.
-        events: events that it makes.
-        began: called at the first event.
-        paused: called with the pause before each further event.
-        ended: called at its end, with whether it is complete.
-        parts: the parts of its prompt, its own included.
-        ready: whether nothing is to be fetched for it any more.
-        left: prompt tokens yet to be read; None before it is admitted.
-        done: prompt tokens that its engine has of it.
-        steps: steps that it has made tokens in.
-        turn: grows whenever a chunk of it is read.
-        event_at: when its newest event left.
+        dispatch: the router's dispatch of the request.
+        events: number of events of the answer.
+        on_first_event: called at the first event.
+        on_event_gap: called with the seconds before each further event.
+        on_end: called at the end, with whether the answer is complete.
+        parts: all parts of the prompt.
+        ready: whether no transfer of cached parts is pending.
+        tokens_left: prompt tokens not yet prefilled; None until it starts.
+        tokens_read: prompt tokens in the engine's memory.
+        steps: number of generated tokens.
+        last_read_number: number of the last prefill of one of its chunks; the
+            request with the lowest one is next.
+        last_event_at: time of the last event.
     """
 
     client_request: request_types.ClientRequest
@@ -253,7 +257,7 @@
 
     @property
     def tokens(self) -> int:
-        """Memory that its prompt and its answer take."""
+        """Tokens of memory used by the prompt and the answer."""
         return self.client_request.prompt_tokens + self.steps
 
 
@@ -262,18 +266,18 @@
 
     Attributes:
         name: the server's id.
-        shape: its figures.
-        link: carries its transfers.
-        agenda: virtual time.
-        totals: what all engines did.
-        sources: links and kept parts by address.
-        cache_servers: by address.
-        waiting: requests that don't run yet.
-        running: those that do.
-        kept: cached parts.
-        loading: whether it loads weights.
-        up: whether it answers.
-        version: of the weights that it has.
+        spec: sizes and speeds.
+        link: link for transfers of cached parts.
+        scheduler: scheduler in virtual time.
+        totals: counts of all engines' work.
+        sources: engines and KV cache servers by address.
+        waiting: waiting requests.
+        running: running requests.
+        cache: cached parts.
+        use_counts: running requests of each part, by namespace and name.
+        loading: whether weights are being loaded.
+        up: whether the engine responds.
+        version: version of the loaded weights.
     """
 
     def __init__(
@@ -307,7 +311,7 @@
         sources[address] = self
 
     def load(self) -> request_types.ServerLoad:
-        """Returns what it says of its load: what is being read waits."""
+        """Returns the reported load; requests in prefill count as waiting."""
         reading = sum(1 for each in self.running if each.tokens_left)
         return request_types.ServerLoad(
             running=len(self.running) - reading,
@@ -316,7 +320,7 @@
         )
 
     def submit(self, run: Run) -> bool:
-        """Takes a request, or returns that it is full or loading."""
+        """Queues a request; returns False if the engine is full or loading."""
         full = len(self.waiting) >= self.spec.max_waiting
         if full or self.loading:
             return False
@@ -326,14 +330,14 @@
         return True
 
     def cancel(self, run: Run) -> None:
-        """Stops a request."""
+        """Cancels a request."""
         if run in self.waiting:
             self.waiting.remove(run)
         elif run in self.running:
             self._remove(run)
 
     def load_weights(self, done: Callable[[], None]) -> None:
-        """Loads weights: what it kept is gone, what runs goes on."""
+        """Loads weights; clears the cache, but running requests continue."""
         self.loading = True
         self.cache = PrefixCache()
 
@@ -345,7 +349,7 @@
         self.scheduler.schedule_after(self.spec.load_seconds, loaded)
 
     def _fetch(self, run: Run) -> None:
-        """Fetches what a source keeps of a prompt beyond what is kept here."""
+        """Fetches the leading prompt parts that only the source has cached."""
         source = self.sources.get(run.dispatch.fetch_from or "")
         namespace = run.dispatch.namespace or ""
         cached_count = self.cache.use_prefix(namespace, run.parts)
@@ -383,7 +387,7 @@
             self._step()
 
     def _running_tokens(self) -> int:
-        """Returns tokens that running requests take, shared parts once."""
+        """Returns the memory of running requests; shared parts count once."""
         parts = {
             (each.dispatch.namespace, part.name): part.tokens
             for each in self.running
@@ -393,7 +397,7 @@
         return generated + sum(parts.values())
 
     def _admit(self) -> None:
-        """Lets requests run while there are slots and memory."""
+        """Starts ready requests while there are free slots and memory."""
         if not self.waiting or len(self.running) >= self.spec.slots:
             return
         self.waiting.sort(key=lambda each: each.dispatch.urgency or 0)
@@ -491,7 +495,7 @@
             run.on_first_event()
 
     def _save(self, run: Run) -> None:
-        """Sends a prompt's parts to the KV cache server that lacks them."""
+        """Sends a prompt's parts that the KV cache server lacks to it."""
         server = self.sources.get(run.dispatch.save_to or "")
         if server is None:
             return
--- a/benches/fleet_runs.py
+++ b/benches/fleet_runs.py
@@ -1,10 +1,10 @@
-"""Routers' own decisions before engines in virtual time.
+"""Simulates the placement decisions of routers over engines in virtual time.
 
     python -m benches.fleet_runs [--routers 68] [--engines 60] [--seconds 20]
 
-No process, no network. Each router has its beliefs, chooses with the product's
-own code, and hears from the others what it would hear. What a client gets, and
-what the engines did for it, is counted.
+There are no processes and no network. Each router has its own cluster view,
+places requests with the production code, and receives the load reports of the
+other routers. The results of clients and the work of engines are counted.
 """
 
 import argparse
@@ -32,7 +32,7 @@
 
 MODEL = "m"
 SERVICE = "runners"
-# One way between VMs, and to a client.
+# One-way delay between VMs, and to a client.
 HOP_SECONDS = 0.001
 RETRY_SECONDS = 0.5
 CACHE_SERVERS = 2
@@ -42,20 +42,23 @@
 class RequestKind:
     """One kind of requests.
 
+    A prompt has three parts: one shared by many topics, one shared by the
+    requests of a topic, and one of its own.
+
     Attributes:
-        name: of the kind.
-        share: of all requests.
-        urgency: 0 is first.
-        objective_seconds: to the first event.
-        patience_seconds: a client leaves after so long without an event.
-        commons: how many first parts there are, each of many topics.
-        common_tokens: mean length of them.
-        topics: how many second parts there are.
-        topic_tokens: mean length of them.
-        own_tokens: mean length of what no other request has.
-        events: mean number of events.
-        event_spread: spread of it.
-        repeatable: whether it may run again.
+        name: name of the kind.
+        share: share of all requests.
+        urgency: scheduling urgency; 0 is the most urgent.
+        objective_seconds: objective for the time to the first event.
+        patience_seconds: time without an event after which a client leaves.
+        common_parts: number of distinct first parts.
+        common_tokens: mean length of the first parts.
+        topics: number of distinct second parts.
+        topic_tokens: mean length of the second parts.
+        own_tokens: mean length of the part that no other request has.
+        events: mean number of events of an answer.
+        event_spread: standard deviation of the logarithm of that number.
+        repeatable: whether the request may be sent to a second server.
     """
 
     name: str
@@ -108,23 +111,25 @@
 
 @attrs.frozen(kw_only=True)
 class Plan:
-    """What is played.
+    """Parameters of a simulation.
 
     Attributes:
-        routers: how many routers.
-        engines: how many engines.
-        data_centres: over how many data centres both are spread.
-        seconds: how long requests come.
-        rate: requests a second, of the kinds below.
-        works: the kinds.
-        shape: the engines'.
-        weights_at: when new weights are named.
-        dark: part of the engines that fall silent, from when, until when.
-        organisations: how many; some of them share no cached part.
-        isolated_share: part of those that share none.
+        routers: number of routers.
+        engines: number of engines.
+        data_centres: number of data centres over which both are spread.
+        seconds: duration of the load.
+        rate: requests per second over all kinds.
+        kinds: the kinds of requests.
+        engine_spec: sizes and speeds of each engine.
+        rollouts_at: times at which new weights are declared.
+        outage: share of the engines that stop responding, and begin and end of
+            that outage.
+        organisations: number of organisations.
+        isolated_share: share of the organisations whose cached parts are not
+            shared with others.
         cache_tokens: memory of each KV cache server.
-        cache_link_bytes: what its link carries in a second.
-        seed: of all that is drawn.
+        cache_link_bytes: bytes per second of each KV cache server's link.
+        seed: random seed.
     """
 
     routers: int = 68
@@ -145,15 +150,15 @@
 
 @attrs.define(kw_only=True)
 class Outcome:
-    """What became of the requests of a kind.
+    """Results of the requests of a kind.
 
     Attributes:
-        asked: requests of clients.
-        in_time: whole answers in time.
-        late: whole answers that were not.
-        refused: clients that were refused for good.
-        failed: clients that got nothing else.
-        firsts: seconds to each first event.
+        requests: requests of clients.
+        in_time: complete answers whose first event and gaps met the objectives.
+        late: complete answers that missed an objective.
+        refused: clients whose last attempt was refused.
+        failed: clients whose last attempt timed out.
+        first_event_waits: seconds to the first event of each complete answer.
     """
 
     requests: int = 0
@@ -164,12 +169,12 @@
     first_event_waits: list[float] = attrs.field(factory=list)
 
     def share_in_time(self) -> float:
-        """Returns the part of the requests that were answered in time."""
+        """Returns the share of the requests that were answered in time."""
         return self.in_time / max(1, self.requests)
 
 
 class _FullRoster:
-    """Stands for a roster in which each router hears all others."""
+    """A roster in which every other router is always present."""
 
     def __init__(self, own: str):
         self.own = own
@@ -182,7 +187,7 @@
     members = present
 
     def reaches_all(self) -> bool:
-        """Returns whether every router hears the others itself."""
+        """Returns whether heartbeats go directly between all routers."""
         return len(self.peers) <= heartbeat_rings.ALL_TO_ALL
 
     @property
@@ -193,12 +198,12 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Router:
-    """One router's beliefs, and its reports to the others.
+    """One router's cluster view and its load reports.
 
     Attributes:
-        name: its mailbox.
-        view: what it believes.
-        reports: what it tells the others of its data centre.
+        name: the router's mailbox.
+        view: the router's view of the cluster.
+        reports: exchange of load reports with the other routers.
     """
 
     name: str
@@ -208,18 +213,22 @@
 
 @attrs.define(kw_only=True, eq=False)
 class Client:
-    """One request of a client, with its tries.
+    """One request of a client, with its attempts.
 
     Attributes:
         client_request: the request.
-        work: its kind.
-        organisation: whose key it bears.
-        events: events of its answer.
-        began: when it was first asked for.
-        tries: tries so far.
-        over: whether this try has ended.
-        first: when its first event came.
-        gap: longest pause.
+        kind: kind of the request.
+        organisation: organisation of the client.
+        events: number of events of the answer.
+        started_at: time of the first attempt.
+        attempts: number of attempts so far.
+        ended: whether the current attempt has ended.
+        first_event_at: time of the first event; None before.
+        longest_gap: longest time between two events.
+        tried: incarnations of servers that refused the current attempt.
+        attempt_load: load of the current attempt in the router's view.
+        run: the current attempt at an engine.
+        engine: the engine that the request was last sent to.
     """
 
     client_request: request_types.ClientRequest
@@ -238,15 +247,16 @@
 
 
 class Fleet:
-    """Plays a plan.
+    """Simulates a plan.
 
     Attributes:
-        plan: what is played.
-        agenda: virtual time.
-        totals: what the engines did.
-        engines: by server id.
+        plan: parameters of the simulation.
+        scheduler: scheduler in virtual time.
+        totals: counts of the engines' work.
+        engines: engines by server id.
         routers: the routers.
-        outcomes: by kind.
+        outcomes: results by name of the kind.
+        version: version of the weights declared last.
     """
 
     def __init__(self, plan: Plan):
@@ -267,7 +277,7 @@
         self._tokens_by_part: dict[str, int] = {}
 
     def _make_organisations(self) -> list[configurations.Organisation]:
-        """Some are large: the n-th asks 1/n times as often."""
+        """Makes organisations; the n-th sends 1/n as often as the first."""
         isolated_interval = max(
             1, round(1 / max(0.01, self.plan.isolated_share))
         )
@@ -399,7 +409,7 @@
         return send_all
 
     def run(self) -> "Fleet":
-        """Plays the plan; returns itself."""
+        """Runs the simulation and returns this fleet."""
         plan = self.plan
         for kind in plan.kinds:
             self._schedule_arrival(kind)
@@ -442,7 +452,7 @@
         self.scheduler.schedule(when, arrive)
 
     def _part_tokens(self, name: str, mean: int, spread: float) -> int:
-        """Returns the length of a part, the same each time."""
+        """Returns the length of a prompt part, the same on each call."""
         if name not in self._tokens_by_part:
             generator = random.Random(f"{self.plan.seed}/{name}")
             self._tokens_by_part[name] = _draw_lognormal(
@@ -528,7 +538,7 @@
         self._route(router, client, self.scheduler.now)
 
     def _route(self, router: Router, client: Client, arrived_at: float) -> None:
-        """Chooses an engine, as exchanges do, and sends the request there."""
+        """Selects an engine as `exchanges` does, and dispatches the request."""
         if client.ended:
             return
         now = self.scheduler.now
@@ -592,7 +602,7 @@
                 router, client, engine.load()
             ),
             on_event_gap=lambda seconds: self._on_event_gap(client, seconds),
-            on_end=lambda whole: self._on_complete(client, backend),
+            on_end=lambda complete: self._on_complete(client, backend),
         )
         run = client.run
         self.scheduler.schedule_after(
@@ -664,7 +674,7 @@
     def _fail_attempt(
         self, client: Client, *, retry_after: float, refused: bool
     ) -> None:
-        """Ends a try without an answer; the client has one try more."""
+        """Ends an attempt without an answer; a client makes two attempts."""
         client.ended = True
         if client.attempt_load is not None:
             client.attempt_load.close()
@@ -718,14 +728,17 @@
 
 
 def backend_of(router: Router, engine: fleet_engines.Engine):
-    """Returns a router's beliefs of an engine."""
+    """Returns the backend of an engine in a router's view."""
     return router.view.servers.by_server[engine.name]
 
 
 def _draw_lognormal(
     generator: random.Random, mean: float, spread: float
 ) -> int:
-    """Returns a whole number of at least one, with this mean."""
+    """Draws an integer from a log-normal distribution.
+
+    Values are limited to the range from 1 to 6.3 times the mean.
+    """
     median = mean / 2.718281828 ** (spread * spread / 2)
     value = median * 2.718281828 ** (spread * generator.gauss(0, 1))
     return max(1, min(int(value), int(6.3 * mean)))
@@ -750,10 +763,10 @@
 
 
 def utility(fleet: Fleet) -> float:
-    """Returns the part of their worth that clients get.
+    """Returns the mean utility of a request, from -0.3 to 1.
 
-    A late answer counts for three tenths; a client that was refused twice has
-    waited for nothing, which counts against that.
+    An answer in time counts as 1, a late one as 0.3. A client that was refused
+    twice has waited for nothing and counts as -0.3.
     """
     outcomes = fleet.outcomes.values()
     credit = sum(
@@ -763,7 +776,7 @@
 
 
 def summary_line(fleet: Fleet) -> str:
-    """Returns a run's figures on one line."""
+    """Returns the results of a simulation on one line."""
     parts = [f"worth {utility(fleet):.3f}"]
     for name, each in fleet.outcomes.items():
         waits = sorted(each.first_event_waits) or [0.0]
@@ -785,7 +798,7 @@
 
 
 def main() -> None:
-    """Plays one plan and prints its figures."""
+    """Runs one simulation and prints its results."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--routers", type=int, default=68)
     parser.add_argument("--engines", type=int, default=60)
--- a/benches/fleets.py
+++ b/benches/fleets.py
@@ -1,7 +1,7 @@
-"""A few runners with their agents' order machines, in virtual time.
+"""Simulates runners and their agents' order state machines in virtual time.
 
-Only what lies on the path of an order: the machines, fake engines, the fake
-object API behind a latency, and streams that keep the engines busy.
+Only the path of an order is simulated: the state machines, fake engines, a fake
+object API with a latency, and streams that load the engines.
 """
 
 import heapq
@@ -33,14 +33,16 @@
 
 
 class Node:
-    """One runner, its engine and its agent's machine.
+    """One runner, its engine and its agent's state machine.
 
     Attributes:
         name: the server's name.
         engine: the fake engine.
-        orders: the machine of the agent's current life; None while dead.
-        paused: whether the agent stands still; what comes for it is kept.
-        deferred: callables to run when it goes on.
+        orders: the state machine of the running agent process; None while the
+            agent is down.
+        paused: whether the agent is paused; its events are deferred meanwhile.
+        deferred: callables to run when the agent resumes.
+        agent_starts: number of starts of the agent.
     """
 
     def __init__(self, *, name, engine):
@@ -58,17 +60,18 @@
     Attributes:
         now: virtual time in seconds.
         store: the object API.
-        weight_store: what all engines load from.
+        weight_store: the store that all engines load weights from.
         nodes: Node by server name.
         model: the model's declaration.
         servers: server declarations by name.
-        given: (time, server, order) of each order that an engine got.
-        fewest: fewest runners that took new work at one time.
-        most_loading: most engines that loaded weights at one time.
-        refused: requests refused because a runner was loading.
-        unplaced: requests that no runner took.
-        ended: streams that ended as they should.
-        broken: streams that an engine broke off.
+        engine_orders: (time, server, order) of each order sent to an engine.
+        min_open_nodes: lowest number of nodes that accepted new work at a time.
+        max_loading: highest number of engines that loaded weights at a time.
+        refused: times that a node refused a request because its agent had
+            closed it to new work for an order.
+        unplaced: requests that no node accepted.
+        completed: streams that completed.
+        broken: streams that an engine aborted.
     """
 
     def __init__(
@@ -113,7 +116,7 @@
             )
 
     def add_server(self, server):
-        """Declares a server, here and in the store."""
+        """Declares a server in this fleet and in the store."""
         self.servers[server.name] = server
         path = declarations.path_of(server)
         stored = stores.Object(
@@ -122,13 +125,17 @@
         self.store.objects[path] = stored
 
     def schedule(self, when, callback, *arguments):
-        """Has something done at a time."""
+        """Schedules a call of `callback` at a virtual time."""
         heapq.heappush(
             self.scheduled, (when, next(self.sequence), callback, arguments)
         )
 
     def run(self, until):
-        """Lets the time go on; raises when a machine asks for no rest."""
+        """Runs the simulation until a virtual time.
+
+        Raises an error after MAX_CALLBACKS callbacks, as happens if a state
+        machine always asks to be woken at once.
+        """
         for _ in range(MAX_CALLBACKS):
             if not self.scheduled or self.scheduled[0][0] > until:
                 self.now = until
@@ -136,26 +143,28 @@
             self.now, _, callback, arguments = heapq.heappop(self.scheduled)
             callback(*arguments)
             self.record_load()
-        raise AssertionError("a machine wakes again and again")
+        raise AssertionError(
+            f"more than {MAX_CALLBACKS} callbacks before {until} s"
+        )
 
     def record_load(self):
-        """Takes note of how many runners take work, and how many load."""
+        """Updates the extremes of open nodes and of loading engines."""
         loading = [each for each in self.nodes.values() if each.engine.loading]
         self.max_loading = max(self.max_loading, len(loading))
         self.min_open_nodes = min(self.min_open_nodes, len(self.open_nodes()))
 
     def run_until(self, condition, timeout_seconds=600.0):
-        """Lets the time go on until a condition; returns the seconds."""
+        """Runs until a condition holds; returns the virtual seconds taken."""
         started_at = self.now
         while not condition():
             assert (
                 self.now < started_at + timeout_seconds
-            ), "condition never held"
+            ), f"condition not met within {timeout_seconds} s"
             self.run(self.now + 0.05)
         return self.now - started_at
 
     def start_agent(self, node, address=None):
-        """Starts a new life of a node's agent."""
+        """Starts a node's agent with a new state machine."""
         node.agent_starts += 1
         node.paused = False
         node.deferred = []
@@ -168,7 +177,7 @@
         self.declare(node)
 
     def declare(self, node):
-        """Tells a node what is declared now."""
+        """Passes the current declarations to a node's agent."""
         usable_servers = [
             each
             for each in self.servers.values()
@@ -183,7 +192,7 @@
         self.run_actions(node, node.orders, requested)
 
     def upgrade(self, weights, adapters=()):
-        """Declares other weights; each agent learns it within 0.2 s."""
+        """Declares other weights; each agent receives them within 0.2 s."""
         self.model = declarations.Model(
             name="m",
             weights=weights,
@@ -198,12 +207,12 @@
             )
 
     def apply_declaration(self, node):
-        """A declaration reaches a node."""
+        """Passes the current declarations to a node if its agent is up."""
         if node.orders is not None:
             self.declare(node)
 
     def is_upgraded(self):
-        """Returns whether each engine has what is declared."""
+        """Returns whether each engine has the declared weights and adapters."""
         return all(
             each.engine.weights == self.model.weights
             and set(each.engine.adapters) == set(self.model.adapters)
@@ -211,7 +220,7 @@
         )
 
     def open_nodes(self):
-        """Returns the nodes that take new work."""
+        """Returns the nodes that accept new work."""
         return [
             each
             for each in self.nodes.values()
@@ -221,14 +230,14 @@
         ]
 
     def poll(self, node):
-        """Reads an engine's status, again and again."""
+        """Delivers an engine's status to its agent, and schedules the next."""
         self.schedule(self.now + STATUS_SECONDS, self.poll, node)
         self.step(node)
         self.deliver(node, node.orders, node.engine.status(self.now))
         self.report_work(node)
 
     def step(self, node):
-        """Lets an engine do what is due."""
+        """Steps an engine to the current time and counts ended streams."""
         for event in node.engine.step(self.now):
             match event:
                 case events.EngineEnded():
@@ -237,7 +246,7 @@
                     self.broken += 1
 
     def report_work(self, node):
-        """Tells a node's machine how much work its engine holds."""
+        """Reports the engine's running streams to the node's state machine."""
         machine = node.orders
         if machine is None or node.paused:
             return
@@ -251,7 +260,7 @@
         self.run_actions(node, machine, requested)
 
     def deliver(self, node, machine, event):
-        """Gives an event to a machine, now or when it goes on."""
+        """Passes an event to a state machine, after a pause if there is one."""
         if machine is None or machine is not node.orders:
             return
         if node.paused:
@@ -260,7 +269,7 @@
         self.run_actions(node, machine, machine.handle(event, self.now))
 
     def wake(self, node, machine):
-        """Wakes a machine if its time has come."""
+        """Wakes a state machine if its wake-up time has passed."""
         due = machine.next_wake()
         if machine is not node.orders or node.paused or due is None:
             return
@@ -268,7 +277,7 @@
             self.run_actions(node, machine, machine.wake(self.now))
 
     def run_actions(self, node, machine, requested):
-        """Carries out what a machine asks for."""
+        """Runs actions of a state machine and schedules its next wake-up."""
         for each in requested:
             match each:
                 case actions.CallStore(call=call):
@@ -281,14 +290,14 @@
             self.schedule(max(due, self.now), self.wake, node, machine)
 
     def call_store(self, node, machine, call):
-        """A call reaches the store; its answer comes back."""
+        """Makes a store call and schedules the delivery of its answer."""
         answer = self.store.call(call)
         self.schedule(
             self.now + self.latency / 2, self.deliver, node, machine, answer
         )
 
     def send_order(self, node, machine, order):
-        """An order reaches the engine."""
+        """Passes an order to the engine and schedules the answer."""
         self.engine_orders.append((self.now, node.name, order))
         self.step(node)
         answer = node.engine.order(order, self.now)
@@ -296,7 +305,7 @@
         self.schedule(self.now + 0.001, self.deliver, node, machine, done)
 
     def resume(self, node):
-        """Ends a pause."""
+        """Resumes a paused agent and delivers the deferred events."""
         node.paused = False
         deferred, node.deferred = node.deferred, []
         self.report_work(node)
@@ -306,14 +315,14 @@
             self.run_actions(node, node.orders, node.orders.wake(self.now))
 
     def schedule_traffic(self, per_second, until, tokens=60):
-        """Starts streams at random times on runners that seem open."""
+        """Schedules streams at random times, `per_second` on average."""
         when = self.now
         while when < until:
             when += self.random.expovariate(per_second)
             self.schedule(when, self.submit_stream, f"q{when:.6f}", tokens)
 
     def submit_stream(self, request, tokens):
-        """Tries the runners in random order until one takes a stream."""
+        """Submits a stream to the nodes in random order until one accepts."""
         names = self.random.sample(sorted(self.nodes), len(self.nodes))
         for name in names:
             node = self.nodes[name]
@@ -336,7 +345,7 @@
 
 
 def permit_holders(fleet: Fleet) -> list[permits.PermitEntry]:
-    """Returns the entries of the object of permits."""
+    """Returns the holders in the stored permit table."""
     stored = fleet.store.objects.get(permits.PATH)
     if stored is None:
         return []
--- a/benches/quota_ways.py
+++ b/benches/quota_ways.py
@@ -1,6 +1,6 @@
-"""Other ways to hold a limit over all routers, to compare with the product's.
+"""Alternative limiters for limits over all routers, for comparison.
 
-Each has the interface of `quotas.limiters.Limiter`.
+Each has the interface of `routing.quotas.limiters.Limiter`.
 """
 
 import attrs
@@ -9,23 +9,29 @@
 from pimentoledge.routing.quotas import limiters
 from pimentoledge.routing.quotas import rights
 
-# Between two tellings of what ran, and how soon a router counts as silent.
+# Interval between two count reports, and time without one after which a router
+# counts as silent.
 BROADCAST_SECONDS = 0.1
 SILENT_SECONDS = 0.6
-# Part of a limit that routers use beside an owner that they can't hear.
+# Share of a limit that routers may use while its owner is unreachable.
 FALLBACK_SHARE = 0.5
 
 
 @attrs.define(kw_only=True)
 class CountReport:
-    """What ran at one router since it started, by organisation."""
+    """Costs executed at one router since its start, by organisation.
+
+    Attributes:
+        life: number of the router's start.
+        costs: total cost by organisation.
+    """
 
     life: int
     costs: dict[str, float]
 
 
 class LocalLimiter:
-    """What the ways have in common: an own ledger, decided at once."""
+    """Base of the limiters: decides at once by the router's own ledger."""
 
     def __init__(self, *, own, life, bounds, share, routers, send):
         self.own = own
@@ -37,20 +43,20 @@
         self.leaving = False
 
     def acquire(self, organisation, limit, cost, now, decided):
-        """Decides by the own ledger."""
+        """Decides by the router's own ledger."""
         decision = self.ledger.acquire(organisation, limit, cost, now)
         decided(limiters.AcquireResult(decision=decision, owner=self.own))
         return 0
 
     def cancel(self, number):
-        """Nothing waits."""
+        """Does nothing, as no acquire is pending."""
 
     def give_back(self, organisation, cost, owner, now):
-        """Returns what never ran."""
+        """Refunds the cost of a granted request that never ran."""
         self.ledger.give_back(organisation, cost, now)
 
     def set_share(self, share, now):
-        """Sets the part of every limit that this router has."""
+        """Sets this router's share of every limit."""
         for slot in self.ledger.slots:
             lease_before = slot.leases.get(self.own)
             if share and (lease_before is None or lease_before.share != share):
@@ -60,28 +66,28 @@
                 )
 
     def tick(self, now):
-        """Keeps the own part up to date."""
+        """Updates this router's share."""
         self.set_share(self.share(now), now)
 
     def handle(self, sender, message, now):
-        """Takes no messages."""
+        """Ignores messages."""
 
     def unreachable(self, address, now):
-        """Keeps no connections."""
+        """Does nothing, as there are no connections."""
 
     def leave(self, now):
-        """Has nobody's rights."""
+        """Marks the router as leaving; it has no rights to release."""
         self.leaving = True
 
 
 class EqualShares(LocalLimiter):
-    """Each router has an equal part, and nothing is said."""
+    """Gives each router an equal share, without messages."""
 
 
 class BroadcastCounts(LocalLimiter):
-    """Each router tells all others what ran, and keeps the whole limit.
+    """Sends executed costs to all routers, each of which has the whole limit.
 
-    A router that is silent is taken to use its part.
+    A silent router is assumed to use its share.
     """
 
     def __init__(self, **fields):
@@ -94,7 +100,7 @@
         self._changed = False
 
     def acquire(self, organisation, limit, cost, now, decided):
-        """Decides by the replica, and counts what runs."""
+        """Decides by the replicated bucket and counts granted costs."""
         self.limits[organisation] = limit
 
         def record_decision(answer):
@@ -107,7 +113,7 @@
         return super().acquire(organisation, limit, cost, now, record_decision)
 
     def tick(self, now):
-        """Tells what ran; shrinks to what those who are heard have."""
+        """Sets the share to that of all reporting routers; sends own counts."""
         own_share = self.share(now)
         reporting = [
             each
@@ -123,7 +129,7 @@
             self.send(each, report)
 
     def handle(self, sender, message, now):
-        """Takes what another router has counted."""
+        """Subtracts another router's newly reported costs from the pools."""
         self.last_report_at[sender] = now
         life, before = self.last_reports.get(sender, (message.life, {}))
         if life != message.life:
@@ -140,9 +146,11 @@
 
 
 class SingleOwner(LocalLimiter):
-    """One owner has the whole limit; who can't hear it uses a part of half.
+    """One owner decides for the whole limit of an organisation.
 
-    As `decisions.lending` does for entries, with costs instead of requests.
+    Routers that can't reach the owner use their share of FALLBACK_SHARE of the
+    limit. `decisions.lending` does the same for entries, with requests instead
+    of costs.
     """
 
     def __init__(self, **fields):
@@ -167,7 +175,7 @@
         self.retry_at: dict[str, float] = {}
 
     def target(self, slot, now):
-        """Returns the owner of a slot, or this router."""
+        """Returns the owner of a slot among reachable routers and this one."""
         reachable = [
             each
             for each in self.routers(now)
@@ -176,11 +184,11 @@
         return rights.owner_of(slot, [*reachable, self.own])
 
     def suspect(self, owner, now):
-        """Asks an owner nothing for a second."""
+        """Marks an owner as unreachable for a second."""
         self.retry_at[owner] = now + 1.0
 
     def acquire(self, organisation, limit, cost, now, decided):
-        """Asks the owner."""
+        """Acquires the cost from the owner."""
         return self.limiter.acquire(organisation, limit, cost, now, decided)
 
     def _decide_here(self, pending_acquire, now):
@@ -197,16 +205,16 @@
         )
 
     def tick(self, now):
-        """Looks at late answers."""
+        """Updates the fallback share and handles timeouts of acquires."""
         self.set_share(FALLBACK_SHARE * self.share(now), now)
         self.limiter._check_pending(now)
 
     def handle(self, sender, message, now):
-        """Takes questions and answers."""
+        """Handles acquires of other routers and answers of owners."""
         self.limiter.handle(sender, message, now)
 
     def unreachable(self, address, now):
-        """Takes that a connection broke."""
+        """Marks an owner whose connection broke as unreachable."""
         if address in self.retry_at:
             self.suspect(address, now)
 
--- a/benches/quotas.py
+++ b/benches/quotas.py
@@ -1,11 +1,12 @@
-"""Limits over many routers, in virtual time.
+"""Simulates limits that many routers share, in virtual time.
 
     python -m benches.quotas [--routers 3,22,68] [--cases calm,hot] [--seed 1]
 
-No process, no network. Routers decide by one of several ways; requests of
-organisations come to them; links delay, cut and lose; routers are killed and
-come back knowing nothing. A judge looks at what ran in every window, and at
-what a single bucket would have let in.
+There are no processes and no network. Routers with one of several limiters
+receive requests of organisations; links delay and lose messages and are
+partitioned; routers are killed and restart without state. The results compare
+the requests executed in every window with the limits, and with the requests
+that a single token bucket would have admitted.
 """
 
 import argparse
@@ -27,16 +28,18 @@
 TICK_SECONDS = 0.1
 SAME_CENTRE_DELAY_SECONDS = 0.0005
 CROSS_CENTRE_DELAY_SECONDS = 0.0018
-# A process needs so long to come up again, slow VMs longer.
+# Range of the start time of a process; it is longer on slow VMs.
 RESTART_SECONDS = (0.4, 1.0)
-# What a router that starts needs to read the number of routers.
+# Time that a starting router needs to read the number of routers.
 ROUTER_COUNT_READ_SECONDS = 0.02
-# After which a router that started is known, and who died is forgotten.
+# Time after which other routers know a started router, and after which they
+# forget one that is down.
 DISCOVERY_SECONDS = 0.3
 MEMBERSHIP_SECONDS = 30.0
-# What a cut held up comes after it, if it is over so soon.
+# Messages into a partition are delivered after it if it heals within this time,
+# and are lost otherwise.
 MAX_HEAL_DELAY_SECONDS = 4.0
-# Around a message, in bytes.
+# Bytes of the frame around a message.
 ENVELOPE_BYTES = 40
 DRAFT_COST = 900.0
 LOOK_UP_COST = 9190.0
@@ -45,13 +48,13 @@
 
 @attrs.frozen(kw_only=True)
 class Organisation:
-    """Whose requests come.
+    """An organisation and its limit.
 
     Attributes:
-        name: its name.
-        share: of all requests.
-        per_second: its limit's rate.
-        burst: its limit's burst.
+        name: the organisation's name.
+        share: share of all requests.
+        per_second: rate of the limit.
+        burst: burst of the limit.
     """
 
     name: str
@@ -62,20 +65,23 @@
 
 @attrs.frozen(kw_only=True)
 class Case:
-    """What happens.
+    """Load changes and faults of a simulation.
 
     Attributes:
-        name: of the case.
-        hot: factor of the first organisation's requests, from when to when.
-        one: whether these come to one router.
-        cuts: part of the routers cut off from all others, each by itself if
-            `alone`, from when to when.
-        alone: whether those that are cut off don't hear each other.
-        one_way: whether only what they send is lost.
-        kills: when all are killed.
+        name: name of the case.
+        hot_load: factor on the first organisation's load, and begin and end of
+            that.
+        hot_at_one_router: whether that load comes to one router.
+        partition: share of the routers partitioned from all others, and begin
+            and end of that.
+        isolated: whether partitioned routers don't reach each other either.
+        one_way: whether only messages from partitioned routers are lost.
+        kill_all_at: times at which all routers are killed.
         kill_owner_at: when the owner of the first organisation is killed.
-        roll_from: when routers are stopped in turn, or 0.
-        lowered_at: when the first organisation's limit becomes a third, or 0.
+        rolling_restart_from: when routers begin to restart in turn; 0 for
+            never.
+        lowered_at: when the first organisation's limit is reduced to a third;
+            0 for never.
     """
 
     name: str
@@ -126,11 +132,11 @@
     """One router.
 
     Attributes:
-        name: its mailbox.
-        number: its number.
-        way: how it decides; None while it is down.
-        born: when it started.
-        weight: its part of the requests.
+        name: the router's mailbox.
+        number: index of the router.
+        limiter: the router's limiter; None while the router is down.
+        started_at: time of the last start.
+        weight: weight of the router in the distribution of requests.
     """
 
     name: str
@@ -142,7 +148,13 @@
 
 @attrs.define(kw_only=True)
 class ExecutedRequest:
-    """A request that ran."""
+    """A request that was granted and executed.
+
+    Attributes:
+        arrived_at: when the request reached a router.
+        executed_at: when it was granted.
+        cost: cost in the limit's unit.
+    """
 
     arrived_at: float
     executed_at: float
@@ -151,18 +163,19 @@
 
 @attrs.define(kw_only=True)
 class Result:
-    """What a play came to.
+    """Results of a simulation.
 
     Attributes:
-        worst: most that ran of an organisation in a window, as a part of what
-            the page allows.
-        refused_below: part of the tokens below the limits that was not let in
-            though as much was asked for.
-        messages: a second and router.
-        kilobytes: a second and router.
-        wait_p99_ms: time until an answer.
-        owner_messages: a second, sent and received by the router that has most
-            of them, while the first organisation is hot, or else all the time.
+        worst_ratio: highest cost executed for an organisation in a window,
+            relative to the allowed cost.
+        refused_below_limit: share of the requested tokens below the limits that
+            was not admitted.
+        messages: messages per second and router.
+        kilobytes: kilobytes per second and router.
+        wait_p99_ms: 99th percentile of the time until a decision.
+        owner_messages: messages per second sent and received by the router with
+            the most of them, while the first organisation's load is raised, or
+            else over the whole simulation.
         owner_kilobytes: the same in kilobytes.
     """
 
@@ -176,7 +189,7 @@
 
 
 class World:
-    """Routers, links and requests."""
+    """Simulation of routers, links and requests."""
 
     def __init__(
         self,
@@ -227,13 +240,13 @@
         self.partitioned = set()
 
     def schedule(self, when, callback, *arguments):
-        """Has something done at a time."""
+        """Schedules a call of `callback` at a virtual time."""
         heapq.heappush(
             self.scheduled, (when, next(self.sequence), callback, arguments)
         )
 
     def run(self, seconds=30.0, lead=4.0):
-        """Plays the case; returns the judge's findings."""
+        """Runs the case and returns the results."""
         for router in self.routers.values():
             self.schedule(self.random.uniform(0, 0.3), self.start, router)
         case = self.case
@@ -264,7 +277,7 @@
         return self.measure(seconds)
 
     def start(self, router):
-        """Starts a router, which knows nothing."""
+        """Starts a router without state."""
         router.started_at = self.now
         router.limiter = self.limiter_class(
             own=router.name,
@@ -278,7 +291,7 @@
         self.schedule(self.now + 0.01, self.tick, router, router.limiter)
 
     def tick(self, router, limiter):
-        """Lets a router do what is due."""
+        """Ticks a router's limiter and schedules the next tick."""
         if router.limiter is not limiter:
             return
         self.last_up_at[router.name] = self.now
@@ -287,7 +300,7 @@
         self.schedule(next_tick_at, self.tick, router, limiter)
 
     def share(self, router, now):
-        """Returns a router's part, once it knows how many there are."""
+        """Returns a router's share; 0 until it knows the number of routers."""
         if now - router.started_at < ROUTER_COUNT_READ_SECONDS:
             return 0.0
         return 1 / max(
@@ -295,7 +308,7 @@
         )
 
     def known_routers(self, router, now):
-        """Returns whom a router believes to live."""
+        """Returns the other routers that a router considers members."""
         if now - router.started_at < DISCOVERY_SECONDS:
             return []
         return [
@@ -310,7 +323,7 @@
         ]
 
     def connected(self, sender, receiver):
-        """Returns whether a message gets through."""
+        """Returns whether messages from a sender reach a receiver."""
         if sender == receiver:
             return True
         partitioned = (sender in self.partitioned, receiver in self.partitioned)
@@ -321,7 +334,7 @@
         return partitioned[0] == partitioned[1]
 
     def send(self, router, receiver, message):
-        """Sends a message, unless the sender is down."""
+        """Counts a message and schedules its delivery, unless it is lost."""
         size = len(msgspec.msgpack.encode(message)) + ENVELOPE_BYTES
         self.message_count += 1
         self.byte_count += size
@@ -349,7 +362,7 @@
         )
 
     def deliver(self, sender, limiter, receiver, message):
-        """Brings a message, if the receiver is up."""
+        """Delivers a message, or reports the receiver as unreachable."""
         router = self.routers[receiver]
         if router.limiter is None:
             sending_router = self.routers[sender]
@@ -359,14 +372,14 @@
         router.limiter.handle(sender, message, self.now)
 
     def stop(self, router):
-        """Tells a router to end; it comes back later."""
+        """Shuts a router down gracefully; it restarts later."""
         if router.limiter is None:
             return
         router.limiter.leave(self.now)
         self.schedule(self.now + 2.7, self.kill, router)
 
     def kill(self, router):
-        """Kills a router; it comes back knowing nothing."""
+        """Kills a router; it restarts later without state."""
         router.limiter = None
         restart_delay = 1.0 + self.random.uniform(*RESTART_SECONDS)
         self.schedule(self.now + restart_delay, self.start, router)
@@ -378,7 +391,7 @@
                 self.kill(router)
 
     def kill_owner(self):
-        """Kills the router that has most rights of the first organisation."""
+        """Kills the router with the largest share of the first organisation."""
         slot = ledgers.slot_of(self.organisations[0].name)
         self.kill(
             max(
@@ -388,16 +401,16 @@
         )
 
     def begin_partition(self):
-        """Cuts some routers off."""
+        """Partitions a share of the routers from the others."""
         count = int(self.case.partition[0] * len(self.names))
         self.partitioned = set(self.random.sample(self.names, count))
 
     def end_partition(self):
-        """Heals the cut."""
+        """Heals the partition."""
         self.partitioned = set()
 
     def lower_limit(self):
-        """Makes the first organisation's limit a third."""
+        """Reduces the first organisation's limit to a third."""
         name = self.organisations[0].name
         before = self.limits[name]
         self.limits[name] = ledgers.Limit(
@@ -407,7 +420,7 @@
         )
 
     def request(self, organisation, lead):
-        """Lets a request come, and plans the next."""
+        """Sends a request to a router and schedules the next one."""
         factor, since, until = self.case.hot_load
         hot = organisation is self.organisations[0]
         hot = hot and since <= self.now - lead < until
@@ -447,7 +460,7 @@
         )
 
     def measure(self, seconds):
-        """Returns what the play came to."""
+        """Returns the results of the simulation."""
         allowed = refused = 0.0
         for organisation in self.organisations:
             allowed_of_organisation = single_bucket_cost(
@@ -503,7 +516,7 @@
 
 
 def single_bucket_cost(organisation, arrivals):
-    """Returns how many tokens one bucket would let in."""
+    """Returns the cost that a single token bucket would admit."""
     level = organisation.burst
     last_at = admitted = 0.0
     for when, cost in arrivals:
@@ -517,7 +530,7 @@
 
 
 def worst_window_ratio(organisation, executed):
-    """Returns the most that ran in a window, by what is allowed."""
+    """Returns the highest cost executed in a window over the allowed cost."""
     limit = organisation.per_second * WINDOW_SECONDS + organisation.burst
     allowed = limit * (1 + BOUNDS.over) + BOUNDS.slack
     highest = total = 0.0
@@ -532,7 +545,7 @@
 
 
 def main():
-    """Prints a table of ways by cases."""
+    """Prints a table of results by number of routers, case and limiter."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--routers", default="3,22,68")
     parser.add_argument("--cases", default=",".join(CASES))
--- a/benches/server_limits.py
+++ b/benches/server_limits.py
@@ -1,10 +1,10 @@
-"""Limits that servers name, held over many routers, in virtual time.
+"""Simulates limits that servers advertise, over many routers in virtual time.
 
     python -m benches.server_limits [--routers 3,22,68,300] [--seed 1]
 
-Plays the world of `benches.quotas` with servers that begin to name a limit:
-routers learn of it, and acquire a permit for each request. A judge
-counts what reaches each server in every window.
+Extends the simulation of `benches.quotas` with servers that begin to advertise
+a limit. Routers receive the limit, and acquire a permit for each request. The
+requests that reach each server in every window are counted.
 """
 
 import argparse
@@ -18,28 +18,28 @@
 from pimentoledge.routing.quotas import ledgers
 
 WINDOW_SECONDS = ledgers.SERVER_BOUNDS.window_seconds
-# The users' figures: half of a limit more, and so many requests.
+# Users allow a window to exceed a limit by this share and this many requests.
 ALLOWED_EXCESS_SHARE = 0.5
 ALLOWED_EXCESS_REQUESTS = 5
-# From a server's first answer with a limit until it counts.
+# Time from a server's first answer with a limit until the limit is checked.
 SETTLING_SECONDS = 3.0
-# What a limit needs to reach the other routers, at most.
+# Longest time until a limit reaches all routers.
 PROPAGATION_SECONDS = 0.4
-# Requests a second that each server would get without a limit.
+# Requests per second that each server would get without a limit.
 DEMAND_PER_SECOND = 40.0
 
 
 @attrs.frozen(kw_only=True)
 class Case:
-    """What happens after servers began to name limits.
+    """Events after servers have begun to advertise limits.
 
     Attributes:
-        name: of the case.
-        per_second: the limit that each server names.
-        changes: when they name another, and which; None for none any more.
-        faults: what happens to the routers; see quotas.Case.
-        freezes: part of the routers that stand still, from when to when.
-        joins: part of the routers that start only then, and when.
+        name: name of the case.
+        per_second: limit that each server advertises.
+        changes: times of changes and the new limits; None withdraws the limit.
+        faults: faults of routers and links; see quotas.Case.
+        freezes: share of the routers that freeze, and begin and end of that.
+        joins: share of the routers that start late, and when.
     """
 
     name: str
@@ -84,15 +84,16 @@
 
 @attrs.frozen(kw_only=True)
 class Result:
-    """What a play came to.
+    """Results of a simulation.
 
     Attributes:
-        worst: most requests that a server got in a window, by what is allowed.
-        used: part of the limits that was used, from CONTACT_SECONDS on.
-        asks: questions to owners, a second and router.
-        messages: a second and router.
-        kilobytes: a second and router.
-        owner_messages: a second, of the router that has most of them.
+        worst_ratio: highest number of requests that reached a server in a
+            window, relative to the allowed number.
+        used_share: share of the limits that was used, from SETTLING_SECONDS on.
+        acquires: acquires of permits per second and router.
+        messages: messages per second and router.
+        kilobytes: kilobytes per second and router.
+        owner_messages: messages per second of the router with the most of them.
     """
 
     worst_ratio: float
@@ -104,7 +105,7 @@
 
 
 class World(quotas.World):
-    """Routers, links, and requests to servers that name limits."""
+    """Simulation of routers, links, and servers that advertise limits."""
 
     def __init__(self, *, routers, case, servers=3, seed=1):
         super().__init__(
@@ -134,7 +135,7 @@
         self.limit_integral = collections.defaultdict(float)
 
     def run(self, seconds=18.0, lead=4.0):
-        """Plays the case; returns the judge's findings."""
+        """Runs the case and returns the results."""
         self.lead = lead
         case = self.limit_case
         limits = [(0.0, case.per_second), *case.changes]
@@ -150,7 +151,7 @@
         return super().run(seconds, lead)
 
     def start(self, router):
-        """Starts a router, unless it joins later."""
+        """Starts a router, or schedules its start if it joins later."""
         share, joins_at = self.limit_case.joins
         joins_later = router.number < share * len(self.names)
         if joins_later and self.now < self.lead + joins_at:
@@ -166,7 +167,7 @@
         self.schedule_limit_update(router.name)
 
     def tick(self, router, limiter):
-        """Lets a router do what is due, if some limit is known to it."""
+        """Ticks a router's limiter if the router knows a limit."""
         resumes_at = self.frozen_until.get(router.name, 0.0)
         if self.now < resumes_at:
             self.schedule(resumes_at, self.tick, router, limiter)
@@ -180,7 +181,7 @@
         )
 
     def deliver(self, sender, limiter, receiver, message):
-        """Brings a message; to a router that stands still, after that."""
+        """Delivers a message; a frozen router gets it after the freeze."""
         resumes_at = self.frozen_until.get(receiver, 0.0)
         if self.now < resumes_at:
             self.schedule(
@@ -190,7 +191,7 @@
         super().deliver(sender, limiter, receiver, message)
 
     def freeze(self):
-        """Lets some routers stand still."""
+        """Freezes a share of the routers."""
         share, _, end_at = self.limit_case.freezes
         for name in self.random.sample(
             self.names, int(share * len(self.names))
@@ -198,14 +199,14 @@
             self.frozen_until[name] = self.lead + end_at
 
     def advertise_limit(self, per_second):
-        """Lets all servers name a limit, or none."""
+        """Makes all servers advertise a limit, or none."""
         for each in self.organisations:
             self.advertised[each.name] = (per_second, self.now)
         for name in self.names:
             self.schedule_limit_update(name)
 
     def schedule_limit_update(self, router_name):
-        """Lets a router learn soon what servers name now."""
+        """Schedules the receipt of the advertised limits at a router."""
         for server, limit in self.advertised.items():
             received_at = self.now + self.random.uniform(0, PROPAGATION_SECONDS)
             self.schedule(
@@ -213,7 +214,7 @@
             )
 
     def receive_limit(self, router_name, server, limit):
-        """Takes a limit that a server named."""
+        """Updates a router's limit of a server if the received one is newer."""
         if self.routers[router_name].limiter is None:
             return
         if (
@@ -224,7 +225,7 @@
             self.limited_until.pop((router_name, server), None)
 
     def request(self, organisation, lead):
-        """Lets a request to a server come, and plans the next."""
+        """Sends a request to a server and schedules the next one."""
         self.schedule(
             self.now + self.random.expovariate(self.rate),
             self.request,
@@ -262,18 +263,18 @@
         limiter.acquire(server, limit, 1.0, self.now, decided)
 
     def measure(self, seconds):
-        """Returns what the play came to."""
+        """Returns the results of the simulation."""
         counted_from = self.lead + SETTLING_SECONDS
         worst_ratio = max(
             (
-                self.worst_ratio(came, counted_from)
-                for came in self.admitted_at.values()
+                self.worst_ratio(times, counted_from)
+                for times in self.admitted_at.values()
             ),
             default=0.0,
         )
         admitted = sum(
-            sum(at >= counted_from for at in came)
-            for came in self.admitted_at.values()
+            sum(at >= counted_from for at in times)
+            for times in self.admitted_at.values()
         )
         allowed = len(self.organisations) * self.limit_integral["all"]
         routers = len(self.routers)
@@ -288,7 +289,7 @@
         )
 
     def worst_ratio(self, admitted_at, counted_from):
-        """Returns the fullest window of a server, by what is allowed."""
+        """Returns the most requests in a window, relative to the allowed."""
         worst_ratio = 0.0
         window = collections.deque()
         for at in admitted_at:
@@ -308,9 +309,10 @@
         return worst_ratio
 
     def highest_limit(self, begin, end):
-        """Returns the highest limit that was named within a time.
+        """Returns the highest limit that was advertised in an interval.
 
-        A limit counts for half a second more, in which it is on its way.
+        A limit counts for half a second more, the time that its replacement may
+        need to reach the routers.
         """
         case = self.limit_case
         limits = [(0.0, case.per_second), *case.changes]
@@ -323,7 +325,7 @@
 
 
 def main():
-    """Prints a table of cases by numbers of routers."""
+    """Prints a table of results by number of routers and case."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--routers", default="3,22,68,300")
     parser.add_argument("--cases", default=",".join(CASES))
