--- a/benches/clients.py
+++ b/benches/clients.py
@@ -1,4 +1,4 @@
-"""Callers for measurements: many streams from one thread, and steady calls."""
+"""Load client for measurements: many streams driven by one thread."""
 
 import json
 import selectors
@@ -8,19 +8,19 @@
 import attrs
 
 _READ_BYTES = 64 * 1024
-# Stands in the first event of an answer that holds text, and in no other.
+# Key of the text in an event's JSON; no event before the first text has it.
 _TEXT = b'"text"'
 
 
 @attrs.define(kw_only=True)
 class Stream:
-    """One streamed completion as its caller sees it.
+    """One streamed completion, as measured by its caller.
 
     Attributes:
-        begun: when the request was sent, seconds.
-        first: when the first text came; 0 before.
-        ended: when the connection ended or the answer was complete.
-        events: events received.
+        started_at: when the request was sent, in seconds.
+        first_text_at: when the first text was received; 0 before.
+        ended_at: when the connection ended; 0 before.
+        events: number of events received.
         tail: last bytes received.
         failed: whether the status was not 200.
     """
@@ -33,7 +33,7 @@
     failed: bool = False
 
     def complete(self) -> bool:
-        """Returns whether the stream ended as a complete one does."""
+        """Returns whether the end marker of the stream was received."""
         return b"data: [DONE]" in self.tail
 
 
@@ -51,7 +51,7 @@
 
 
 def head_of(*, path: str, key: str, length: int) -> bytes:
-    """Returns the head of a request whose connection ends with it."""
+    """Returns the head of a request that closes its connection afterwards."""
     lines = (
         f"POST {path} HTTP/1.1",
         "Host: bench",
@@ -68,8 +68,8 @@
 
     Attributes:
         address: where the requests go, (host, port).
-        selector: the sockets that are open, each with its Stream.
-        streams: every stream begun.
+        selector: open sockets, each with its Stream.
+        streams: all streams started.
         events: events received over all streams.
     """
 
@@ -104,14 +104,14 @@
         return len(self.selector.get_map())
 
     def close(self) -> None:
-        """Hangs up on all that is open."""
+        """Closes all open connections."""
         for key in list(self.selector.get_map().values()):
             self.selector.unregister(key.fileobj)
             key.fileobj.close()
         self.selector.close()
 
     def read(self, sock: socket.socket, stream: Stream) -> None:
-        """Reads what came on a stream."""
+        """Reads available data of a stream."""
         try:
             data = sock.recv(_READ_BYTES)
         except ConnectionError:
--- a/benches/decisions.py
+++ b/benches/decisions.py
@@ -1,4 +1,4 @@
-"""Processor time of one placement decision, and memory of a hint.
+"""Measures the processor time of a placement decision and a hint's memory.
 
 python -m benches.decisions
 """
@@ -62,11 +62,15 @@
 
 
 def decision_microseconds(servers: int, tokens: int) -> tuple[float, float]:
-    """Returns the median microseconds to choose, and for the rest.
+    """Returns the median microseconds to choose a server, and of the updates.
 
     Args:
-        servers: declared servers.
-        tokens: prompt length.
+        servers: number of declared servers.
+        tokens: prompt length in tokens.
+
+    Returns:
+        Microseconds of `choose`; microseconds of the placer's updates from
+        sending the request to its end.
     """
     declared = _make_servers(servers)
     placer = placement.Placer(seed=1, data_centre="")
@@ -90,7 +94,7 @@
 
 
 def chain_seconds() -> float:
-    """Returns the processor seconds to digest 1 MB of prompt."""
+    """Returns the median processor seconds to digest 1 MB of prompt."""
     text = random.Random(1).randbytes(1_000_000)
     times = []
     for _ in range(9):
@@ -101,21 +105,21 @@
 
 
 def hint_bytes(count: int) -> float:
-    """Returns the bytes that one hint takes, with 128 blocks to a prompt."""
+    """Returns the memory of one hint in bytes, with 128 blocks per prompt."""
     table = hints.Hints(limit=count, seconds=60.0, holders=8)
-    life = hints.EngineLife(server="s")
+    engine_life = hints.EngineLife(server="s")
     rng = random.Random(1)
     tracemalloc.start()
     for _ in range(count // 128):
         blocks = [rng.randbytes(prefixes.DIGEST_BYTES) for _ in range(128)]
-        table.add(blocks, life, 0.0)
+        table.add(blocks, engine_life, 0.0)
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return size / len(table.table)
 
 
 def main():
-    """Prints the figures."""
+    """Prints all figures."""
     print("| servers | prompt tokens | choose, us | sent to finished, us |")
     print("| --- | --- | --- | --- |")
     for servers in _SERVERS:
--- a/benches/engines.py
+++ b/benches/engines.py
@@ -1,9 +1,9 @@
-"""A runner's engine as a step machine in virtual time.
+"""Simulates a runner's engine, step by step in virtual time.
 
-It runs what it is given; the agent's admission decides what that is. Each
-step gives one token to every request past its prefill and spends a budget of
-prompt tokens on the others, interactive ones first. Its cache of prompt blocks
-is limited; the least recently used block goes first.
+The engine runs every request that the agent's admission submits. Each step
+generates one token for every request past its prefill and spends a budget of
+prompt tokens on the others, interactive ones first. The cache of prompt blocks
+is limited; the least recently used block is evicted first.
 """
 
 import collections
@@ -21,12 +21,12 @@
 
     Attributes:
         arrival: the request.
-        attempt: number of its attempt.
-        expected: cached tokens that the entry expected.
-        crashes: engines known to have crashed on it.
-        cached: prompt tokens found in the cache; None before it starts.
-        left: tokens still to compute before the next one is generated.
-        stored: blocks of it already put into the cache.
+        attempt: number of the attempt.
+        expected_tokens: cached tokens that the entry expected.
+        crashes: number of engines known to have crashed on the request.
+        cached: prompt tokens found in the cache; None before the start.
+        tokens_left: tokens to compute before the next one is generated.
+        stored_blocks: number of prompt blocks already put into the cache.
         generated: tokens generated.
     """
 
@@ -41,24 +41,28 @@
 
 
 class Holders:
-    """Counts, over all live engines, how many hold each block."""
+    """Counts the running engines that have each block cached.
+
+    Attributes:
+        counts: number of engines by block.
+    """
 
     def __init__(self):
         self.counts: collections.Counter[bytes] = collections.Counter()
 
     def add(self, block: bytes):
-        """Counts an engine that now holds a block."""
+        """Adds an engine that has cached a block."""
         self.counts[block] += 1
 
     def remove(self, block: bytes):
-        """Counts an engine that no longer holds a block."""
+        """Removes an engine that no longer has a block cached."""
         if self.counts[block] <= 1:
             del self.counts[block]
         else:
             self.counts[block] -= 1
 
     def depth(self, blocks: list[bytes]) -> int:
-        """Returns how many leading blocks are held by any engine."""
+        """Returns how many leading blocks are each cached by some engine."""
         return _leading_cached(blocks, self.counts)
 
 
@@ -73,13 +77,14 @@
     """One engine.
 
     Attributes:
-        name: its runner's name.
-        pool: its sizes and speeds.
-        holders: shared count of held blocks, for the wasted tokens.
+        name: the runner's name.
+        pool: the runner's sizes and speeds.
+        holders: shared counts of cached blocks, for the wasted tokens.
         batch: jobs in the batch.
-        cache: blocks held, least recently used first.
+        cache: cached blocks, least recently used first.
         prefilled: prompt tokens of the running step, by job.
-        computed: prompt tokens computed for each job that started.
+        started: jobs that started, each with the prompt tokens that it computes
+            although another engine has them cached.
     """
 
     def __init__(
@@ -96,7 +101,7 @@
         self.started: list[tuple[Job, int]] = []
 
     def submit(self, job: Job):
-        """Takes a job into the batch, anew or after a pause."""
+        """Adds a new or paused job to the batch."""
         job.cached = None
         job.tokens_left = (
             job.arrival.prompt_tokens - job.expected_tokens + job.generated
@@ -104,16 +109,16 @@
         self.batch.append(job)
 
     def cancel(self, job: Job):
-        """Takes a job out of the batch and of the running step."""
+        """Removes a job from the batch and from the running step."""
         self.batch.remove(job)
         self.prefilled = [each for each in self.prefilled if each[0] is not job]
 
     def idle(self) -> bool:
-        """Returns whether there is nothing to do."""
+        """Returns whether the batch is empty."""
         return not self.batch
 
     def left_tokens(self) -> int:
-        """Returns the prompt tokens still to compute."""
+        """Returns the tokens left to compute of all jobs."""
         return sum(job.tokens_left for job in self.batch)
 
     def depth(self, blocks: list[bytes]) -> int:
@@ -121,7 +126,7 @@
         return _leading_cached(blocks, self.cache)
 
     def start_step(self) -> float:
-        """Begins a step and returns how long it takes."""
+        """Starts a step and returns its duration in seconds."""
         budget = _CHUNK_TOKENS
         self.prefilled = []
         order = sorted(
@@ -144,14 +149,14 @@
         return self.pool.step_seconds + prefill_seconds
 
     def use_cached_prefix(self, job: Job):
-        """Takes what the cache has of a job's prompt."""
+        """Starts a job with the cached prefix of its prompt."""
         depth = self.depth(job.arrival.blocks)
         cached_anywhere = self.holders.depth(job.arrival.blocks)
         wasted = max(0, cached_anywhere - depth) * workloads.BLOCK_TOKENS
         job.cached = depth * workloads.BLOCK_TOKENS
         job.stored_blocks = depth
-        # One token at least is computed, to have the first answer's token.
-        # Of a resumed job, what it had generated is computed again too.
+        # At least one token is computed, to get the first token of the answer.
+        # Generated tokens of a resumed job are computed again too.
         known = job.arrival.prompt_tokens + job.generated
         job.tokens_left = max(1, known - job.cached)
         self.touch(job.arrival.blocks[:depth])
@@ -160,7 +165,7 @@
     def touch(self, blocks: list[bytes]):
         """Marks blocks as used, the first of a prompt as the most recent.
 
-        So a block never leaves before the ones that continue it.
+        So no block is evicted before those that follow it in the prompt.
         """
         for block in reversed(blocks):
             if block in self.cache:
@@ -207,7 +212,7 @@
             self.holders.remove(block)
 
     def crash(self):
-        """Loses all state."""
+        """Clears the cache and the batch, as after a crash."""
         for block in self.cache:
             self.holders.remove(block)
         self.cache.clear()
--- a/benches/fakes.py
+++ b/benches/fakes.py
@@ -1,9 +1,10 @@
-"""Measures the fakes: the pure engine, and engine server with client.
+"""Measures the fake engine alone, and the fake engine server with a client.
 
     python -m benches.fakes engine
     python -m benches.fakes pair --streams 64 --seconds 10
 
-The pair runs in two processes, so that each side's processor time is known.
+The server and the client of the pair run in two processes, so that the
+processor time of each is known.
 """
 
 import argparse
@@ -25,7 +26,7 @@
 
 
 def make_run(*, number: int, tokens: int) -> actions.RunCompletion:
-    """Returns a completion; sixteen in a row share their prompt."""
+    """Returns a completion; each sixteen consecutive ones share a prompt."""
     prompt = f"{number // 16:08d}" + "x" * (PROMPT_BYTES - 8)
     return actions.RunCompletion(
         request=f"r{number}",
@@ -38,7 +39,7 @@
 
 
 def measure_engine(*, requests: int, tokens: int) -> None:
-    """Runs completions in virtual time and prints what they cost."""
+    """Runs completions in virtual time and prints the throughput."""
     for text_every in (1, 16):
         engine = fake_engines.FakeEngine(
             slots=64, cache_blocks=20_000, token_seconds=1e-6
@@ -62,7 +63,7 @@
 
 
 def serve(pipe, streams: int, step_seconds: float) -> None:
-    """Runs an engine server until told to end; sends back its cost."""
+    """Runs an engine server; sends its processor time and tokens on request."""
     engine = fake_engines.FakeEngine(
         slots=streams,
         cache_blocks=20_000,
@@ -84,12 +85,12 @@
 
 
 class Counter:
-    """Counts what the streams bring.
+    """Counts the events of all streams.
 
     Attributes:
-        tokens: tokens that came.
-        pieces: events that they came in.
-        calls: calls of the receiver.
+        tokens: tokens received.
+        text_events: text events received.
+        calls: calls of `count`.
     """
 
     def __init__(self):
@@ -98,7 +99,7 @@
         self.calls = 0
 
     def count(self, received: list[streams.Event]) -> None:
-        """Counts events; the client's receiver."""
+        """Counts events; receives them from the client."""
         self.calls += 1
         for event in received:
             if isinstance(event, events.EngineText):
@@ -109,7 +110,7 @@
 def measure_pair(
     *, streams: int, seconds: float, step_seconds: float, by: str
 ) -> None:
-    """Runs a server and its client and prints what a token costs each."""
+    """Runs a server and a client; prints the processor time per token."""
     parent_pipe, child_pipe = multiprocessing.Pipe()
     server = multiprocessing.get_context("spawn").Process(
         target=serve, args=(child_pipe, streams, step_seconds)
@@ -157,7 +158,7 @@
 def start_streams(
     *, client: engines.EngineClient, count: int, by: str, counter: Counter
 ) -> list[threading.Thread]:
-    """Begins the streams, read by one receiver or by a thread for each."""
+    """Starts streams, read by one receiver or by one thread each."""
     threads = []
     for number in range(count):
         run = make_run(number=number, tokens=1_000_000)
@@ -179,7 +180,7 @@
 
 
 def main() -> None:
-    """Runs what the command line names."""
+    """Runs the measurement that the command line selects."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("what", choices=["engine", "pair"])
     parser.add_argument("--streams", type=int, default=64)
--- a/benches/orders.py
+++ b/benches/orders.py
@@ -1,8 +1,8 @@
-"""Measures upgrades and the choice of usable servers.
+"""Measures rolling upgrades and the selection of usable servers.
 
-Run it as `python -m benches.orders` from the root of the repository. Times
-of upgrades are virtual and the same on every machine; decision times are
-this machine's.
+Run it as `python -m benches.orders` from the root of the repository. Upgrades
+run in virtual time, so their figures are the same on every machine. Decision
+times are measured on this machine.
 """
 
 import argparse
@@ -24,18 +24,19 @@
 
 
 def upgrade_figures(size: int, limit: int, tokens: int, seed: int) -> list:
-    """Upgrades one fleet.
+    """Upgrades one fleet and returns its figures.
 
     Args:
-        size: runners.
-        limit: loads at one time.
-        tokens: tokens of each stream that runs meanwhile; 0 for none.
+        size: number of runners.
+        limit: maximum number of concurrent loads.
+        tokens: tokens of each stream during the upgrade; 0 for no streams.
         seed: seed of the traffic and of the agents' jitter.
 
     Returns:
-        Seconds until the last runner has the weights; store writes and reads
-        meanwhile; most loads at one time; fewest open runners; refusals by
-        loading runners; requests that no runner took; broken streams.
+        Seconds until the last runner has the weights; store writes; store
+        reads; highest number of concurrent loads; lowest number of open
+        runners; refusals by runners that their agent had closed; requests that
+        no runner accepted; broken streams.
     """
     fleet = fleets.Fleet(size=size, limit=limit, seed=seed)
     if tokens:
@@ -61,7 +62,7 @@
 
 
 def print_upgrades() -> None:
-    """Prints the figures of upgrades: median, and worst in parentheses."""
+    """Prints the median figures of upgrades, and the maxima in parentheses."""
     print(
         "runners limit stream_s  seconds  writes  reads  loading  open"
         "  refused  unplaced  broken"
@@ -89,9 +90,9 @@
     """Returns the median seconds of one call of `usable`.
 
     Args:
-        size: declared servers.
-        refused: servers that have just refused a request.
-        leaving_vms: VMs that the platform lists as leaving.
+        size: number of declared servers.
+        refused: number of servers that have just refused a request.
+        leaving_vms: number of VMs that the platform lists as leaving.
     """
     servers = [
         declarations.BackendServer(
@@ -131,7 +132,7 @@
 
 
 def main() -> None:
-    """Prints what is asked for."""
+    """Prints the figures that the command line selects."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "what", choices=("all", "upgrades", "usable"), nargs="?", default="all"
--- a/benches/workloads.py
+++ b/benches/workloads.py
@@ -2,11 +2,10 @@
 
 Two deployments, each with a pool of large and a pool of small runners:
 
-* manuals: people wait for answers about service manuals, nested by brand,
-  model and year; quick quotes go to the small runners.
-* dossiers: long checks of a lot's dossier against a rule set, which nobody
-  waits for, with interactive notes beside them; more notes go to the small
-  runners.
+* manuals: mostly interactive questions about service manuals, nested by brand,
+  model and year; short quotes go to the small runners.
+* dossiers: batch checks of a lot's dossier against a rule set, with interactive
+  notes on the same runners; short quotes go to the small runners.
 """
 
 import bisect
@@ -37,7 +36,7 @@
 
 
 class Deployment(enum.StrEnum):
-    """Which of the two workloads."""
+    """Name of one of the two workloads."""
 
     MANUALS = "manuals"
     DOSSIERS = "dossiers"
@@ -49,11 +48,11 @@
 
     Attributes:
         model: model name.
-        runners: how many.
-        cache_tokens: tokens in one runner's prefix cache.
+        runners: number of runners.
+        cache_tokens: capacity of one runner's prefix cache in tokens.
         token_seconds: prefill time of one uncached token.
         step_seconds: time of one batch step without prefill.
-        slots: requests in one runner's batch at most.
+        slots: maximum number of requests in one runner's batch.
     """
 
     model: str
@@ -93,14 +92,14 @@
     Attributes:
         request: request id.
         at: time of arrival.
-        entry: number of the entry that the balancer chose.
-        organisation: whose request it is.
-        model: which model.
-        priority: declarations.Priority.
-        blocks: chained digests of its prompt.
+        entry: number of the entry that the load balancer chose.
+        organisation: organisation of the request.
+        model: model name.
+        priority: priority of the request.
+        blocks: chained digests of the prompt's blocks.
         prompt_tokens: tokens in the prompt.
-        output_tokens: tokens that it will generate.
-        deadline: seconds that its caller allows.
+        output_tokens: tokens that will be generated.
+        deadline: seconds that the caller allows.
     """
 
     request: str
@@ -116,7 +115,11 @@
 
 
 class Zipf:
-    """Draws small numbers, the small ones more often."""
+    """Draws integers from a Zipf distribution.
+
+    Attributes:
+        cumulative: cumulative weights of the integers.
+    """
 
     def __init__(self, *, count: int, exponent: float):
         weights = [1 / (each + 1) ** exponent for each in range(count)]
@@ -130,7 +133,7 @@
 
 @functools.cache
 def _segment(name: str, tokens: int) -> bytes:
-    """Returns the text of one level; the same name gives the same text."""
+    """Returns random text; the same name gives the same text."""
     return random.Random(name).randbytes(tokens * TOKEN_BYTES)
 
 
@@ -139,15 +142,15 @@
 
 
 class Generator:
-    """Makes the arrivals of one deployment and one seed.
+    """Generates the arrivals of one deployment and one seed.
 
     Attributes:
-        seed: seed of all chance in it.
-        rng: the source of chance.
+        seed: random seed.
+        rng: random generator.
         organisations: draws an organisation; a few are large.
-        shift: whether half of the large runners' work goes to one prefix,
-            cold until then, from FAULT_AT on.
-        arrivals: what was made.
+        shift: whether about half of the large runners' work goes to one prefix,
+            not cached until then, from FAULT_AT on.
+        arrivals: the generated arrivals.
     """
 
     def __init__(self, *, seed: int, shift: bool):
@@ -158,7 +161,7 @@
         self.arrivals: list[Arrival] = []
 
     def draws_hot_prefix(self, at: float, share: float) -> bool:
-        """Returns whether a request goes to the newly hot prefix."""
+        """Draws whether a request goes to the newly hot prefix."""
         return self.shift and at >= FAULT_AT and self.rng.random() < share
 
     def add(
@@ -170,8 +173,9 @@
         segments: list[bytes],
         output_tokens: int,
     ):
-        """Adds a request whose prompt is the segments and a unique tail."""
-        # Named after the seed, so that each seed hashes to other servers.
+        """Adds a request whose prompt consists of the segments."""
+        # The seed in the name makes the prompts of each seed hash to other
+        # servers.
         name = f"org-{self.seed}-{organisation}"
         salt = prefixes.salt(
             organisation=name, model=model, adapter="", weights=WEIGHTS
@@ -206,7 +210,7 @@
             at += self.rng.expovariate(rate)
 
     def manuals(self, rate: float):
-        """Adds questions about manuals, one in seven of them as batch work."""
+        """Adds questions about manuals, 15 % of them with batch priority."""
         brands = Zipf(count=4, exponent=1.0)
         models = Zipf(count=6, exponent=1.0)
         years = Zipf(count=3, exponent=0.7)
@@ -232,7 +236,7 @@
             self.add(at, org, "large", priority, segments, output)
 
     def quotes(self, rate: float):
-        """Adds short interactive work for the small runners."""
+        """Adds short interactive quotes for the small runners."""
         lists = Zipf(count=4, exponent=0.8)
         for at in self.arrival_times(rate):
             org = self.organisations.draw(self.rng)
@@ -246,7 +250,7 @@
             self.add(at, org, "small", INTERACTIVE, segments, output)
 
     def dossiers(self, rate: float):
-        """Adds checks of lots: each lot gets several within some seconds."""
+        """Adds batch checks of lots, several per lot within some seconds."""
         rules = Zipf(count=3, exponent=1.5)
         checks_per_lot = 8
         for start in self.arrival_times(rate / checks_per_lot):
@@ -265,7 +269,7 @@
                 at += self.rng.expovariate(0.8)
 
     def notes(self, rate: float):
-        """Adds interactive notes for the runners of the long checks."""
+        """Adds interactive notes for the runners of the batch checks."""
         templates = Zipf(count=3, exponent=1.0)
         for at in self.arrival_times(rate):
             org = self.organisations.draw(self.rng)
@@ -287,13 +291,13 @@
 def arrivals(
     deployment: Deployment, seed: int, shift: bool, load: float
 ) -> tuple[Arrival, ...]:
-    """Returns a workload in the order of arrival.
+    """Returns the arrivals of a workload in order of time.
 
     Args:
-        deployment: which workload.
-        seed: seed of all chance in it.
+        deployment: the workload.
+        seed: random seed.
         shift: whether the hot prefix changes at FAULT_AT.
-        load: multiplies all rates.
+        load: factor on all rates.
     """
     generator = Generator(seed=seed, shift=shift)
     match deployment:
