--- a/benches/clients.py
+++ b/benches/clients.py
@@ -1,4 +1,4 @@
-"""Callers for measurements: many streams from one thread, and steady calls."""
+"""Load client for measurements: many streams driven by one thread."""
 
 import json
 import selectors
@@ -8,32 +8,32 @@
 import attrs
 
 _READ_BYTES = 64 * 1024
-# Stands in the first event of an answer that holds text, and in no other.
+# Key of the text in an event's JSON; no event before the first text has it.
 _TEXT = b'"text"'
 
 
 @attrs.define(kw_only=True)
 class Stream:
-    """One streamed completion as its caller sees it.
+    """One streamed completion, as measured by its caller.
 
     Attributes:
-        begun: when the request was sent, seconds.
-        first: when the first text came; 0 before.
-        ended: when the connection ended or the answer was complete.
-        events: events received.
+        started_at: when the request was sent, in seconds.
+        first_text_at: when the first text was received; 0 before.
+        ended_at: when the connection ended; 0 before.
+        events: number of events received.
         tail: last bytes received.
         failed: whether the status was not 200.
     """
 
-    begun: float = 0.0
-    first: float = 0.0
-    ended: float = 0.0
+    started_at: float = 0.0
+    first_text_at: float = 0.0
+    ended_at: float = 0.0
     events: int = 0
     tail: bytes = b""
     failed: bool = False
 
     def complete(self) -> bool:
-        """Returns whether the stream ended as a complete one does."""
+        """Returns whether the end marker of the stream was received."""
         return b"data: [DONE]" in self.tail
 
 
@@ -51,7 +51,7 @@
 
 
 def head_of(*, path: str, key: str, length: int) -> bytes:
-    """Returns the head of a request whose connection ends with it."""
+    """Returns the head of a request that closes its connection afterwards."""
     lines = (
         f"POST {path} HTTP/1.1",
         "Host: bench",
@@ -68,8 +68,8 @@
 
     Attributes:
         address: where the requests go, (host, port).
-        selector: the sockets that are open, each with its Stream.
-        streams: every stream begun.
+        selector: open sockets, each with its Stream.
+        streams: all streams started.
         events: events received over all streams.
     """
 
@@ -83,7 +83,7 @@
         """Opens a connection and sends a request on it."""
         sock = socket.create_connection(self.address)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        stream = Stream(begun=time.perf_counter())
+        stream = Stream(started_at=time.perf_counter())
         sock.sendall(request)
         sock.setblocking(False)
         self.selector.register(sock, selectors.EVENT_READ, stream)
@@ -99,33 +99,33 @@
             for key, _ in self.selector.select(left):
                 self.read(key.fileobj, key.data)
 
-    def open(self) -> int:
+    def open_count(self) -> int:
         """Returns how many streams are open."""
         return len(self.selector.get_map())
 
     def close(self) -> None:
-        """Hangs up on all that is open."""
+        """Closes all open connections."""
         for key in list(self.selector.get_map().values()):
             self.selector.unregister(key.fileobj)
             key.fileobj.close()
         self.selector.close()
 
     def read(self, sock: socket.socket, stream: Stream) -> None:
-        """Reads what came on a stream."""
+        """Reads available data of a stream."""
         try:
             data = sock.recv(_READ_BYTES)
         except ConnectionError:
             data = b""
         now = time.perf_counter()
         if not data:
-            stream.ended = now
+            stream.ended_at = now
             self.selector.unregister(sock)
             sock.close()
             return
         if not stream.tail:
             stream.failed = b" 200 " not in data[:20]
-        if not stream.first and _TEXT in data:
-            stream.first = now
+        if not stream.first_text_at and _TEXT in data:
+            stream.first_text_at = now
         events = data.count(b"data: ")
         stream.events += events
         self.events += events
--- a/benches/engines.py
+++ b/benches/engines.py
@@ -1,9 +1,9 @@
-"""A runner's engine as a step machine in virtual time.
+"""Simulates a runner's engine, step by step in virtual time.
 
-It runs what it is given; the agent's admission decides what that is. Each
-step gives one token to every request past its prefill and spends a budget of
-prompt tokens on the others, interactive ones first. Its cache of prompt blocks
-is limited; the least recently used block goes first.
+The engine runs every request that the agent's admission submits. Each step
+generates one token for every request past its prefill and spends a budget of
+prompt tokens on the others, interactive ones first. The cache of prompt blocks
+is limited; the least recently used block is evicted first.
 """
 
 import collections
@@ -21,50 +21,54 @@
 
     Attributes:
         arrival: the request.
-        attempt: number of its attempt.
-        expected: cached tokens that the entry expected.
-        crashes: engines known to have crashed on it.
-        cached: prompt tokens found in the cache; None before it starts.
-        left: tokens still to compute before the next one is generated.
-        stored: blocks of it already put into the cache.
+        attempt: number of the attempt.
+        expected_tokens: cached tokens that the entry expected.
+        crashes: number of engines known to have crashed on the request.
+        cached: prompt tokens found in the cache; None before the start.
+        tokens_left: tokens to compute before the next one is generated.
+        stored_blocks: number of prompt blocks already put into the cache.
         generated: tokens generated.
     """
 
     arrival: workloads.Arrival
     attempt: int
-    expected: int
+    expected_tokens: int
     crashes: int = 0
     cached: int | None = None
-    left: int = 0
-    stored: int = 0
+    tokens_left: int = 0
+    stored_blocks: int = 0
     generated: int = 0
 
 
 class Holders:
-    """Counts, over all live engines, how many hold each block."""
+    """Counts the running engines that have each block cached.
+
+    Attributes:
+        counts: number of engines by block.
+    """
 
     def __init__(self):
         self.counts: collections.Counter[bytes] = collections.Counter()
 
     def add(self, block: bytes):
-        """Counts an engine that now holds a block."""
+        """Adds an engine that has cached a block."""
         self.counts[block] += 1
 
     def remove(self, block: bytes):
-        """Counts an engine that no longer holds a block."""
+        """Removes an engine that no longer has a block cached."""
         if self.counts[block] <= 1:
             del self.counts[block]
         else:
             self.counts[block] -= 1
 
     def depth(self, blocks: list[bytes]) -> int:
-        """Returns how many leading blocks are held by any engine."""
-        return _leading(blocks, self.counts)
+        """Returns how many leading blocks are each cached by some engine."""
+        return _leading_cached(blocks, self.counts)
 
 
-def _leading(blocks: list[bytes], held) -> int:
+def _leading_cached(blocks: list[bytes], cached) -> int:
     for depth, block in enumerate(blocks):
-        if block not in held:
+        if block not in cached:
             return depth
     return len(blocks)
 
@@ -73,13 +77,14 @@
     """One engine.
 
     Attributes:
-        name: its runner's name.
-        pool: its sizes and speeds.
-        holders: shared count of held blocks, for the wasted tokens.
+        name: the runner's name.
+        pool: the runner's sizes and speeds.
+        holders: shared counts of cached blocks, for the wasted tokens.
         batch: jobs in the batch.
-        cache: blocks held, least recently used first.
+        cache: cached blocks, least recently used first.
         prefilled: prompt tokens of the running step, by job.
-        computed: prompt tokens computed for each job that started.
+        started: jobs that started, each with the prompt tokens that it computes
+            although another engine has them cached.
     """
 
     def __init__(
@@ -96,65 +101,71 @@
         self.started: list[tuple[Job, int]] = []
 
     def submit(self, job: Job):
-        """Takes a job into the batch, anew or after a pause."""
+        """Adds a new or paused job to the batch."""
         job.cached = None
-        job.left = job.arrival.prompt_tokens - job.expected + job.generated
+        job.tokens_left = (
+            job.arrival.prompt_tokens - job.expected_tokens + job.generated
+        )
         self.batch.append(job)
 
     def cancel(self, job: Job):
-        """Takes a job out of the batch and of the running step."""
+        """Removes a job from the batch and from the running step."""
         self.batch.remove(job)
         self.prefilled = [each for each in self.prefilled if each[0] is not job]
 
     def idle(self) -> bool:
-        """Returns whether there is nothing to do."""
+        """Returns whether the batch is empty."""
         return not self.batch
 
     def left_tokens(self) -> int:
-        """Returns the prompt tokens still to compute."""
-        return sum(job.left for job in self.batch)
+        """Returns the tokens left to compute of all jobs."""
+        return sum(job.tokens_left for job in self.batch)
 
     def depth(self, blocks: list[bytes]) -> int:
         """Returns how many leading blocks are in the cache."""
-        return _leading(blocks, self.cache)
+        return _leading_cached(blocks, self.cache)
 
     def start_step(self) -> float:
-        """Begins a step and returns how long it takes."""
+        """Starts a step and returns its duration in seconds."""
         budget = _CHUNK_TOKENS
         self.prefilled = []
         order = sorted(
-            (job for job in self.batch if job.cached is None or job.left),
+            (
+                job
+                for job in self.batch
+                if job.cached is None or job.tokens_left
+            ),
             key=lambda job: job.arrival.priority != workloads.INTERACTIVE,
         )
         for job in order:
             if budget <= 0:
                 break
             if job.cached is None:
-                self.look_up(job)
-            tokens = min(budget, job.left)
+                self.use_cached_prefix(job)
+            tokens = min(budget, job.tokens_left)
             budget -= tokens
             self.prefilled.append((job, tokens))
-        spent = (_CHUNK_TOKENS - budget) * self.pool.token_seconds
-        return self.pool.step_seconds + spent
+        prefill_seconds = (_CHUNK_TOKENS - budget) * self.pool.token_seconds
+        return self.pool.step_seconds + prefill_seconds
 
-    def look_up(self, job: Job):
-        """Takes what the cache has of a job's prompt."""
+    def use_cached_prefix(self, job: Job):
+        """Starts a job with the cached prefix of its prompt."""
         depth = self.depth(job.arrival.blocks)
-        elsewhere = self.holders.depth(job.arrival.blocks)
-        wasted = max(0, elsewhere - depth) * workloads.BLOCK_TOKENS
+        cached_anywhere = self.holders.depth(job.arrival.blocks)
+        wasted = max(0, cached_anywhere - depth) * workloads.BLOCK_TOKENS
         job.cached = depth * workloads.BLOCK_TOKENS
-        job.stored = depth
-        # One token at least is computed, to have the first answer's token.
-        # Of a resumed job, what it had generated is computed again too.
+        job.stored_blocks = depth
+        # At least one token is computed, to get the first token of the answer.
+        # Generated tokens of a resumed job are computed again too.
         known = job.arrival.prompt_tokens + job.generated
-        job.left = max(1, known - job.cached)
+        job.tokens_left = max(1, known - job.cached)
         self.touch(job.arrival.blocks[:depth])
         self.started.append((job, wasted))
 
     def touch(self, blocks: list[bytes]):
         """Marks blocks as used, the first of a prompt as the most recent.
 
-        So a block never leaves before the ones that continue it.
+        So no block is evicted before those that follow it in the prompt.
         """
         for block in reversed(blocks):
             if block in self.cache:
@@ -169,39 +180,39 @@
         first: list[Job] = []
         done: list[Job] = []
         for job in self.batch:
-            if job.cached is not None and not job.left:
+            if job.cached is not None and not job.tokens_left:
                 job.generated += 1
         for job, tokens in self.prefilled:
-            job.left -= tokens
+            job.tokens_left -= tokens
             self.store(job)
-            if not job.left:
+            if not job.tokens_left:
                 job.generated += 1
                 first.append(job)
         for job in self.batch:
             if job.generated >= job.arrival.output_tokens:
                 done.append(job)
         if done:
-            gone = set(map(id, done))
-            self.batch = [job for job in self.batch if id(job) not in gone]
+            done_ids = set(map(id, done))
+            self.batch = [job for job in self.batch if id(job) not in done_ids]
         return first, done
 
     def store(self, job: Job):
         """Puts the blocks that a job has computed into the cache."""
-        known = max(0, job.arrival.prompt_tokens - job.left)
+        known = max(0, job.arrival.prompt_tokens - job.tokens_left)
         depth = min(len(job.arrival.blocks), known // workloads.BLOCK_TOKENS)
-        for block in job.arrival.blocks[job.stored : depth]:
+        for block in job.arrival.blocks[job.stored_blocks : depth]:
             if block not in self.cache:
                 self.cache[block] = None
                 self.holders.add(block)
-        job.stored = max(job.stored, depth)
+        job.stored_blocks = max(job.stored_blocks, depth)
         self.touch(job.arrival.blocks[:depth])
-        most = self.pool.cache_tokens // workloads.BLOCK_TOKENS
-        while len(self.cache) > most:
+        max_blocks = self.pool.cache_tokens // workloads.BLOCK_TOKENS
+        while len(self.cache) > max_blocks:
             block, _ = self.cache.popitem(last=False)
             self.holders.remove(block)
 
     def crash(self):
-        """Loses all state."""
+        """Clears the cache and the batch, as after a crash."""
         for block in self.cache:
             self.holders.remove(block)
         self.cache.clear()
--- a/benches/measure.py
+++ b/benches/measure.py
@@ -123,7 +123,7 @@
         seed=task.seed,
     )
     figures = Figures()
-    measure_from = workloads.WARM_UP
+    measure_from = workloads.WARM_UP_SECONDS
     if task.fault in placement_runs.SUDDEN_FAULTS:
         measure_from = workloads.FAULT_AT
     for result in simulation.run():
--- a/benches/orders.py
+++ b/benches/orders.py
@@ -1,8 +1,8 @@
-"""Measures upgrades and the choice of usable servers.
+"""Measures rolling upgrades and the selection of usable servers.
 
-Run it as `python -m benches.orders` from the root of the repository. Times
-of upgrades are virtual and the same on every machine; decision times are
-this machine's.
+Run it as `python -m benches.orders` from the root of the repository. Upgrades
+run in virtual time, so their figures are the same on every machine. Decision
+times are measured on this machine.
 """
 
 import argparse
@@ -16,44 +16,45 @@
 from pimentoledge.decisions import permits
 
 SEEDS = range(1, 6)
-REPEATS = 200
+USABLE_CALLS = 200
 # Share of the engines' slots that the traffic fills.
-FILLED = 0.5
+FILLED_SHARE = 0.5
 SLOTS = 16
 STEP_SECONDS = 0.032
 
 
 def upgrade_figures(size: int, limit: int, tokens: int, seed: int) -> list:
-    """Upgrades one fleet.
+    """Upgrades one fleet and returns its figures.
 
     Args:
-        size: runners.
-        limit: loads at one time.
-        tokens: tokens of each stream that runs meanwhile; 0 for none.
+        size: number of runners.
+        limit: maximum number of concurrent loads.
+        tokens: tokens of each stream during the upgrade; 0 for no streams.
         seed: seed of the traffic and of the agents' jitter.
 
     Returns:
-        Seconds until the last runner has the weights; store writes and reads
-        meanwhile; most loads at one time; fewest open runners; refusals by
-        loading runners; requests that no runner took; broken streams.
+        Seconds until the last runner has the weights; store writes; store
+        reads; highest number of concurrent loads; lowest number of open
+        runners; refusals by runners that their agent had closed; requests that
+        no runner accepted; broken streams.
     """
     fleet = fleets.Fleet(size=size, limit=limit, seed=seed)
     if tokens:
-        rate = FILLED * SLOTS * size / (tokens * STEP_SECONDS)
-        fleet.traffic(rate, 300.0, tokens)
+        rate = FILLED_SHARE * SLOTS * size / (tokens * STEP_SECONDS)
+        fleet.schedule_traffic(rate, 300.0, tokens)
     fleet.run(20.0)
     before = dict(fleet.store.counts)
     fleet.upgrade("w2")
     seconds = fleet.run_until(
-        lambda: fleet.upgraded() and not fleets.holders_of(fleet)
+        lambda: fleet.is_upgraded() and not fleets.permit_holders(fleet)
     )
     counts = fleet.store.counts
     return [
         seconds,
         counts["writes"] - before["writes"],
         counts["reads"] - before["reads"],
-        fleet.most_loading,
-        fleet.fewest,
+        fleet.max_loading,
+        fleet.min_open_nodes,
         fleet.refused,
         fleet.unplaced,
         fleet.broken,
@@ -61,7 +62,7 @@
 
 
 def print_upgrades() -> None:
-    """Prints the figures of upgrades: median, and worst in parentheses."""
+    """Prints the median figures of upgrades, and the maxima in parentheses."""
     print(
         "runners limit stream_s  seconds  writes  reads  loading  open"
         "  refused  unplaced  broken"
@@ -72,26 +73,26 @@
                 upgrade_figures(size, limit, tokens, seed) for seed in SEEDS
             ]
             columns = list(zip(*rows, strict=True))
-            middles = [statistics.median(each) for each in columns]
+            medians = [statistics.median(each) for each in columns]
             print(
                 f"{size:7} {limit:5} {tokens * STEP_SECONDS:8.1f}"
-                f" {middles[0]:6.1f} ({max(columns[0]):.1f})"
-                f" {middles[1]:4.0f} ({max(columns[1])})"
-                f" {middles[2]:5.0f} ({max(columns[2])})"
+                f" {medians[0]:6.1f} ({max(columns[0]):.1f})"
+                f" {medians[1]:4.0f} ({max(columns[1])})"
+                f" {medians[2]:5.0f} ({max(columns[2])})"
                 f" {max(columns[3]):3} {min(columns[4]):3}"
                 f" of >={size - permits.max_out_of_service(size)}"
-                f" {middles[5]:6.0f} ({max(columns[5])})"
+                f" {medians[5]:6.0f} ({max(columns[5])})"
                 f" {max(columns[6]):3} {max(columns[7]):3}"
             )
 
 
-def usable_seconds(size: int, troubled: int, leaving_vms: int) -> float:
+def usable_seconds(size: int, refused: int, leaving_vms: int) -> float:
     """Returns the median seconds of one call of `usable`.
 
     Args:
-        size: declared servers.
-        troubled: servers held back.
-        leaving_vms: VMs that the platform lists as leaving.
+        size: number of declared servers.
+        refused: number of servers that have just refused a request.
+        leaving_vms: number of VMs that the platform lists as leaving.
     """
     servers = [
         declarations.BackendServer(
@@ -102,7 +103,7 @@
         for number in range(size)
     ]
     members = membership.Membership(seed=1)
-    for server in servers[:troubled]:
+    for server in servers[:refused]:
         members.record_refusal(server.name, 0.0)
     states = [
         events.ListedVm(address=membership.host_of(each.agent), leaving=True)
@@ -110,10 +111,10 @@
     ]
     members.update_vms(states, 0.0)
     times = []
-    for _ in range(REPEATS):
-        began = time.perf_counter()
+    for _ in range(USABLE_CALLS):
+        started_at = time.perf_counter()
         members.usable(servers, 0.1)
-        times.append(time.perf_counter() - began)
+        times.append(time.perf_counter() - started_at)
     return statistics.median(times)
 
 
@@ -121,17 +122,17 @@
     """Prints the time of `usable` by number of servers."""
     print("servers  healthy_us  1%_held_us  1%_held_1%_vms_leaving_us")
     for size in (10, 150, 2400):
-        few = max(1, size // 100)
+        one_percent = max(1, size // 100)
         print(
             f"{size:7}"
             f" {usable_seconds(size, 0, 0) * 1e6:10.1f}"
-            f" {usable_seconds(size, few, 0) * 1e6:10.1f}"
-            f" {usable_seconds(size, few, few) * 1e6:10.1f}"
+            f" {usable_seconds(size, one_percent, 0) * 1e6:10.1f}"
+            f" {usable_seconds(size, one_percent, one_percent) * 1e6:10.1f}"
         )
 
 
 def main() -> None:
-    """Prints what is asked for."""
+    """Prints the figures that the command line selects."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument(
         "what", choices=("all", "upgrades", "usable"), nargs="?", default="all"
--- a/benches/path.py
+++ b/benches/path.py
@@ -219,7 +219,9 @@
 
 def _quantiles(streams) -> dict[str, float]:
     latencies = sorted(
-        each.first - each.begun for each in streams if each.first
+        each.first_text_at - each.started_at
+        for each in streams
+        if each.first_text_at
     )
     figures = {"answered": len(latencies), "asked": len(streams)}
     for name, share in (("p50", 0.5), ("p95", 0.95), ("p99", 0.99)):
@@ -320,7 +322,7 @@
     load.run(started + seconds)
     elapsed = time.perf_counter() - started
     after = [each.usage() for each in measured_processes]
-    received, open_count = load.events - events, load.open()
+    received, open_count = load.events - events, load.open_count()
     load.close()
     cpu_seconds = [b.cpu - a.cpu for a, b in zip(before, after, strict=True)]
     return {
@@ -360,7 +362,7 @@
     prompts = _prompts(f"closed {callers}")
     before, started = deployment.usage(), time.perf_counter()
     while time.perf_counter() < started + seconds:
-        while load.open() < callers:
+        while load.open_count() < callers:
             load.begin(_router_request(next(prompts), 1))
         for key, _ in load.selector.select(1.0):
             load.read(key.fileobj, key.data)
--- a/benches/placement_runs.py
+++ b/benches/placement_runs.py
@@ -141,9 +141,9 @@
         prefill nor how much was actually cached.
         """
         return self.admission.queued_tokens + sum(
-            max(0, job.arrival.prompt_tokens - job.expected)
+            max(0, job.arrival.prompt_tokens - job.expected_tokens)
             for job in self.engine.batch
-            if job.left
+            if job.tokens_left
         )
 
     def left_tokens(self) -> int:
@@ -316,7 +316,7 @@
         job = engines.Job(
             arrival=arrival,
             attempt=result.attempts,
-            expected=choice.expected_depth,
+            expected_tokens=choice.expected_depth,
             crashes=result.crashes,
         )
         sender = (entry.number, entry.incarnation)
@@ -340,7 +340,7 @@
             server=choice.server,
             incarnation=choice.incarnation,
             weights=workloads.WEIGHTS,
-            expected_depth=job.expected,
+            expected_depth=job.expected_tokens,
             prompt_tokens=arrival.prompt_tokens,
             fingerprint=arrival.request.encode(),
             crashes=job.crashes,
@@ -428,7 +428,7 @@
             sender = (entry.number, entry.incarnation)
             status = agent.status(sender)
             self.send_to_entry(sender, self.status_received, status, lossy=True)
-        if self.now < workloads.SECONDS:
+        if self.now < workloads.DURATION_SECONDS:
             self.schedule(self.now + _REPORT_SECONDS, self.send_report, name)
 
     def dispatch_received(self, choice, job: engines.Job, sender):
