--- a/benches/admission.py
+++ b/benches/admission.py
@@ -592,16 +592,16 @@
     Returns:
         Engine crashes, the other requests' results and store writes.
     """
-    path = simulated_clusters.SimulatedCluster(
+    cluster = simulated_clusters.SimulatedCluster(
         entry_count=10, runners=9, slots=4
     )
-    entry_names = set(path.entry_addresses)
+    entry_names = set(cluster.entry_addresses)
     if "apart" in name:
-        path.cut = lambda sender, receiver: entry_names >= {sender, receiver}
+        cluster.cut = lambda sender, receiver: entry_names >= {sender, receiver}
     if "no store" in name:
-        path.cut_from_store |= entry_names
+        cluster.cut_from_store |= entry_names
     if name == "no quarantine":
-        for node in path.nodes.values():
+        for node in cluster.nodes.values():
             core = node.core
             if node.engine is None:
                 core.quarantine.check = lambda *_: quarantine.Clear()
@@ -610,43 +610,49 @@
                     lambda: admission.Crashes(count=0, until=1e9)
                 )
                 core.admission._record_crashes = lambda *_, **__: None
-    before = len(path.store.calls)
+    before = len(cluster.store.calls)
     other_requests = []
     sent_at = {}
     for number in range(20):
         if name == "herd restart" and number in (4, 8):
             for each in range(10):
-                path.start_entry(each)
-            path.run(8.0)
+                cluster.start_entry(each)
+            cluster.run(8.0)
         for each in range(6):
             other_request = f"i{number}.{each}"
             other_requests.append(other_request)
-            sent_at[other_request] = path.now
+            sent_at[other_request] = cluster.now
             prompt = f"manual {each} " * 300
-            path.request((number + each) % 10, other_request, prompt, tokens=60)
+            cluster.request(
+                (number + each) % 10, other_request, prompt, tokens=60
+            )
         poison_requests = [f"x{number}.{copy}" for copy in range(copies)]
         for copy, each in enumerate(poison_requests):
-            path.request((number + copy) % 10, each, "poison " * 300)
-        path.run(
+            cluster.request((number + copy) % 10, each, "poison " * 300)
+        cluster.run(
             40.0,
             until=lambda poison_requests=poison_requests: all(
-                e in path.answers for e in poison_requests
+                e in cluster.answers for e in poison_requests
             ),
         )
-        path.run(max(seconds, 2.0 if "herd" in name else 0.0))
-    path.run(30.0, until=lambda: all(e in path.answers for e in other_requests))
+        cluster.run(max(seconds, 2.0 if "herd" in name else 0.0))
+    cluster.run(
+        30.0, until=lambda: all(e in cluster.answers for e in other_requests)
+    )
     latencies = [
-        path.answers[e][1] - sent_at[e]
+        cluster.answers[e][1] - sent_at[e]
         for e in other_requests
-        if e in path.answers
+        if e in cluster.answers
     ]
     not_served = [
-        e for e in other_requests if path.result_code(e) != results.Code.OK
+        e for e in other_requests if cluster.result_code(e) != results.Code.OK
+    ]
+    writes = [
+        e for e in cluster.store.calls[before:] if _is_quarantine_write(e)
     ]
-    writes = [e for e in path.store.calls[before:] if _is_quarantine_write(e)]
     return {
         "case": name,
-        "engines_crashed": path.crash_count(),
+        "engines_crashed": cluster.crash_count(),
         "innocents": len(other_requests),
         "not_served": len(not_served),
         "answer_p50_s": quantile(latencies, 0.5),
--- a/pimentoledge/tests/test_router_fleets.py
+++ b/pimentoledge/tests/test_router_fleets.py
@@ -90,19 +90,19 @@
     """Tests of the simulated engine's cache, steps and memory."""
 
     def engine(self, **more):
-        agenda = fleet_engines.Scheduler()
+        scheduler = fleet_engines.Scheduler()
         engine = fleet_engines.Engine(
             name="e",
             address="e:80",
             data_centre="a",
             spec=fleet_engines.EngineSpec(**more),
-            scheduler=agenda,
+            scheduler=scheduler,
             totals=fleet_engines.Totals(),
             sources={},
         )
-        return agenda, engine
+        return scheduler, engine
 
-    def run(self, agenda, engine, shared, own, events=2, name="p"):
+    def run(self, scheduler, engine, shared, own, events=2, name="p"):
         request_types = fleet_runs.request_types
         parts = (
             request_types.Part(name=name, tokens=shared),
@@ -122,38 +122,38 @@
                 server="e", organisation=None, seconds_left=9.0, namespace="1"
             ),
             events=events,
-            on_first_event=lambda: times.setdefault("first", agenda.now),
+            on_first_event=lambda: times.setdefault("first", scheduler.now),
             on_event_gap=lambda seconds: times.update(pause=seconds),
-            on_end=lambda whole: times.setdefault("end", agenda.now),
+            on_end=lambda complete: times.setdefault("end", scheduler.now),
         )
         assert engine.submit(run)
         return times
 
     def test_a_cached_part_is_not_read_again(self):
-        agenda, engine = self.engine()
-        first = self.run(agenda, engine, 4000, 500)
-        agenda.run(2.0)
-        again = self.run(agenda, engine, 4000, 600)
-        agenda.run(4.0)
+        scheduler, engine = self.engine()
+        first = self.run(scheduler, engine, 4000, 500)
+        scheduler.run(2.0)
+        again = self.run(scheduler, engine, 4000, 600)
+        scheduler.run(4.0)
         assert first["first"] > 0.19
         assert again["first"] - 2.0 < 0.11
         assert engine.totals.prefill_tokens == 4500 + 600
 
     def test_a_long_prompt_slows_concurrent_streams_sevenfold(self):
-        agenda, engine = self.engine()
-        short = self.run(agenda, engine, 100, 100, events=40, name="s")
-        agenda.run(0.5)
+        scheduler, engine = self.engine()
+        short = self.run(scheduler, engine, 100, 100, events=40, name="s")
+        scheduler.run(0.5)
         assert short["pause"] == pytest.approx(4 * 0.00612, rel=0.1)
-        agenda, engine = self.engine()
-        self.run(agenda, engine, 30000, 100, name="l")
-        short = self.run(agenda, engine, 100, 100, events=40, name="s")
-        agenda.run(1.0)
+        scheduler, engine = self.engine()
+        self.run(scheduler, engine, 30000, 100, name="l")
+        short = self.run(scheduler, engine, 100, 100, events=40, name="s")
+        scheduler.run(1.0)
         assert short["pause"] > 5 * 4 * 0.00612
 
     def test_running_requests_and_cached_parts_share_the_memory(self):
-        agenda, engine = self.engine(memory_tokens=10000)
+        scheduler, engine = self.engine(memory_tokens=10000)
         for number in range(6):
-            self.run(agenda, engine, 3000, 50 + number, name=f"p{number}")
-        agenda.run(9.0)
+            self.run(scheduler, engine, 3000, 50 + number, name=f"p{number}")
+        scheduler.run(9.0)
         assert engine.cache.tokens <= 10000
         assert not engine.running and not engine.waiting
--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -35,17 +35,17 @@
 @pytest.mark.parametrize("routers", [3, 22, 68])
 def test_requests_below_the_limits_are_not_refused(routers):
     """Guards against refusals below a limit when all load is below limits."""
-    found = simulate(quotas.CASES["calm"], routers=routers, seconds=12.0)
-    assert found.refused_below_limit < MOST_BELOW
-    assert found.worst_ratio < 1
+    result = simulate(quotas.CASES["calm"], routers=routers, seconds=12.0)
+    assert result.refused_below_limit < MOST_BELOW
+    assert result.worst_ratio < 1
 
 
 @pytest.mark.parametrize("name", ["hot", "hot-one"])
 def test_a_hot_organisation_gets_its_limit_and_no_more(name):
     """Guards against an organisation that gets 2.1 times its limit."""
-    found = simulate(quotas.CASES[name])
-    assert found.refused_below_limit < MOST_BELOW
-    assert found.worst_ratio < 1
+    result = simulate(quotas.CASES[name])
+    assert result.refused_below_limit < MOST_BELOW
+    assert result.worst_ratio < 1
 
 
 @pytest.mark.parametrize(
@@ -90,8 +90,8 @@
 
 def test_an_owner_that_dies_costs_its_organisations_little():
     """Guards against refusals of a limit until its owner is back."""
-    found = simulate(quotas.CASES["owner-dies"])
-    assert found.refused_below_limit < 0.05
+    result = simulate(quotas.CASES["owner-dies"])
+    assert result.refused_below_limit < 0.05
 
 
 def test_rights_of_routers_that_were_killed_are_not_spent_twice():
@@ -128,8 +128,8 @@
         kill_all_at=tuple(kills),
         lowered_at=lowered,
     )
-    found = simulate(case, routers=routers, seed=seed, seconds=18.0)
-    assert found.worst_ratio < 1
+    result = simulate(case, routers=routers, seed=seed, seconds=18.0)
+    assert result.worst_ratio < 1
 
 
 class TestLedger:
@@ -147,10 +147,10 @@
 
     def spend(self, ledger, now, cost=100.0, name="acme"):
         """Acquires until a refusal; returns how much was granted."""
-        found = 0.0
+        granted = 0.0
         while ledger.acquire(name, LIMIT, cost, now).granted:
-            found += cost
-        return found
+            granted += cost
+        return granted
 
     def test_new_rights_have_earned_nothing(self):
         """Guards against full pools at a new owner."""
@@ -217,9 +217,9 @@
 
     def test_a_request_larger_than_any_pool_gets_no_wait(self):
         ledger = self.ledger()
-        found = ledger.acquire("acme", LIMIT, 10 * TOP, 10.0)
-        assert not found.granted
-        assert found.wait_seconds is None
+        decision = ledger.acquire("acme", LIMIT, 10 * TOP, 10.0)
+        assert not decision.granted
+        assert decision.wait_seconds is None
 
     def test_a_request_too_large_for_part_of_the_rights_waits_for_more(self):
         """Guards against a refusal with too short a wait."""
@@ -278,7 +278,7 @@
         self.share = 1 / count
         self.names = [f"tcp://r{number}" for number in range(count)]
         # Isolated routers, which have no contact to others.
-        self.alone = set()
+        self.isolated = set()
         for name in self.names:
             self.start(name)
         self.dead = set()
@@ -296,12 +296,12 @@
 
     def known(self, name):
         """Returns the other routers that a router considers alive."""
-        if name in self.alone:
+        if name in self.isolated:
             return []
         return [
             each
             for each in self.names
-            if each != name and each not in self.alone
+            if each != name and each not in self.isolated
         ]
 
     def run(self, seconds):
@@ -315,15 +315,15 @@
     def deliver(self):
         while self.mail:
             sender, to, message = self.mail.pop(0)
-            if not {to, sender} & (self.dead | self.alone):
+            if not {to, sender} & (self.dead | self.isolated):
                 self.limiters[to].handle(sender, message, self.now)
 
     def acquire(self, name, cost=100.0):
-        found = []
+        results = []
         number = self.limiters[name].acquire(
-            "acme", LIMIT, cost, self.now, found.append
+            "acme", LIMIT, cost, self.now, results.append
         )
-        return found, number
+        return results, number
 
     @pytest.mark.parametrize(
         "lost", [messages.LeaseRights, messages.RightsLeased]
@@ -352,8 +352,10 @@
 
     def left(self, name):
         """Returns the level of the limit's pool at an owner."""
-        found = self.limiters[name].ledger.acquire("acme", LIMIT, 0.0, self.now)
-        return found.left
+        decision = self.limiters[name].ledger.acquire(
+            "acme", LIMIT, 0.0, self.now
+        )
+        return decision.left
 
     def spend(self, name):
         """Uses the allowance that rights add to a full pool."""
@@ -447,18 +449,18 @@
         self.build(3)
         self.run(3.0)
         before = self.brought()
-        self.alone.add(self.other())
+        self.isolated.add(self.other())
         self.run(2.0)
-        self.alone.clear()
+        self.isolated.clear()
         self.run(2.0)
         assert self.brought() == pytest.approx(before)
 
     def test_an_allowance_that_moves_is_not_kept_by_the_lender(self):
         """Guards against one allowance both at the lender and at the owner."""
         self.build(3)
-        self.alone.update(self.names)
+        self.isolated.update(self.names)
         self.run(1.0)
-        self.alone.clear()
+        self.isolated.clear()
         self.run(3.0)
         assert self.brought() <= 1.001
 
@@ -501,10 +503,10 @@
         owner, other = self.owner(), self.other()
         self.spend(owner)
         before = self.left(owner)
-        found, number = self.acquire(other)
+        results, number = self.acquire(other)
         self.limiters[other].cancel(number)
         self.deliver()
-        assert not found
+        assert not results
         assert self.left(owner) == before
 
     def test_a_silent_owner_delays_a_request_briefly(self):
@@ -513,9 +515,9 @@
         self.run(3.0)
         other = self.other()
         self.dead.add(self.owner())
-        found, _ = self.acquire(other, cost=10.0)
+        results, _ = self.acquire(other, cost=10.0)
         self.run(2 * limiters.ANSWER_SECONDS + 0.1)
-        assert found
+        assert results
 
     def test_a_silent_owner_is_replaced_by_the_next_owner(self):
         """Guards against refusals until the leases of a dead owner expire."""
@@ -524,10 +526,10 @@
         owner = self.owner()
         others = [each for each in self.limiters if each != owner]
         self.dead.add(owner)
-        found, _ = self.acquire(others[0], cost=50.0)
+        results, _ = self.acquire(others[0], cost=50.0)
         self.run(limiters.ANSWER_SECONDS + 0.11)
-        assert [each.decision.granted for each in found] == [True]
-        assert found[0].owner in others
+        assert [each.decision.granted for each in results] == [True]
+        assert results[0].owner in others
 
     def test_a_router_that_has_just_started_uses_the_owner_at_once(self):
         """Guards against refusals just after a router starts."""
@@ -543,9 +545,9 @@
             send=lambda to, message: self.mail.append((other, to, message)),
         )
         self.limiters[other] = fresh
-        found, _ = self.acquire(other, cost=50.0)
+        results, _ = self.acquire(other, cost=50.0)
         self.deliver()
-        assert [each.decision.granted for each in found] == [True]
+        assert [each.decision.granted for each in results] == [True]
 
     def test_an_owner_that_shuts_down_is_replaced_at_once(self):
         """Guards against limits without an owner during a rolling restart."""
@@ -558,9 +560,9 @@
             ledgers.slot_of("acme")
         ].owner in (other, owner)
         self.run(0.3)
-        found, _ = self.acquire(other, cost=10.0)
+        results, _ = self.acquire(other, cost=10.0)
         self.deliver()
-        assert found
+        assert results
 
     def test_an_owner_that_shuts_down_grants_by_no_rights_of_others(self):
         """Guards against rights used by both an owner and their lender.
@@ -574,10 +576,10 @@
         self.mail.clear()
         slot = self.limiters[owner].ledger.slots[ledgers.slot_of("acme")]
         assert slot.share <= 1 / 3
-        found, _ = self.acquire(other, cost=900.0)
+        results, _ = self.acquire(other, cost=900.0)
         self.deliver()
         assert not any(
-            each.decision.granted and each.owner == owner for each in found
+            each.decision.granted and each.owner == owner for each in results
         )
 
     def test_rights_lent_by_an_old_message_are_not_used(self):
--- a/pimentoledge/tests/test_router_server_limits_fleet.py
+++ b/pimentoledge/tests/test_router_server_limits_fleet.py
@@ -24,18 +24,18 @@
 def test_a_limit_is_used_and_not_exceeded(name, routers):
     """Guards against a fixed part for each router, too small to be used."""
     case = server_limits.CASES[name]
-    found = simulate(case, routers=routers, servers=6, seconds=40.0)
-    assert found.worst_ratio <= 1
-    assert found.used_share > LEAST_USED
+    result = simulate(case, routers=routers, servers=6, seconds=40.0)
+    assert result.worst_ratio <= 1
+    assert result.used_share > LEAST_USED
 
 
 def test_300_routers_share_a_limit_that_is_below_one_request_a_router():
     """Guards against one request of each router at the same time."""
     case = server_limits.CASES["fraction"]
-    found = simulate(case, routers=300, servers=6, seconds=20.0)
-    assert found.worst_ratio <= 1
-    assert found.used_share > LEAST_USED
-    assert found.messages < 15
+    result = simulate(case, routers=300, servers=6, seconds=20.0)
+    assert result.worst_ratio <= 1
+    assert result.used_share > LEAST_USED
+    assert result.messages < 15
 
 
 @pytest.mark.parametrize(
