--- a/pimentoledge/tests/test_router_quotas.py
+++ b/pimentoledge/tests/test_router_quotas.py
@@ -318,10 +318,10 @@
             if not {to, sender} & (self.dead | self.isolated):
                 self.limiters[to].handle(sender, message, self.now)
 
-    def acquire(self, name, cost=100.0):
+    def acquire(self, name, cost=100.0, limit=LIMIT):
         results = []
         number = self.limiters[name].acquire(
-            "acme", LIMIT, cost, self.now, results.append
+            "acme", limit, cost, self.now, results.append
         )
         return results, number
 
@@ -509,6 +509,28 @@
         assert not results
         assert self.left(owner) == before
 
+    def test_a_router_that_retries_after_the_wait_of_an_owner_is_granted(self):
+        """Guards against a wait that ends before there is room.
+
+        The owner sends its wait in whole milliseconds. If it is rounded down,
+        a router that retries exactly after it comes up to 1 ms too early, is
+        refused again, and gets a second wait.
+        """
+        self.build()
+        self.run(3.0)
+        other = self.other()
+        limit = ledgers.server_limit(3.0, self.now)
+        decision = ledgers.Decision(granted=True)
+        while decision.granted:
+            results, _ = self.acquire(other, cost=1.0, limit=limit)
+            self.deliver()
+            [decision] = [each.decision for each in results]
+        self.now += decision.wait_seconds
+        results, _ = self.acquire(other, cost=1.0, limit=limit)
+        self.deliver()
+        [decision] = [each.decision for each in results]
+        assert decision.granted
+
     def test_a_silent_owner_delays_a_request_briefly(self):
         """Guards against requests that wait for a dead owner."""
         self.build()
--- a/pimentoledge/tests/test_router_server_limits.py
+++ b/pimentoledge/tests/test_router_server_limits.py
@@ -1,5 +1,7 @@
 """Tests of the limits that servers advertise in their answers."""
 
+import asyncio
+
 import attrs
 import pytest
 
@@ -11,6 +13,7 @@
 from pimentoledge.routing import server_permits
 from pimentoledge.routing.quotas import ledgers
 from pimentoledge.routing.quotas import limiters
+from pimentoledge.routing.quotas import messages
 from pimentoledge.tests import test_router_notices
 
 answer = test_router_notices.answer
@@ -136,6 +139,44 @@
     assert server_permits.wait_seconds(answered) == expected
 
 
+def test_a_refusal_after_the_limit_ended_does_not_block_the_server():
+    """Guards against a limit that is enforced after it has ended.
+
+    The limit ends while a router waits for the owner's answer to an acquire.
+    The answer is a refusal for the former limit, and its wait must not apply:
+    otherwise requests are refused although no limit is known.
+    """
+    handler, backend = handler_and_server()
+    handler.apply(backend, limited(), clocks.now())
+    limiter = limiters.Limiter(
+        own="r0",
+        life=1,
+        bounds=ledgers.QuotaBounds(),
+        share=lambda now: 0.5,
+        routers=lambda now: ["r1"],
+        send=lambda to, message: None,
+    )
+    limiter.rights.target = lambda slot, now: "r1"
+    permits = server_permits.Permits(
+        limits=handler.limits, limiter=limiter, lines=handler.lines
+    )
+
+    async def end_limit_before_refusal():
+        acquiring = asyncio.ensure_future(permits.acquire(backend))
+        await asyncio.sleep(0)
+        [number] = limiter.pending
+        handler.apply(backend, answer(), clocks.now())
+        refusal = messages.Acquired(
+            number=number, granted=False, wait_ms=5000, left=0.0, share=1.0
+        )
+        limiter.handle("r1", refusal, clocks.now())
+        await acquiring
+
+    asyncio.run(end_limit_before_refusal())
+    assert handler.limits.get(SERVER) is None
+    assert backend.limited_until == 0.0
+
+
 def test_the_wait_for_further_rights_is_bounded():
     """Guards against a server left unused after rights have returned."""
     ledger = ledgers.Ledger(bounds=ledgers.QuotaBounds())
