--- a/pimentoledge/decisions/homes.py
+++ b/pimentoledge/decisions/homes.py
@@ -29,7 +29,7 @@
 # on a different server.
 _SPLIT_SHARE = 1.3
 _JOIN_FACTOR = 0.5
-# With fewer counted requests, the measured share is mostly noise.
+# With fewer counted requests, a prefix's share is mostly noise.
 _MIN_SPLIT_REQUESTS = 12
 # Additional homes beside those needed for the traffic, so that placement can
 # choose a less loaded one.
--- a/pimentoledge/decisions/membership.py
+++ b/pimentoledge/decisions/membership.py
@@ -305,7 +305,7 @@
         if soft:
             return soft
         # All servers failed hard, as when every engine of a model restarts
-        # at once. Without a trial here, requests would wait for the end of a
+        # at once. Without a retry here, requests would wait for the end of a
         # long backoff although an engine is up again.
         due = []
         for record, each in in_backoff:
@@ -365,7 +365,7 @@
         record.failures = min(record.failures + 1, 32)
         record.decay_from = now
         wait = min(doubled, self.timing.longest)
-        # Without jitter all entries would send their trials at the same time.
+        # Without jitter all entries would retry a server at the same time.
         record.backoff_until = now + wait * self._random.uniform(0.75, 1.25)
 
     def _record_recovery(
